--- a/internal/core/closing_test.go
+++ b/internal/core/closing_test.go
@@ -13,7 +13,7 @@
 
 // After Closing each request context has its answer in the same step, and none is tried: its time may end after the
 // program's.
-func TestNothingIsLeftOpenAfterClosing(t *testing.T) {
+func TestClosingAnswersEveryRequest(t *testing.T) {
 	set := logic.Settings{Gateways: 1, Zones: 1, MaxAttempts: 3, Cancelling: true, DrainGrace: time.Second,
 		Classes: []logic.Class{{Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}},
 		Plans:   []logic.Plan{{Name: "regular", Rate: 1000, Burst: 4000, Price: 1}}}
@@ -31,7 +31,7 @@
 		return tries, answers
 	}
 	request := func(id uint64) core.Event {
-		return core.RequestContext{Origin: nobody{}, Request: logic.Request{ID: id, Customer: id, Units: 1, Spread: 1, TTL: time.Second}}
+		return core.RequestContext{Origin: discardOrigin{}, Request: logic.Request{ID: id, Customer: id, Units: 1, Spread: 1, TTL: time.Second}}
 	}
 	count(core.UpstreamGroup{ServerList: logic.ServerList{Whole: true, Servers: []logic.Server{{ID: 1, Weight: 1, State: logic.Ready}, {ID: 2, Weight: 1, State: logic.Ready}}}})
 	tries, answers := count(request(1))
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -140,56 +140,56 @@
 	moduleTimer timerKind = iota
 	tryTimer
 	countTimer
-	planTimer    // a version or a reservation is due
-	reserveTimer // reservations in use are looked after
-	listTimer    // a former list of counters is over
+	planTimer        // a version or a reservation is due
+	reservationTimer // reservations in use are looked after
+	formerListTimer  // a former list of counters is over
 )
 
 type requestContext struct {
 	origin   Origin
 	group    int
 	deadline time.Duration
-	over     bool // the final answer is given, or nobody waits for it
-	tries    []try
-	out      int
+	done     bool // the final answer is given, or nobody waits for it
+	tries    []tryState
+	inFlight int
 }
 
-type try struct {
-	server logic.ServerID
-	sentAt time.Duration
-	out    bool
+type tryState struct {
+	server   logic.ServerID
+	sentAt   time.Duration
+	inFlight bool
 }
 
 // Reducer owns all that the limiter knows. It is not safe for concurrent use: one goroutine owns it.
 type Reducer struct {
-	set      logic.Settings
-	gateway  *logic.Gateway
-	book     *plans.Book
-	reserves *reserve.Manager
-	planned  time.Duration // when the earliest plan timer rings; 0: none is set
-	tending  bool          // the reserve timer is set
-	tally    Tally
-	now      time.Duration
-	ahead    time.Duration // of the wall clock, by which plans and reservations name their times
-	requests map[uint64]*requestContext
-	ring     *sharding.Ring     // nil: there is one counter
-	relistAt time.Duration      // when the list timer rings; 0: it is not set
-	calls    map[uint64]part    // by effect
-	due      map[uint64][]*call // calls of the module that it has not been told the answer to, by name, in their order
-	unmade   []*call            // that no counter could be asked
-	groups   map[logic.ServerID]int
-	next     uint64
-	effects  []Effect
-	closing  bool
-	moot     []logic.Outcome // of tries that could not be made, for the module's next turn
+	settings            logic.Settings
+	gateway             *logic.Gateway
+	book                *plans.Book
+	reservations        *reserve.Manager
+	planTimerAt         time.Duration // when the earliest plan timer rings; 0: none is set
+	reservationTimerSet bool          // the reserve timer is set
+	tally               Tally
+	now                 time.Duration
+	wallClockAhead      time.Duration // of the wall clock, by which plans and reservations name their times
+	requests            map[uint64]*requestContext
+	ring                *sharding.Ring     // nil: there is one counter
+	formerListTimerAt   time.Duration      // when the list timer rings; 0: it is not set
+	partsInFlight       map[uint64]part    // by effect
+	unreported          map[uint64][]*call // calls of the module that it has not been told the answer to, by name, in their order
+	withoutCounter      []*call            // that no counter could be asked
+	groups              map[logic.ServerID]int
+	lastPartID          uint64
+	effects             []Effect
+	closing             bool
+	mootOutcomes        []logic.Outcome // of tries that could not be made, for the module's next turn
 }
 
 // New makes a reducer round a module with these settings. The book's plans go before the settings'.
-func New(set logic.Settings, seed uint64, book *plans.Book) *Reducer {
-	r := &Reducer{set: set, gateway: logic.New(set, seed), requests: map[uint64]*requestContext{},
-		calls: map[uint64]part{}, due: map[uint64][]*call{}, groups: map[logic.ServerID]int{}, book: book,
-		reserves: reserve.New(set.Gateways, set.Rank, set.MostUnits)}
-	r.gateway.Use(book, r.reserves)
+func New(settings logic.Settings, seed uint64, book *plans.Book) *Reducer {
+	r := &Reducer{settings: settings, gateway: logic.New(settings, seed), requests: map[uint64]*requestContext{},
+		partsInFlight: map[uint64]part{}, unreported: map[uint64][]*call{}, groups: map[logic.ServerID]int{}, book: book,
+		reservations: reserve.New(settings.Gateways, settings.Rank, settings.MostUnits)}
+	r.gateway.Use(book, r.reservations)
 	return r
 }
 
@@ -202,7 +202,7 @@
 	switch e := ev.(type) {
 	case RequestContext:
 		if r.closing { // its time may end after the program's
-			r.do(Reject{e.Origin, Elsewhere(r.set)})
+			r.emit(Reject{e.Origin, Elsewhere(r.settings)})
 			break
 		}
 		if e.At > 0 { // guards against a time that begins anew where the inbox was long
@@ -210,69 +210,69 @@
 		}
 		r.requests[e.ID] = &requestContext{origin: e.Origin, group: e.Group, deadline: r.now + e.TTL}
 		r.tally.count(r.book.Current().Number)
-		r.tell(e.Request)
+		r.notify(e.Request)
 	case Outcome:
-		r.outcome(e)
+		r.handleOutcome(e)
 	case UpstreamGroup:
-		r.listed(e.ServerList)
+		r.handleServerList(e.ServerList)
 	case CountResult:
-		r.counted(e)
+		r.handleCountResult(e)
 	case ClientGone:
-		r.clientGone(e.ID)
+		r.handleClientGone(e.ID)
 	case ClockStepped:
-		r.ahead = e.Ahead
-		r.reserves.Ahead(e.Ahead)
-		r.tell(logic.ClockStepped(e))
-		r.turn()
+		r.wallClockAhead = e.Ahead
+		r.reservations.Ahead(e.Ahead)
+		r.notify(logic.ClockStepped(e))
+		r.advancePlans()
 	case Closing:
 		r.closing = true
-		r.tell(logic.Closing{})
+		r.notify(logic.Closing{})
 	case Ask:
-		r.ask(e)
+		r.handleAsk(e)
 	case Counters:
-		r.relist(e)
+		r.handleCounters(e)
 	case Timer:
-		r.rang(e)
+		r.handleTimer(e)
 	}
-	r.settle()
+	r.finishStep()
 	return r.effects
 }
 
-// settle does what a step has left over, until nothing is.
-func (r *Reducer) settle() {
-	r.lease()
-	for len(r.moot)+len(r.unmade) > 0 {
-		if len(r.moot) > 0 {
-			o := r.moot[0]
-			r.moot = r.moot[1:]
-			r.tell(o)
+// finishStep does what a step has left over, until nothing is.
+func (r *Reducer) finishStep() {
+	r.serveReservations()
+	for len(r.mootOutcomes)+len(r.withoutCounter) > 0 {
+		if len(r.mootOutcomes) > 0 {
+			o := r.mootOutcomes[0]
+			r.mootOutcomes = r.mootOutcomes[1:]
+			r.notify(o)
 			continue
 		}
-		c := r.unmade[0]
-		r.unmade = r.unmade[1:]
-		r.joined(c)
+		c := r.withoutCounter[0]
+		r.withoutCounter = r.withoutCounter[1:]
+		r.finishCall(c)
 	}
 }
 
-const soon = 10 * time.Millisecond
+const shutdownRetryAfter = 10 * time.Millisecond
 
 // Elsewhere is when a client that a limiter at its end turns away may come again: soon, since another one takes it.
-func Elsewhere(set logic.Settings) time.Duration {
-	if !set.RetryAfter {
+func Elsewhere(settings logic.Settings) time.Duration {
+	if !settings.RetryAfter {
 		return 0
 	}
-	return min(soon, set.MaxRetryAfter)
+	return min(shutdownRetryAfter, settings.MaxRetryAfter)
 }
 
-// listed keeps the groups of the servers that are listed, and of no others: ids are never used again.
-func (r *Reducer) listed(l logic.ServerList) {
+// handleServerList keeps the groups of the servers that are handleServerList, and of no others: ids are never used again.
+func (r *Reducer) handleServerList(l logic.ServerList) {
 	if l.Whole && !l.Failed {
 		maps.DeleteFunc(r.groups, func(_ logic.ServerID, group int) bool { return group == l.Group })
 	}
 	for _, s := range l.Servers {
 		r.groups[s.ID] = l.Group
 	}
-	r.tell(l)
+	r.notify(l)
 	for _, s := range l.Servers {
 		if s.State == logic.Gone {
 			delete(r.groups, s.ID)
@@ -280,137 +280,137 @@
 	}
 }
 
-func (r *Reducer) do(e Effect) { r.effects = append(r.effects, e) }
+func (r *Reducer) emit(e Effect) { r.effects = append(r.effects, e) }
 
-// tell hands an event to the module and turns its actions into effects.
-func (r *Reducer) tell(ev logic.Event) {
+// notify hands an event to the module and turns its actions into effects.
+func (r *Reducer) notify(ev logic.Event) {
 	for _, a := range r.gateway.Handle(r.now, ev) {
 		switch a := a.(type) {
 		case logic.Send:
-			r.try(a)
+			r.startTry(a)
 		case logic.Refuse:
-			if q := r.end(a.ID); q != nil {
-				r.do(Reject{q.origin, a.RetryAfter})
+			if q := r.markDone(a.ID); q != nil {
+				r.emit(Reject{q.origin, a.RetryAfter})
 			}
 		case logic.Fail:
-			if q := r.end(a.ID); q != nil {
-				r.do(Fail{q.origin})
+			if q := r.markDone(a.ID); q != nil {
+				r.emit(Fail{q.origin})
 			}
 		case logic.Admit:
-			if q := r.end(a.ID); q != nil {
-				r.do(Admit{q.origin})
+			if q := r.markDone(a.ID); q != nil {
+				r.emit(Admit{q.origin})
 			}
 		case logic.Cancel:
-			if q := r.requests[a.ID]; q != nil && a.Attempt < len(q.tries) && q.tries[a.Attempt].out {
-				r.do(Abandon{Key{a.ID, a.Attempt}, q.group, logic.Cancelled})
+			if q := r.requests[a.ID]; q != nil && a.Attempt < len(q.tries) && q.tries[a.Attempt].inFlight {
+				r.emit(Abandon{Key{a.ID, a.Attempt}, q.group, logic.Cancelled})
 			}
 		case logic.SetTimer:
-			r.do(SetTimer{r.now + a.After, Timer{moduleTimer, Key{ID: uint64(a.Token)}}})
+			r.emit(SetTimer{r.now + a.After, Timer{moduleTimer, Key{ID: uint64(a.Token)}}})
 		case logic.Count:
-			r.count(a)
+			r.startCount(a)
 		case logic.CloseIdle:
-			r.do(CloseIdle{r.groups[a.Server], a.Server})
+			r.emit(CloseIdle{r.groups[a.Server], a.Server})
 		case logic.Watch, logic.FetchList: // the watch is always on: where it ends, discovery's client begins the next
 		case logic.Log:
-			r.do(Log{a.Text})
+			r.emit(Log{a.Text})
 		case logic.Tell: // limiters cannot talk to each other on sockets: the same as a message lost
 		}
 	}
 }
 
-func (r *Reducer) try(a logic.Send) {
+func (r *Reducer) startTry(a logic.Send) {
 	q := r.requests[a.ID]
 	if q == nil {
 		return
 	}
-	n, wait := len(q.tries), q.deadline-r.now
+	n, timeout := len(q.tries), q.deadline-r.now
 	if a.Timeout != 0 {
-		wait = min(wait, a.Timeout)
+		timeout = min(timeout, a.Timeout)
 	}
 	// Guards against a try for a request that is over, or too many: like the simulator's, it is not made.
-	if q.over || wait <= 0 || r.set.MaxAttempts > 0 && n >= r.set.MaxAttempts {
-		r.moot = append(r.moot, logic.Outcome{ID: a.ID, Attempt: n, Server: a.Server, Status: logic.Moot, Closed: q.over})
-		q.tries = append(q.tries, try{server: a.Server, sentAt: r.now})
+	if q.done || timeout <= 0 || r.settings.MaxAttempts > 0 && n >= r.settings.MaxAttempts {
+		r.mootOutcomes = append(r.mootOutcomes, logic.Outcome{ID: a.ID, Attempt: n, Server: a.Server, Status: logic.Moot, Closed: q.done})
+		q.tries = append(q.tries, tryState{server: a.Server, sentAt: r.now})
 		return
 	}
-	q.tries, q.out = append(q.tries, try{a.Server, r.now, true}), q.out+1
-	until := r.now + wait
+	q.tries, q.inFlight = append(q.tries, tryState{a.Server, r.now, true}), q.inFlight+1
+	sendUntil := r.now + timeout
 	if a.Until > 0 {
-		until = min(until, a.Until)
+		sendUntil = min(sendUntil, a.Until)
 	}
-	r.do(Try{Key: Key{a.ID, n}, Group: q.group, Server: a.Server, Wait: wait, Ends: r.now + wait, Until: until, Origin: q.origin})
-	r.do(SetTimer{r.now + wait, Timer{tryTimer, Key{a.ID, n}}})
+	r.emit(Try{Key: Key{a.ID, n}, Group: q.group, Server: a.Server, Wait: timeout, Ends: r.now + timeout, Until: sendUntil, Origin: q.origin})
+	r.emit(SetTimer{r.now + timeout, Timer{tryTimer, Key{a.ID, n}}})
 }
 
-// end marks the final answer; nil if it was given before: a second one must never leave.
-func (r *Reducer) end(id uint64) *requestContext {
+// markDone marks the final answer; nil if it was given before: a second one must never leave.
+func (r *Reducer) markDone(id uint64) *requestContext {
 	q := r.requests[id]
-	if q == nil || q.over {
+	if q == nil || q.done {
 		return nil
 	}
-	q.over = true
+	q.done = true
 	r.release(id, q)
 	return q
 }
 
 // release forgets a request context that is over and has no try out.
 func (r *Reducer) release(id uint64, q *requestContext) {
-	if q.over && q.out == 0 {
+	if q.done && q.inFlight == 0 {
 		delete(r.requests, id)
 	}
 }
 
-func (r *Reducer) outcome(e Outcome) {
+func (r *Reducer) handleOutcome(e Outcome) {
 	q := r.requests[e.ID]
-	if q == nil || e.Try >= len(q.tries) || !q.tries[e.Try].out {
+	if q == nil || e.Try >= len(q.tries) || !q.tries[e.Try].inFlight {
 		return
 	}
 	t := &q.tries[e.Try]
-	t.out, q.out = false, q.out-1
-	if e.Status == logic.OK && !q.over {
-		q.over = true
-		r.do(Answer{q.origin, e.Value})
+	t.inFlight, q.inFlight = false, q.inFlight-1
+	if e.Status == logic.OK && !q.done {
+		q.done = true
+		r.emit(Answer{q.origin, e.Value})
 	}
-	over := q.over
+	done := q.done
 	r.release(e.ID, q)
-	r.tell(logic.Outcome{ID: e.ID, Attempt: e.Try, Server: t.server, Status: e.Status, Latency: r.now - t.sentAt,
-		Closed: over, Load: e.Load})
+	r.notify(logic.Outcome{ID: e.ID, Attempt: e.Try, Server: t.server, Status: e.Status, Latency: r.now - t.sentAt,
+		Closed: done, Load: e.Load})
 }
 
-// clientGone ends the tries, too: nobody waits for what they would bring.
-func (r *Reducer) clientGone(id uint64) {
+// handleClientGone ends the tries, too: nobody waits for what they would bring.
+func (r *Reducer) handleClientGone(id uint64) {
 	q := r.requests[id]
-	if q == nil || q.over {
+	if q == nil || q.done {
 		return
 	}
-	q.over = true
+	q.done = true
 	for n, t := range q.tries {
-		if t.out {
-			r.do(Abandon{Key{id, n}, q.group, logic.Cancelled})
+		if t.inFlight {
+			r.emit(Abandon{Key{id, n}, q.group, logic.Cancelled})
 		}
 	}
 	r.release(id, q)
-	r.tell(logic.ClientGone{ID: id})
+	r.notify(logic.ClientGone{ID: id})
 }
 
-func (r *Reducer) rang(t Timer) {
+func (r *Reducer) handleTimer(t Timer) {
 	switch t.kind {
 	case moduleTimer:
-		r.tell(logic.Timer{Token: uint32(t.key.ID)})
+		r.notify(logic.Timer{Token: uint32(t.key.ID)})
 	case tryTimer:
-		if q := r.requests[t.key.ID]; q != nil && q.tries[t.key.Try].out {
-			r.do(Abandon{t.key, q.group, logic.Timeout})
+		if q := r.requests[t.key.ID]; q != nil && q.tries[t.key.Try].inFlight {
+			r.emit(Abandon{t.key, q.group, logic.Timeout})
 		}
 	case countTimer:
-		r.counted(CountResult{Call: t.key.ID, Status: logic.Timeout})
-	case listTimer:
-		r.relistAt = 0
-		r.advance()
+		r.handleCountResult(CountResult{Call: t.key.ID, Status: logic.Timeout})
+	case formerListTimer:
+		r.formerListTimerAt = 0
+		r.dropFormerLists()
 	case planTimer:
-		r.planned = 0
-		r.turn()
-	case reserveTimer:
-		r.tending = false
-		r.reserves.Tick(r.now)
+		r.planTimerAt = 0
+		r.advancePlans()
+	case reservationTimer:
+		r.reservationTimerSet = false
+		r.reservations.Tick(r.now)
 	}
 }
--- a/internal/core/count_test.go
+++ b/internal/core/count_test.go
@@ -13,7 +13,7 @@
 
 // After a move of the counter the answer to a later call for a name may come before that to an earlier one, on another
 // connection. Each request has the word on its own call, and a second answer to a call is none.
-func TestAnswersThatCrossAMoveAreNotSwapped(t *testing.T) {
+func TestOutOfOrderCounterAnswersAreNotSwapped(t *testing.T) {
 	set := logic.Settings{Gateways: 200, Zones: 1, MaxAttempts: 3, HasCounter: true, CounterLimit: 30 * time.Millisecond, MostUnits: 1,
 		Classes: []logic.Class{{Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}},
 		Plans:   []logic.Plan{{Name: "regular", Rate: 30, Burst: 30, Price: 1}}}
@@ -33,7 +33,7 @@
 	}
 	reduce(core.UpstreamGroup{ServerList: logic.ServerList{Whole: true, Servers: []logic.Server{{ID: 1, Weight: 1, State: logic.Ready}}}})
 	for id := uint64(1); id <= 2; id++ {
-		reduce(core.RequestContext{Origin: nobody{}, Request: logic.Request{ID: id, Customer: 7, Units: 1, Spread: 200, TTL: time.Second}})
+		reduce(core.RequestContext{Origin: discardOrigin{}, Request: logic.Request{ID: id, Customer: 7, Units: 1, Spread: 200, TTL: time.Second}})
 	}
 	require.Len(t, counts, 2)
 	require.Equal(t, counts[0].Name, counts[1].Name)
--- a/internal/core/counters.go
+++ b/internal/core/counters.go
@@ -24,25 +24,25 @@
 
 // call is a call for a name: one effect for each counter that it goes to, and one answer.
 type call struct {
-	name      uint64
-	amount    float64
-	lives     time.Duration
-	at, until time.Duration
-	lease     bool   // of the reserves
-	token     uint64 // theirs
-	targets   sharding.Targets
-	parts     []logic.CountPart
-	answers   []sharding.Answer
-	out       int // parts without an answer
-	over      bool
-	single    bool // there is one counter
-	result    logic.CountResult
+	name                uint64
+	amount              float64
+	ttl                 time.Duration
+	startedAt, deadline time.Duration
+	forReservation      bool   // of the reserves
+	reservationToken    uint64 // theirs
+	targets             sharding.Targets
+	parts               []logic.CountPart
+	answers             []sharding.Answer
+	inFlight            int // parts without an answer
+	done                bool
+	singleCounter       bool // there is one counter
+	result              logic.CountResult
 }
 
 // part is one effect of a call.
 type part struct {
-	call *call
-	n    int
+	call  *call
+	index int
 }
 
 // Spread has names dealt out to several counters from the start on. It is called before Begin. A process that starts in service
@@ -54,90 +54,90 @@
 	r.gateway.Spread(r.ring)
 }
 
-// relist takes a list of counters.
-func (r *Reducer) relist(e Counters) {
+// handleCounters takes a list of counters.
+func (r *Reducer) handleCounters(e Counters) {
 	if r.ring == nil {
 		r.ring = sharding.New([]string{e.Before})
 		r.gateway.Spread(r.ring)
 	}
 	if r.ring.Set(r.now, e.Addresses) {
-		r.counters()
+		r.announceCounters()
 	}
 }
 
-// counters tells everybody of the list.
-func (r *Reducer) counters() {
+// announceCounters tells everybody of the list.
+func (r *Reducer) announceCounters() {
 	all := r.ring.Addresses()
-	r.do(Reach{all, r.ring.Len(), r.ring.Fingerprint()})
-	r.tell(logic.CountersChanged{Listed: slices.Sorted(maps.Keys(all)), Among: r.ring.Len()})
-	if at, due := r.ring.Next(); due && (r.relistAt == 0 || at < r.relistAt) {
-		r.relistAt = at
-		r.do(SetTimer{at, Timer{kind: listTimer}})
+	r.emit(Reach{all, r.ring.Len(), r.ring.Fingerprint()})
+	r.notify(logic.CountersChanged{Listed: slices.Sorted(maps.Keys(all)), Among: r.ring.Len()})
+	if at, due := r.ring.Next(); due && (r.formerListTimerAt == 0 || at < r.formerListTimerAt) {
+		r.formerListTimerAt = at
+		r.emit(SetTimer{at, Timer{kind: formerListTimer}})
 	}
 }
 
-// advance forgets former lists that are over.
-func (r *Reducer) advance() {
+// dropFormerLists forgets former lists that are over.
+func (r *Reducer) dropFormerLists() {
 	if r.ring.Advance(r.now) {
-		r.counters()
+		r.announceCounters()
 	} else if at, due := r.ring.Next(); due {
-		r.relistAt = at
-		r.do(SetTimer{at, Timer{kind: listTimer}})
+		r.formerListTimerAt = at
+		r.emit(SetTimer{at, Timer{kind: formerListTimer}})
 	}
 }
 
-func (r *Reducer) count(a logic.Count) {
-	r.call(&call{name: a.Name, amount: a.Amount, lives: a.Lives, at: r.now, until: r.now + max(r.set.CounterLimit, a.Wait)},
+func (r *Reducer) startCount(a logic.Count) {
+	r.startCall(&call{name: a.Name, amount: a.Amount, ttl: a.Lives, startedAt: r.now, deadline: r.now + max(r.settings.CounterLimit, a.Wait)},
 		a.Began, a.Spared)
 }
 
-// call makes a call at the counters of its name, but for those that are spared.
-func (r *Reducer) call(c *call, began time.Duration, spared uint8) {
+// startCall makes a startCall at the counters of its name, but for those that are spared.
+func (r *Reducer) startCall(c *call, began time.Duration, spared uint8) {
 	if c.targets = (sharding.Targets{To: []int{0}}); r.ring != nil {
 		c.targets = r.ring.Of(r.now, c.name, began)
 	} else {
-		c.single = true
+		c.singleCounter = true
 	}
-	if !c.lease {
-		r.due[c.name] = append(r.due[c.name], c)
+	if !c.forReservation {
+		r.unreported[c.name] = append(r.unreported[c.name], c)
 	}
 	for k, counter := range c.targets.To {
 		if spared&(1<<k) != 0 {
 			continue
 		}
-		r.next++
-		r.calls[r.next] = part{c, len(c.parts)}
-		c.parts, c.out = append(c.parts, logic.CountPart{Counter: counter}), c.out+1
-		r.do(Count{r.next, counter, c.name, c.amount, c.lives, c.until})
-		r.do(SetTimer{c.until, Timer{countTimer, Key{ID: r.next}}})
+		r.lastPartID++
+		r.partsInFlight[r.lastPartID] = part{c, len(c.parts)}
+		c.parts, c.inFlight = append(c.parts, logic.CountPart{Counter: counter}), c.inFlight+1
+		r.emit(Count{r.lastPartID, counter, c.name, c.amount, c.ttl, c.deadline})
+		r.emit(SetTimer{c.deadline, Timer{countTimer, Key{ID: r.lastPartID}}})
 	}
-	if c.out == 0 {
-		r.unmade = append(r.unmade, c)
+	if c.inFlight == 0 {
+		r.withoutCounter = append(r.withoutCounter, c)
 	}
 }
 
-// counted takes the first word on a part of a call: an answer that comes after its time-out changes nothing.
-func (r *Reducer) counted(e CountResult) {
-	p, ok := r.calls[e.Call]
+// handleCountResult takes the first word on a part of a call: an answer that comes after its time-out changes nothing.
+func (r *Reducer) handleCountResult(e CountResult) {
+	p, ok := r.partsInFlight[e.Call]
 	if !ok {
 		return
 	}
-	delete(r.calls, e.Call)
+	delete(r.partsInFlight, e.Call)
 	c := p.call
-	c.parts[p.n].Status, c.parts[p.n].Latency = e.Status, r.now-c.at
-	c.answers = append(c.answers, sharding.Answer{Counter: c.parts[p.n].Counter, OK: e.Status == logic.OK, Total: e.Total})
-	if c.out--; c.out == 0 {
-		r.joined(c)
+	c.parts[p.index].Status, c.parts[p.index].Latency = e.Status, r.now-c.startedAt
+	c.answers = append(c.answers, sharding.Answer{Counter: c.parts[p.index].Counter, OK: e.Status == logic.OK, Total: e.Total})
+	if c.inFlight--; c.inFlight == 0 {
+		r.finishCall(c)
 	}
 }
 
-// joined tells the one answer to a call. The module is told in the order of the calls for a name, which is how it knows them
+// finishCall tells the one answer to a call. The module is told in the order of the calls for a name, which is how it knows them
 // apart: after a move, the answer on the new connection may come before one that is due on the old.
-func (r *Reducer) joined(c *call) {
-	c.over = true
-	c.result = logic.CountResult{Name: c.name, Status: c.status(), Latency: r.now - c.at}
+func (r *Reducer) finishCall(c *call) {
+	c.done = true
+	c.result = logic.CountResult{Name: c.name, Status: c.combinedStatus(), Latency: r.now - c.startedAt}
 	switch {
-	case c.single:
+	case c.singleCounter:
 		c.result.Total = c.answers[0].Total
 	case len(c.targets.To) > 0:
 		c.result.Parts = c.parts
@@ -150,26 +150,26 @@
 	default:
 		c.result.Parts = []logic.CountPart{} // nobody is to blame
 	}
-	if c.lease {
-		r.reserves.Counted(r.now, c.token, c.result.Status, c.result.Total)
+	if c.forReservation {
+		r.reservations.Counted(r.now, c.reservationToken, c.result.Status, c.result.Total)
 		return
 	}
-	for due := r.due[c.name]; len(due) > 0 && due[0].over; due = r.due[c.name] {
-		answer := due[0].result
-		if r.due[c.name] = due[1:]; len(due) == 1 {
-			delete(r.due, c.name)
+	for unreported := r.unreported[c.name]; len(unreported) > 0 && unreported[0].done; unreported = r.unreported[c.name] {
+		answer := unreported[0].result
+		if r.unreported[c.name] = unreported[1:]; len(unreported) == 1 {
+			delete(r.unreported, c.name)
 		}
-		r.tell(answer)
+		r.notify(answer)
 	}
 }
 
-// status is the word on a call as a whole where its total is not known: that nothing was added only if that holds everywhere.
-func (c *call) status() logic.Status {
-	never := logic.ConnectFailed
+// combinedStatus is the word on a call as a whole where its total is not known: that nothing was added only if that holds everywhere.
+func (c *call) combinedStatus() logic.Status {
+	notAdded := logic.ConnectFailed
 	for _, p := range c.parts {
 		switch p.Status {
 		case logic.Full:
-			never = logic.Full
+			notAdded = logic.Full
 		case logic.ConnectFailed:
 		default:
 			if len(c.parts) == 1 && len(c.targets.To) == 1 {
@@ -181,5 +181,5 @@
 	if len(c.parts) == 0 {
 		return logic.Timeout
 	}
-	return never
+	return notAdded
 }
--- a/internal/core/counters_test.go
+++ b/internal/core/counters_test.go
@@ -17,28 +17,28 @@
 
 // fleet is some reducers and the counters that they call, in virtual time. A call takes a millisecond each way.
 type fleet struct {
-	now      time.Duration
-	limiters []*core.Reducer
-	reach    []map[int]string
-	totals   map[string]map[uint64]float64 // by counter and name
-	calls    map[string]int
-	lost     map[string]bool
-	admitted int
-	todo     []todo
-	next     uint64
+	now           time.Duration
+	limiters      []*core.Reducer
+	addresses     []map[int]string
+	totals        map[string]map[uint64]float64 // by counter and name
+	calls         map[string]int
+	lost          map[string]bool
+	admitted      int
+	schedule      []scheduledCall
+	lastRequestID uint64
 }
 
-type todo struct {
+type scheduledCall struct {
 	at time.Duration
 	do func()
 }
 
-type gate struct {
-	nobody
+type countingOrigin struct {
+	discardOrigin
 	f *fleet
 }
 
-func (g gate) Admitted() { g.f.admitted++ }
+func (g countingOrigin) Admitted() { g.f.admitted++ }
 
 func newFleet(n int, set logic.Settings, reservations ...plans.Reservation) *fleet {
 	f := &fleet{now: time.Hour, totals: map[string]map[uint64]float64{}, calls: map[string]int{}, lost: map[string]bool{}}
@@ -50,13 +50,15 @@
 			panic(err)
 		}
 		f.limiters = append(f.limiters, core.New(set, uint64(k), book))
-		f.reach = append(f.reach, map[int]string{0: "a:1"})
+		f.addresses = append(f.addresses, map[int]string{0: "a:1"})
 		f.run(k, f.limiters[k].Begin(f.now, nil))
 	}
 	return f
 }
 
-func (f *fleet) at(at time.Duration, do func()) { f.todo = append(f.todo, todo{at, do}) }
+func (f *fleet) at(at time.Duration, do func()) {
+	f.schedule = append(f.schedule, scheduledCall{at, do})
+}
 
 func (f *fleet) post(k int, ev core.Event) { f.run(k, f.limiters[k].Reduce(f.now, ev, nil)) }
 
@@ -68,9 +70,9 @@
 		case core.Admit:
 			e.Origin.Admitted()
 		case core.Reach:
-			f.reach[k] = e.Counters
+			f.addresses[k] = e.Counters
 		case core.Count:
-			addr := f.reach[k][e.Counter]
+			addr := f.addresses[k][e.Counter]
 			f.at(f.now+time.Millisecond, func() {
 				if f.lost[addr] {
 					f.post(k, core.CountResult{Call: e.Call, Status: logic.ConnectFailed})
@@ -88,12 +90,12 @@
 	}
 }
 
-// play goes on until a time.
-func (f *fleet) play(to time.Duration) {
+// runUntil goes on until a time.
+func (f *fleet) runUntil(to time.Duration) {
 	for {
 		next := -1
-		for k := range f.todo {
-			if f.todo[k].at <= to && (next < 0 || f.todo[k].at < f.todo[next].at) {
+		for k := range f.schedule {
+			if f.schedule[k].at <= to && (next < 0 || f.schedule[k].at < f.schedule[next].at) {
 				next = k
 			}
 		}
@@ -101,17 +103,17 @@
 			f.now = to
 			return
 		}
-		t := f.todo[next]
-		f.todo = slices.Delete(f.todo, next, next+1)
+		t := f.schedule[next]
+		f.schedule = slices.Delete(f.schedule, next, next+1)
 		f.now = max(f.now, t.at)
 		t.do()
 	}
 }
 
-// ask has a firm ask a limiter for a unit.
-func (f *fleet) ask(k int, firm uint64, spread int) {
-	f.next++
-	f.post(k, core.RequestContext{Origin: gate{f: f}, Request: logic.Request{ID: f.next, Customer: firm, Units: 1, Spread: spread, TTL: time.Second, Admit: true}})
+// request has a firm request a limiter for a unit.
+func (f *fleet) request(k int, firm uint64, spread int) {
+	f.lastRequestID++
+	f.post(k, core.RequestContext{Origin: countingOrigin{f: f}, Request: logic.Request{ID: f.lastRequestID, Customer: firm, Units: 1, Spread: spread, TTL: time.Second, Admit: true}})
 }
 
 func oneTier(rate, burst float64) logic.Settings {
@@ -122,26 +124,26 @@
 
 // A reservation whose names move to other counters, while limiters hear of it at different times, is not leased twice; also where
 // the former counter is lost in the middle of it.
-func TestAReservationIsNotLeasedTwiceAtAMove(t *testing.T) {
+func TestReservationIsNotLeasedTwiceWhenCountersChange(t *testing.T) {
 	const units = 200.0
 	for seed := range uint64(6) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		f := newFleet(3, oneTier(0.001, 1), plans.Reservation{ID: "r", Firm: 7, Units: units, From: time.Hour,
 			Until: 3 * time.Hour, Source: plans.File})
-		move := f.now + 5*time.Second
+		changeAt := f.now + 5*time.Second
 		for k := range 3 {
-			f.at(move+time.Duration(rng.Int64N(int64(10*time.Second))), func() {
+			f.at(changeAt+time.Duration(rng.Int64N(int64(10*time.Second))), func() {
 				f.post(k, core.Counters{Before: "a:1", Addresses: []string{"b:1", "c:1", "d:1"}})
 			})
 		}
 		if seed%2 == 1 {
-			f.at(move+11*time.Second, func() { f.lost["a:1"] = true })
+			f.at(changeAt+11*time.Second, func() { f.lost["a:1"] = true })
 		}
 		end := f.now + 70*time.Second
 		for at := f.now; at < end; at += 40 * time.Millisecond {
-			f.at(at, func() { f.ask(rng.IntN(3), 7, 3) })
+			f.at(at, func() { f.request(rng.IntN(3), 7, 3) })
 		}
-		f.play(end)
+		f.runUntil(end)
 		require.LessOrEqual(t, float64(f.admitted), units+3*2, "seed %d: and what the quota gives", seed)
 		require.Greater(t, float64(f.admitted), units/2, "seed %d: it is used", seed)
 	}
@@ -149,17 +151,17 @@
 
 // Where one firm floods its names fall where the hash has them, and where each request is of another firm nearly each wants a
 // call: in both cases the calls that a counter gets are bounded by the requests.
-func TestCallsAreBoundedOnEachCounter(t *testing.T) {
+func TestCallsPerCounterAreBounded(t *testing.T) {
 	for firms, counters := range map[uint64][]int{1: {1, 2, 8}, 5000: {1, 2, 8}} {
 		t.Run(fmt.Sprint(firms), func(t *testing.T) {
 			for _, n := range counters {
-				callsAreBounded(t, firms, n)
+				checkCallsAreBounded(t, firms, n)
 			}
 		})
 	}
 }
 
-func callsAreBounded(t *testing.T, firms uint64, counters int) {
+func checkCallsAreBounded(t *testing.T, firms uint64, counters int) {
 	const limiters = 20
 	f := newFleet(limiters, oneTier(20, 20))
 	var list []string
@@ -169,26 +171,26 @@
 	for k := range limiters {
 		f.post(k, core.Counters{Before: list[0], Addresses: list})
 	}
-	asked := 0
+	requests := 0
 	for at := f.now; at < time.Hour+10*time.Second; at += 2 * time.Millisecond {
-		f.at(at, func() { f.ask(asked%limiters, 7+uint64(asked)%firms, limiters); asked++ })
+		f.at(at, func() { f.request(requests%limiters, 7+uint64(requests)%firms, limiters); requests++ })
 	}
-	f.play(time.Hour + 11*time.Second)
+	f.runUntil(time.Hour + 11*time.Second)
 	for addr, calls := range f.calls {
-		most := 1.2*float64(asked)*min(1, 2/float64(counters)) + 8*limiters // and what was saved
+		most := 1.2*float64(requests)*min(1, 2/float64(counters)) + 8*limiters // and what was saved
 		require.LessOrEqual(t, float64(calls), most, "%s of %d", addr, counters)
 	}
-	t.Logf("%d counters: %d asked, calls %v", counters, asked, f.calls)
+	t.Logf("%d counters: %d asked, calls %v", counters, requests, f.calls)
 }
 
 // A process that starts with a list counts nothing that may stand under another one.
-func TestAStartWithAListWaitsUntilAllHaveIt(t *testing.T) {
+func TestStartWithCounterListWaitsOutSlack(t *testing.T) {
 	set := oneTier(20, 20)
 	set.Gateways = 20
 	r := core.New(set, 1, plans.New(set.Plans, plans.DefaultLimits))
 	r.Spread(time.Hour, []string{"a:1", "b:1"}, false)
 	calls := func(now time.Duration) (n int) {
-		effects := r.Reduce(now, core.RequestContext{Origin: nobody{}, Request: logic.Request{ID: uint64(now), Customer: 7, Units: 1, Spread: 20, TTL: time.Second, Admit: true}}, nil)
+		effects := r.Reduce(now, core.RequestContext{Origin: discardOrigin{}, Request: logic.Request{ID: uint64(now), Customer: 7, Units: 1, Spread: 20, TTL: time.Second, Admit: true}}, nil)
 		for _, e := range effects {
 			if _, ok := e.(core.Count); ok {
 				n++
--- a/internal/core/memory_test.go
+++ b/internal/core/memory_test.go
@@ -12,16 +12,16 @@
 	"bramblefall/logic"
 )
 
-type nobody struct{}
+type discardOrigin struct{}
 
-func (nobody) Served(any)             {}
-func (nobody) Admitted()              {}
-func (nobody) Rejected(time.Duration) {}
-func (nobody) Failed()                {}
+func (discardOrigin) Served(any)             {}
+func (discardOrigin) Admitted()              {}
+func (discardOrigin) Rejected(time.Duration) {}
+func (discardOrigin) Failed()                {}
 
 // Two hours with firms that are seen once, servers that are replaced, calls and tries that are lost: what is held at the
 // end of each half-hour is the same.
-func TestWhatIsHeldIsFlatOverHours(t *testing.T) {
+func TestMemoryStaysFlatOverTwoHours(t *testing.T) {
 	set := logic.Settings{Gateways: 4, Zones: 2, HasCounter: true, CounterLimit: 50 * time.Millisecond, MostUnits: 8, RetryAfter: true,
 		MaxRetryAfter: time.Second, MaxAttempts: 3, Cancelling: true, StartCapacity: 0.2, Cold: 10 * time.Second, Fall: 3 * time.Second,
 		FallMultiple: 2, DrainGrace: 250 * time.Millisecond,
@@ -32,72 +32,72 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	r := core.New(set, 1, plans.New(set.Plans, limits))
 	var sim model.Sim
-	const begun = 1000 * time.Hour // the reducer's clock is Unix time
-	sim.Run(begun)
+	const startTime = 1000 * time.Hour // the reducer's clock is Unix time
+	sim.Run(startTime)
 	var list []logic.Server
 	var sent, refused int
-	var take func(ev core.Event)
-	later := func(after time.Duration, ev core.Event) { sim.After(after, func() { take(ev) }) }
-	take = func(ev core.Event) {
+	var reduce func(ev core.Event)
+	postAfter := func(after time.Duration, ev core.Event) { sim.After(after, func() { reduce(ev) }) }
+	reduce = func(ev core.Event) {
 		for _, e := range r.Reduce(sim.Now(), ev, nil) {
-			some := time.Duration(rng.ExpFloat64() * float64(80*time.Millisecond))
+			latency := time.Duration(rng.ExpFloat64() * float64(80*time.Millisecond))
 			switch e := e.(type) {
 			case core.SetTimer:
-				later(e.At-sim.Now(), e.Timer)
+				postAfter(e.At-sim.Now(), e.Timer)
 			case core.Try:
 				if sent++; rng.IntN(20) == 0 { // lost: its time ends it
-					later(e.Wait, core.Outcome{Key: e.Key, Status: logic.Timeout})
+					postAfter(e.Wait, core.Outcome{Key: e.Key, Status: logic.Timeout})
 				} else {
-					later(some, core.Outcome{Key: e.Key, Status: logic.OK})
+					postAfter(latency, core.Outcome{Key: e.Key, Status: logic.OK})
 				}
 			case core.Abandon:
-				later(0, core.Outcome{Key: e.Key, Status: e.Reason})
+				postAfter(0, core.Outcome{Key: e.Key, Status: e.Reason})
 			case core.Count:
 				if rng.IntN(20) > 0 {
-					later(some/20, core.CountResult{Call: e.Call, Status: logic.OK, Total: e.Amount})
+					postAfter(latency/20, core.CountResult{Call: e.Call, Status: logic.OK, Total: e.Amount})
 				}
 			case core.Reject:
 				refused++
 			}
 		}
 	}
-	firm := uint64(1000)
+	lastNewFirm := uint64(1000)
 	var arrive func()
 	arrive = func() {
 		sim.After(time.Duration(rng.ExpFloat64()*float64(50*time.Millisecond)), arrive)
 		if rng.IntN(10) == 0 || len(list) == 0 { // one goes, one comes
-			var news []logic.Server
+			var update []logic.Server
 			if len(list) >= 12 {
 				gone := list[0]
 				gone.State, list = logic.Gone, list[1:]
-				news = append(news, gone)
+				update = append(update, gone)
 			}
 			s := logic.Server{ID: logic.ServerID(rng.Uint64()), State: logic.Ready, Zone: rng.IntN(2), Started: sim.Now()}
 			list = append(list, s)
-			take(core.UpstreamGroup{ServerList: logic.ServerList{Servers: append(news, s)}})
+			reduce(core.UpstreamGroup{ServerList: logic.ServerList{Servers: append(update, s)}})
 		}
-		asks := rng.Uint64N(100)
+		requester := rng.Uint64N(100)
 		if rng.IntN(4) == 0 {
-			firm++
-			asks = firm
+			lastNewFirm++
+			requester = lastNewFirm
 		}
 		class := rng.IntN(2)
-		take(core.RequestContext{Request: logic.Request{ID: rng.Uint64(), Class: class, Plan: int(asks % 2), Customer: asks,
-			TTL: set.Classes[class].Deadline, Units: float64(1 + rng.IntN(8)), Spread: 4}, Origin: nobody{}})
+		reduce(core.RequestContext{Request: logic.Request{ID: rng.Uint64(), Class: class, Plan: int(requester % 2), Customer: requester,
+			TTL: set.Classes[class].Deadline, Units: float64(1 + rng.IntN(8)), Spread: 4}, Origin: discardOrigin{}})
 	}
 	arrive()
-	var held [5]uint64
-	for quarter := 1; quarter <= 4; quarter++ {
-		sim.Run(begun + time.Duration(quarter)*30*time.Minute)
+	var heapBytes [5]uint64
+	for halfHour := 1; halfHour <= 4; halfHour++ {
+		sim.Run(startTime + time.Duration(halfHour)*30*time.Minute)
 		runtime.GC()
 		runtime.GC()
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
-		held[quarter] = m.HeapAlloc
-		t.Logf("after %d half-hours: %d bytes, %d sent, %d refused, %d open", quarter, m.HeapAlloc, sent, refused, r.Open())
+		heapBytes[halfHour] = m.HeapAlloc
+		t.Logf("after %d half-hours: %d bytes, %d sent, %d refused, %d open", halfHour, m.HeapAlloc, sent, refused, r.Open())
 		// Beside the 3% the wheel of firms may grow: a slot's room stays after its first firm, eight bytes in each of 8,192.
-		if quarter == 4 && float64(held[4]) > 1.03*float64(held[2])+8<<13 {
-			t.Errorf("%d bytes are held after two hours, %d after one", held[4], held[2])
+		if halfHour == 4 && float64(heapBytes[4]) > 1.03*float64(heapBytes[2])+8<<13 {
+			t.Errorf("%d bytes are held after two hours, %d after one", heapBytes[4], heapBytes[2])
 		}
 	}
 	if sent < 10000 || refused < 1000 {
--- a/internal/core/plans.go
+++ b/internal/core/plans.go
@@ -64,39 +64,39 @@
 	Requests uint64 `json:"requests"`
 }
 
-const mostTallied = 64
+const maxTalliedVersions = 64
 
-// Publish tells the fronts which tiers are in force (effect).
-type Publish struct {
+// PublishPlans tells the fronts which tiers are in force (effect).
+type PublishPlans struct {
 	Version uint64
 	Tiers   map[string]int
 	Plans   []logic.Plan
 }
 
-// Answered hands the reply of a question to who asked (effect).
-type Answered struct {
+// SendReply hands the reply of a question to who asked (effect).
+type SendReply struct {
 	To    func(Reply)
 	Reply Reply
 }
 
-// Store keeps the book where a state directory is named (effect). Who asked for the change is answered when it is kept.
-type Store struct {
-	Book plans.Snapshot
-	Then *Answered // nil: nobody asked
+// SavePlans keeps the book where a state directory is named (effect). Who asked for the change is answered when it is kept.
+type SavePlans struct {
+	Book    plans.Snapshot
+	OnSaved *SendReply // nil: nobody asked
 }
 
-// tendEvery is how often reservations in use are looked after.
-const tendEvery = 50 * time.Millisecond
+// reservationTickInterval is how often reservations in use are looked after.
+const reservationTickInterval = 50 * time.Millisecond
 
-// latest bounds a plan timer: one far ahead is set anew.
-const latest = time.Hour
+// maxPlanTimer bounds a plan timer: one far ahead is set anew.
+const maxPlanTimer = time.Hour
 
 func (t *Tally) count(version uint64) {
 	if n := len(t.Versions); n > 0 && t.Versions[n-1].Number == version {
 		t.Versions[n-1].Requests++
 		return
 	}
-	if len(t.Versions) >= mostTallied {
+	if len(t.Versions) >= maxTalliedVersions {
 		t.Versions = slices.Delete(t.Versions, 0, 1)
 	}
 	t.Versions = append(t.Versions, VersionTally{version, 1})
@@ -105,27 +105,27 @@
 // Begin brings into force what is due at the start and tells the fronts.
 func (r *Reducer) Begin(now time.Duration, effects []Effect) []Effect {
 	r.now, r.effects = max(r.now, now), effects
-	r.book.Advance(r.wall())
-	r.book.Turn(r.wall())
-	r.reserves.Set(r.book.Reservations())
-	r.publish()
-	r.alarm()
+	r.book.Advance(r.wallClock())
+	r.book.Turn(r.wallClock())
+	r.reservations.Set(r.book.Reservations())
+	r.publishPlans()
+	r.setPlanTimer()
 	if r.ring != nil {
-		r.counters()
+		r.announceCounters()
 	}
-	r.settle()
+	r.finishStep()
 	return r.effects
 }
 
-// ask answers a question; a change is taken whole or not at all.
-func (r *Reducer) ask(e Ask) {
-	reply := Reply{Now: r.wall()}
+// handleAsk answers a question; a change is taken whole or not at all.
+func (r *Reducer) handleAsk(e Ask) {
+	reply := Reply{Now: r.wallClock()}
 	changed := true
 	switch q := e.Question.(type) {
 	case Replace:
-		reply.Err = r.book.Replace(q.Source, q.Versions, q.Reservations, r.wall(), r.gateway.InUse(r.book.Tiers()))
+		reply.Err = r.book.Replace(q.Source, q.Versions, q.Reservations, r.wallClock(), r.gateway.InUse(r.book.Tiers()))
 	case Reread:
-		reply.Err = r.book.Reread(q.Tiers, r.wall(), r.gateway.InUse(r.book.Tiers()))
+		reply.Err = r.book.Reread(q.Tiers, r.wallClock(), r.gateway.InUse(r.book.Tiers()))
 	case Propose:
 		inUse := r.gateway.InUse(r.book.Tiers())
 		reply.Effects = plans.Diff(r.book.Current().Tiers, q.Version.Tiers, inUse)
@@ -133,92 +133,92 @@
 		if q.DryRun {
 			book, changed = r.book.Clone(), false
 		}
-		reply.Err = book.Propose(q.Version, r.wall(), inUse)
+		reply.Err = book.Propose(q.Version, r.wallClock(), inUse)
 	case Withdraw:
-		reply.Err = r.book.Withdraw(q.Number, r.wall())
+		reply.Err = r.book.Withdraw(q.Number, r.wallClock())
 	case Grant:
-		reply.Err = r.book.Grant(q.Reservation, r.wall())
+		reply.Err = r.book.Grant(q.Reservation, r.wallClock())
 	case Revoke:
-		reply.Err = r.book.Revoke(q.ID, r.wall())
+		reply.Err = r.book.Revoke(q.ID, r.wallClock())
 	case Show:
 		changed = false
 	}
 	changed = changed && reply.Err == nil
 	if changed {
-		r.turn()
+		r.advancePlans()
 	}
 	reply.Book, reply.Uses = r.book.Snapshot(), map[string]ReservationUse{}
 	reply.Tally.Versions = slices.Clone(r.tally.Versions)
 	for _, x := range reply.Book.Reservations {
-		if u, ok := r.reserves.Use(x.ID); ok {
+		if u, ok := r.reservations.Use(x.ID); ok {
 			reply.Uses[x.ID] = ReservationUse(u)
 		}
 	}
-	answered := Answered{e.Reply, reply}
+	sendReply := SendReply{e.Reply, reply}
 	if changed {
-		r.do(Store{reply.Book, &answered})
+		r.emit(SavePlans{reply.Book, &sendReply})
 		return
 	}
-	r.do(answered)
+	r.emit(sendReply)
 }
 
-// wall is the time by the wall clock.
-func (r *Reducer) wall() time.Duration { return r.now + r.ahead }
+// wallClock is the time by the wallClock clock.
+func (r *Reducer) wallClock() time.Duration { return r.now + r.wallClockAhead }
 
-// turn moves the book on with time: one moment for all that changes.
-func (r *Reducer) turn() {
-	if r.book.Advance(r.wall()) {
-		r.publish()
-		r.do(Store{Book: r.book.Snapshot()})
-		r.tell(logic.PlansChanged{})
+// advancePlans moves the book on with time: one moment for all that changes.
+func (r *Reducer) advancePlans() {
+	if r.book.Advance(r.wallClock()) {
+		r.publishPlans()
+		r.emit(SavePlans{Book: r.book.Snapshot()})
+		r.notify(logic.PlansChanged{})
 	}
-	r.book.Turn(r.wall())
-	r.reserves.Set(r.book.Reservations())
-	r.alarm()
+	r.book.Turn(r.wallClock())
+	r.reservations.Set(r.book.Reservations())
+	r.setPlanTimer()
 }
 
-func (r *Reducer) publish() {
-	r.do(Publish{r.book.Current().Number, r.book.Tiers(), r.book.Plans()})
+func (r *Reducer) publishPlans() {
+	r.emit(PublishPlans{r.book.Current().Number, r.book.Tiers(), r.book.Plans()})
 }
 
-// alarm sets a timer for the next version or reservation that is due, if none rings before.
-func (r *Reducer) alarm() {
+// setPlanTimer sets a timer for the next version or reservation that is due, if none rings before.
+func (r *Reducer) setPlanTimer() {
 	at, due := r.book.Next()
-	if turn, ok := r.book.NextTurn(); ok && (!due || turn < at) {
-		at, due = turn, true
+	if reservationAt, ok := r.book.NextTurn(); ok && (!due || reservationAt < at) {
+		at, due = reservationAt, true
 	}
 	if !due {
 		return
 	}
-	at = min(max(at-r.ahead, r.now+1), r.now+latest)
-	if r.planned == 0 || at < r.planned {
-		r.planned = at
-		r.do(SetTimer{at, Timer{kind: planTimer}})
+	at = min(max(at-r.wallClockAhead, r.now+1), r.now+maxPlanTimer)
+	if r.planTimerAt == 0 || at < r.planTimerAt {
+		r.planTimerAt = at
+		r.emit(SetTimer{at, Timer{kind: planTimer}})
 	}
 }
 
-// lease makes the calls that the reserves ask for, and looks again at the firms for which something has come, which may
+// serveReservations makes the calls that the reserves ask for, and looks again at the firms for which something has come, which may
 // ask for more.
-func (r *Reducer) lease() {
+func (r *Reducer) serveReservations() {
 	for {
-		calls, woken, spent := r.reserves.Calls(), r.reserves.Woken(), r.reserves.Spent()
+		calls, woken, spent := r.reservations.Calls(), r.reservations.Woken(), r.reservations.Spent()
 		if len(calls)+len(woken)+len(spent) == 0 {
 			break
 		}
 		for _, c := range calls {
-			r.call(&call{name: c.Name, amount: c.Amount, lives: c.Lives, at: r.now, until: r.now + c.Wait, lease: true, token: c.Token},
+			r.startCall(&call{name: c.Name, amount: c.Amount, ttl: c.Lives, startedAt: r.now, deadline: r.now + c.Wait, forReservation: true, reservationToken: c.Token},
 				c.Began, 0)
 		}
 		for _, id := range spent {
-			r.book.Spend(id, r.wall())
-			r.reserves.Set(r.book.Reservations())
+			r.book.Spend(id, r.wallClock())
+			r.reservations.Set(r.book.Reservations())
 		}
 		for _, firm := range woken {
-			r.tell(logic.Leased{Customer: firm})
+			r.notify(logic.Leased{Customer: firm})
 		}
 	}
-	if !r.tending && r.reserves.Active() {
-		r.tending = true
-		r.do(SetTimer{r.now + tendEvery, Timer{kind: reserveTimer}})
+	if !r.reservationTimerSet && r.reservations.Active() {
+		r.reservationTimerSet = true
+		r.emit(SetTimer{r.now + reservationTickInterval, Timer{kind: reservationTimer}})
 	}
 }
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -23,80 +23,80 @@
 	CloseIdle(logic.ServerID)
 }
 
-// Counter makes the calls to the counters. It may not block.
-type Counter interface {
+// CounterClient makes the calls to the counters. It may not block.
+type CounterClient interface {
 	Count(core.Count)
 	Reach(map[int]string)
 }
 
 // Keeper keeps the plan book. It may not block.
 type Keeper interface {
-	Keep(book plans.Snapshot, after func(error))
+	Save(book plans.Snapshot, after func(error))
 }
 
 // Loop is the owner of a reducer.
 type Loop struct {
-	reducer *core.Reducer
-	callers []Caller // by group
-	counter Counter
-	board   *plans.Board
-	keeper  Keeper // nil: nothing is kept
+	reducer   *core.Reducer
+	callers   []Caller // by group
+	counters  CounterClient
+	board     *plans.Board
+	planStore Keeper // nil: nothing is kept
 
-	ids  atomic.Uint64
-	open atomic.Int64
-	wake chan struct{}
+	lastID       atomic.Uint64
+	openRequests atomic.Int64
+	wake         chan struct{}
 
 	mu    sync.Mutex
 	inbox []core.Event
 
-	ahead   time.Duration // of the wall clock, as the reducer was told
-	timers  timers
-	effects []core.Effect
-	traced  bool // tries and outcomes are logged: off in service
+	wallClockAhead time.Duration // of the wall clock, as the reducer was told
+	timers         timers
+	effects        []core.Effect
+	traceTries     bool // tries and outcomes are logged: off in service
 }
 
 // New makes a loop; Run starts it once its parts are set.
 func New(r *core.Reducer) *Loop {
-	return &Loop{reducer: r, wake: make(chan struct{}, 1), traced: slog.Default().Enabled(context.Background(), slog.LevelDebug)}
+	return &Loop{reducer: r, wake: make(chan struct{}, 1), traceTries: slog.Default().Enabled(context.Background(), slog.LevelDebug)}
 }
 
 // Connect sets the parts that effects go to: the callers by group, the counter, the board that shows the
 // plans, and who keeps them (nil: nobody).
-func (l *Loop) Connect(callers []Caller, counter Counter, board *plans.Board, keeper Keeper) {
-	l.callers, l.counter, l.board, l.keeper = callers, counter, board, keeper
+func (l *Loop) Connect(callers []Caller, counter CounterClient, board *plans.Board, keeper Keeper) {
+	l.callers, l.counters, l.board, l.planStore = callers, counter, board, keeper
 }
 
 // Begin brings into force what is due before the first event. It is called before Run.
 func (l *Loop) Begin() {
 	l.effects = l.reducer.Begin(Now(), l.effects)
-	l.flush()
+	l.runEffects()
 }
 
 // ID is a new request context's.
-func (l *Loop) ID() uint64 { return l.ids.Add(1) }
+func (l *Loop) ID() uint64 { return l.lastID.Add(1) }
 
 // Open is how many request contexts are in hand.
-func (l *Loop) Open() int { return int(l.open.Load()) }
+func (l *Loop) Open() int { return int(l.openRequests.Load()) }
 
-var began = time.Now()
+var startTime = time.Now()
 
 // Now is the limiter's clock: Unix time at the start, moved on by the monotonic clock, so that a step of the wall clock changes
 // no deadline. The reducer is told of such steps: servers' starts are told by the wall clock, and limiters number their
 // intervals by it.
 func Now() time.Duration {
-	now, _ := clocks()
+	now, _ := readClocks()
 	return now
 }
 
-// clocks reads the limiter's clock and how far the wall clock is ahead of it, at one moment.
-func clocks() (now, ahead time.Duration) {
+// readClocks reads the limiter's clock and how far the wall clock is ahead of it, at one moment.
+func readClocks() (now, ahead time.Duration) {
 	at := time.Now()
-	now = time.Duration(began.UnixNano()) + at.Sub(began)
+	now = time.Duration(startTime.UnixNano()) + at.Sub(startTime)
 	return now, time.Duration(at.UnixNano()) - now
 }
 
-// leastStep is what the wall clock has to be off by: less, as where it is slewed, is made up for once it adds up to that.
-const leastStep = 50 * time.Millisecond
+// minClockStep is what the wall clock has to be off by: less, as where it is slewed, is made up for once it adds up to that.
+const minClockStep = 50 * time.Millisecond
 
 // Post hands in an event. The inbox holds at most a few for each request context, try and call in hand, and
 // those are bounded by the fronts.
@@ -119,14 +119,14 @@
 
 // Run owns the reducer until the context ends.
 func (l *Loop) Run(ctx context.Context) {
-	alarm := time.NewTimer(time.Hour)
-	defer alarm.Stop()
+	timer := time.NewTimer(time.Hour)
+	defer timer.Stop()
 	var batch []core.Event
 	for ctx.Err() == nil {
 		l.mu.Lock()
 		batch, l.inbox = l.inbox, batch[:0]
 		l.mu.Unlock()
-		l.turn(batch)
+		l.processBatch(batch)
 		clear(batch) // what the events point to must not live on in the spare slice
 		wait := time.Hour
 		if len(l.timers) > 0 {
@@ -135,25 +135,25 @@
 		if wait <= 0 {
 			continue
 		}
-		alarm.Reset(wait)
+		timer.Reset(wait)
 		select {
 		case <-l.wake:
-		case <-alarm.C:
+		case <-timer.C:
 		case <-ctx.Done():
 		}
 	}
 }
 
-// turn reduces a batch and the timers that are due, then runs the effects.
-func (l *Loop) turn(batch []core.Event) {
-	now, ahead := clocks()
-	if off := ahead - l.ahead; off.Abs() >= leastStep {
-		slog.Info("the wall clock has stepped", "by", off.Round(time.Millisecond))
-		l.ahead = ahead
+// processBatch reduces a batch and the timers that are due, then runs the effects.
+func (l *Loop) processBatch(batch []core.Event) {
+	now, ahead := readClocks()
+	if step := ahead - l.wallClockAhead; step.Abs() >= minClockStep {
+		slog.Info("the wall clock has stepped", "by", step.Round(time.Millisecond))
+		l.wallClockAhead = ahead
 		l.effects = l.reducer.Reduce(now, core.ClockStepped{Ahead: ahead}, l.effects)
 	}
 	for _, ev := range batch {
-		if o, ok := ev.(core.Outcome); ok && l.traced {
+		if o, ok := ev.(core.Outcome); ok && l.traceTries {
 			slog.Debug("outcome", "context", o.ID, "try", o.Try, "status", o.Status)
 		}
 		l.effects = l.reducer.Reduce(now, ev, l.effects)
@@ -162,25 +162,25 @@
 		due := heap.Pop(&l.timers).(core.SetTimer)
 		l.effects = l.reducer.Reduce(now, due.Timer, l.effects)
 	}
-	l.open.Store(int64(l.reducer.Open()))
-	l.flush()
+	l.openRequests.Store(int64(l.reducer.Open()))
+	l.runEffects()
 }
 
-// flush runs the effects that are asked for.
-func (l *Loop) flush() {
+// runEffects runs the effects that are asked for.
+func (l *Loop) runEffects() {
 	for k := range l.effects {
-		l.run(l.effects[k])
+		l.runEffect(l.effects[k])
 		l.effects[k] = nil
 	}
 	l.effects = l.effects[:0]
 }
 
-func (l *Loop) run(e core.Effect) {
+func (l *Loop) runEffect(e core.Effect) {
 	switch e := e.(type) {
 	case core.SetTimer:
 		heap.Push(&l.timers, e)
 	case core.Try:
-		if l.traced {
+		if l.traceTries {
 			slog.Debug("try", "context", e.ID, "try", e.Key.Try, "server", e.Server, "wait", e.Wait)
 		}
 		l.callers[e.Group].Try(e)
@@ -195,39 +195,39 @@
 	case core.Fail:
 		e.Origin.Failed()
 	case core.Count:
-		l.counter.Count(e)
+		l.counters.Count(e)
 	case core.Reach:
-		l.counter.Reach(e.Counters)
+		l.counters.Reach(e.Counters)
 		slog.Info("counters", "listed", e.Listed, "list", e.List, "reached", len(e.Counters))
 	case core.CloseIdle:
 		l.callers[e.Group].CloseIdle(e.Server)
-	case core.Publish:
+	case core.PublishPlans:
 		l.board.Show(plans.Sheet{Version: e.Version, Tiers: e.Tiers, Plans: e.Plans})
 		slog.Info("plans in force", "version", e.Version, "tiers", len(e.Tiers))
-	case core.Answered:
+	case core.SendReply:
 		e.To(e.Reply)
-	case core.Store:
-		l.store(e)
+	case core.SavePlans:
+		l.savePlans(e)
 	case core.Log:
 		slog.Info("module", "says", e.Text)
 	}
 }
 
-func (l *Loop) store(e core.Store) {
+func (l *Loop) savePlans(e core.SavePlans) {
 	answer := func(err error) {
-		if e.Then == nil {
+		if e.OnSaved == nil {
 			return
 		}
 		if err != nil {
-			e.Then.Reply.Err = fmt.Errorf("in force, but not kept for a restart: %w", err)
+			e.OnSaved.Reply.Err = fmt.Errorf("in force, but not kept for a restart: %w", err)
 		}
-		e.Then.To(e.Then.Reply)
+		e.OnSaved.To(e.OnSaved.Reply)
 	}
-	if l.keeper == nil {
+	if l.planStore == nil {
 		answer(nil)
 		return
 	}
-	l.keeper.Keep(e.Book, answer)
+	l.planStore.Save(e.Book, answer)
 }
 
 type timers []core.SetTimer
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -21,14 +21,14 @@
 )
 
 const (
-	fileName     = "plans.state"
-	beingWritten = ".new-*"
-	format       = "bramblefall-plans-1"
-
-	readLimit  = 2 * time.Second // for a file that cannot be read, at the start
-	readPause  = 50 * time.Millisecond
-	firstRetry = 100 * time.Millisecond // of a write that failed, doubled each time
-	lastRetry  = 5 * time.Second
+	fileName    = "plans.state"
+	tempPattern = ".new-*"
+	format      = "bramblefall-plans-1"
+
+	readTimeout       = 2 * time.Second // for a file that cannot be read, at the start
+	readRetryInterval = 50 * time.Millisecond
+	minBackoff        = 100 * time.Millisecond // of a write that failed, doubled each time
+	maxBackoff        = 5 * time.Second
 )
 
 // ErrDamaged says that the file's text does not match its checksum, or cannot be read.
@@ -38,12 +38,12 @@
 type Dir struct {
 	path string
 
-	news chan struct{} // something is to be kept
+	changed chan struct{} // something is to be kept
 
-	mu      sync.Mutex
-	latest  *plans.Snapshot // to be written; nil: none
-	after   []func(error)   // to be told when it is
-	writing bool            // a goroutine writes, or waits to try again
+	mu        sync.Mutex
+	pending   *plans.Snapshot // to be written; nil: none
+	callbacks []func(error)   // to be told when it is
+	writing   bool            // a goroutine writes, or waits to try again
 }
 
 // Open makes the directory if it is not there.
@@ -51,18 +51,18 @@
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, fmt.Errorf("state directory: %w", err)
 	}
-	d := &Dir{path: path, news: make(chan struct{}, 1)}
-	d.sweep()
+	d := &Dir{path: path, changed: make(chan struct{}, 1)}
+	d.removeTempFiles()
 	return d, nil
 }
 
-// sweep removes what a kill has left of files that were being written.
-func (d *Dir) sweep() {
-	left, err := filepath.Glob(filepath.Join(d.path, fileName+beingWritten))
+// removeTempFiles removes what a kill has left of files that were being written.
+func (d *Dir) removeTempFiles() {
+	tempFiles, err := filepath.Glob(filepath.Join(d.path, fileName+tempPattern))
 	if err != nil {
 		return
 	}
-	for _, path := range left {
+	for _, path := range tempFiles {
 		if err := os.Remove(path); err != nil {
 			slog.Warn("a file that was not written to its end stays", "err", err)
 		}
@@ -72,7 +72,7 @@
 // Load reads the book that was kept. found is false where there is none. A damaged file is set aside and told of.
 func (d *Dir) Load() (s plans.Snapshot, found bool, err error) {
 	path := filepath.Join(d.path, fileName)
-	raw, err := readAgain(path)
+	raw, err := readWithRetry(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return s, false, nil
 	}
@@ -83,15 +83,15 @@
 		return s, true, nil
 	}
 	aside := fmt.Sprintf("%s.damaged-%d", path, time.Now().UnixNano())
-	if move := os.Rename(path, aside); move != nil {
-		return s, false, fmt.Errorf("%s: %w, and cannot be set aside: %w", path, err, move)
+	if renameErr := os.Rename(path, aside); renameErr != nil {
+		return s, false, fmt.Errorf("%s: %w, and cannot be set aside: %w", path, err, renameErr)
 	}
 	return plans.Snapshot{}, false, fmt.Errorf("%s: %w; set aside as %s", path, err, filepath.Base(aside))
 }
 
-// readAgain reads a file, for a while also where that fails: a disk in trouble may have the plans all the same.
-func readAgain(path string) (raw []byte, err error) {
-	for until := time.Now().Add(readLimit); ; time.Sleep(readPause) {
+// readWithRetry reads a file, for a while also where that fails: a disk in trouble may have the plans all the same.
+func readWithRetry(path string) (raw []byte, err error) {
+	for until := time.Now().Add(readTimeout); ; time.Sleep(readRetryInterval) {
 		raw, err = os.ReadFile(path)
 		if err == nil || errors.Is(err, fs.ErrNotExist) || time.Now().After(until) {
 			return raw, err
@@ -118,69 +118,69 @@
 	return s, nil
 }
 
-// Keep writes the book in a goroutine of its own; of several that come meanwhile the last is written. It never waits.
+// Save writes the book in a goroutine of its own; of several that come meanwhile the last is written. It never waits.
 // after, if not nil, is told when this book or a later one is on the disk, or could not be written. What could not be written is
 // tried again until it is, or a later one.
-func (d *Dir) Keep(s plans.Snapshot, after func(error)) {
+func (d *Dir) Save(s plans.Snapshot, after func(error)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.latest = &s
+	d.pending = &s
 	select {
-	case d.news <- struct{}{}:
+	case d.changed <- struct{}{}:
 	default:
 	}
 	if after != nil {
-		d.after = append(d.after, after)
+		d.callbacks = append(d.callbacks, after)
 	}
 	if !d.writing {
 		d.writing = true
-		crash.Go(d.write)
+		crash.Go(d.writePending)
 	}
 }
 
-func (d *Dir) write() {
+func (d *Dir) writePending() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for pause := firstRetry; d.latest != nil; {
-		s, after := d.latest, d.after
-		d.after = nil
+	for backoff := minBackoff; d.pending != nil; {
+		s, callbacks := d.pending, d.callbacks
+		d.callbacks = nil
 		d.mu.Unlock()
-		err := d.replace(*s)
+		err := d.writeFile(*s)
 		if err != nil {
 			slog.Error("the plans cannot be kept, trying again", "err", err)
 		}
-		for _, tell := range after {
-			tell(err)
+		for _, callback := range callbacks {
+			callback(err)
 		}
 		if err != nil {
-			d.await(pause)
-			pause = min(2*pause, lastRetry)
+			d.awaitRetry(backoff)
+			backoff = min(2*backoff, maxBackoff)
 		}
 		d.mu.Lock()
 		if err == nil {
-			pause = firstRetry
-			if d.latest == s {
-				d.latest = nil
+			backoff = minBackoff
+			if d.pending == s {
+				d.pending = nil
 			}
 		}
 	}
 	d.writing = false
 }
 
-// await waits before a further try, for as long as nothing else is to be kept: who asks for that is answered at once.
-func (d *Dir) await(pause time.Duration) {
+// awaitRetry waits before a further try, for as long as nothing else is to be kept: who asks for that is answered at once.
+func (d *Dir) awaitRetry(backoff time.Duration) {
 	select {
-	case <-time.After(pause):
-	case <-d.news:
+	case <-time.After(backoff):
+	case <-d.changed:
 	}
 }
 
-func (d *Dir) replace(s plans.Snapshot) error {
+func (d *Dir) writeFile(s plans.Snapshot) error {
 	raw, err := encode(s)
 	if err != nil {
 		return err
 	}
-	f, err := os.CreateTemp(d.path, fileName+beingWritten)
+	f, err := os.CreateTemp(d.path, fileName+tempPattern)
 	if err != nil {
 		return err
 	}
