--- a/internal/core/closing_test.go
+++ b/internal/core/closing_test.go
@@ -11,8 +11,8 @@
 	"bramblefall/logic"
 )
 
-// After Closing each request context has its answer in the same step, and none is tried: its time may end after the
-// program's.
+// Closing answers each open request context in the same step. Request contexts that arrive later are answered at once and
+// never sent to a server, because their deadlines may lie beyond the end of the process.
 func TestClosingAnswersEveryRequest(t *testing.T) {
 	set := logic.Settings{Gateways: 1, Zones: 1, MaxAttempts: 3, Cancelling: true, DrainGrace: time.Second,
 		Classes: []logic.Class{{Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}},
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,5 +1,6 @@
-// Package core holds the reducer: the only place where the limiter's state changes. Events go in, effects come
-// out. It knows no wire, opens no socket and reads no clock; every decision is the module's in package logic.
+// Package core holds the reducer, the only place where the limiter's state changes. Events go in and effects come
+// out. The reducer knows no wire protocol, opens no socket and reads no clock. Every decision is made by the module in
+// package logic.
 package core
 
 import (
@@ -12,31 +13,35 @@
 	"bramblefall/logic"
 )
 
-// Origin is where a request context came from: the front that owes its client the one final answer.
+// Origin is the source of a request context: the front that owes the client exactly one final answer.
 type Origin interface {
-	Served(value any)             // what a server gave
-	Admitted()                    // an admission-only request context may go on
-	Rejected(after time.Duration) // a retry is harmless, after this time
-	Failed()                      // nothing is promised
+	// Served delivers a server's answer.
+	Served(value any)
+	// Admitted lets the client of an admission-only request context proceed.
+	Admitted()
+	// Rejected turns the client away. A retry after the given time is safe.
+	Rejected(after time.Duration)
+	// Failed ends the request context without a guarantee: it may or may not have run.
+	Failed()
 }
 
-// Key names a try: the request context and the number of the try.
+// Key identifies a try by its request context and its number within that request context.
 type Key struct {
 	ID  uint64
 	Try int
 }
 
-// Event is one of the types below that end in a comment "event".
+// Event is any of the types in this package whose doc comment is marked "(event)".
 type Event any
 
-// RequestContext is a request that a front has taken in (event).
+// RequestContext is a request that a front has accepted (event).
 type RequestContext struct {
 	logic.Request
 	Origin Origin
-	At     time.Duration // when its TTL began, by the reducer's clock; 0: now
+	At     time.Duration // when the TTL began, on the reducer's clock; 0 means now
 }
 
-// Outcome ends a try (event). There is exactly one for each Try effect.
+// Outcome ends a try (event). Each Try effect has exactly one.
 type Outcome struct {
 	Key
 	Status logic.Status
@@ -44,40 +49,43 @@
 	Load   []float64
 }
 
-// UpstreamGroup is news of the servers (event).
+// UpstreamGroup is an update to the servers of an upstream group (event).
 type UpstreamGroup struct{ logic.ServerList }
 
-// CountResult answers a Count effect (event).
+// CountResult is the result of a Count effect, which it identifies by Call (event).
 type CountResult struct {
 	Call   uint64
 	Status logic.Status
 	Total  float64
 }
 
-// ClientGone says that a request context's client no longer waits (event).
+// ClientGone reports that the client of a request context no longer waits for an answer (event).
 type ClientGone struct{ ID uint64 }
 
-// Closing says that the limiter is about to end: what is open is answered now, and what comes later at once (event).
+// Closing announces that the limiter is about to exit (event). Open request contexts are answered in this step; later
+// ones are answered as soon as they arrive.
 type Closing struct{}
 
-// ClockStepped says how far the wall clock is ahead of the reducer's from now on (event). At first it is not.
+// ClockStepped sets how far the wall clock is ahead of the reducer's clock from now on (event). Initially they agree.
 type ClockStepped struct{ Ahead time.Duration }
 
-// Effect is one of the types below that end in a comment "effect".
+// Effect is any of the types in this package whose doc comment is marked "(effect)".
 type Effect any
 
-// Try sends a request context on to a server (effect).
+// Try forwards a request context to a server (effect).
 type Try struct {
 	Key
 	Group  int
 	Server logic.ServerID
-	Wait   time.Duration
-	Ends   time.Duration // when Wait is over
-	Until  time.Duration // no byte of it may leave from then on: the try's time is over, or the window for its repeat
+	Wait   time.Duration // timeout of the try
+	Ends   time.Duration // deadline of the try: when Wait has elapsed
+	// Until is the time from which no byte of the try may be sent: its deadline, or the end of the window in which the
+	// request may be repeated, whichever comes first.
+	Until  time.Duration
 	Origin Origin
 }
 
-// Abandon ends the wait for a try (effect). Its outcome is Reason, or ConnectFailed where a time-out ends one that has no
+// Abandon stops waiting for a try (effect). The outcome is Reason, or ConnectFailed if a timeout ends a try that has no
 // connection yet.
 type Abandon struct {
 	Key
@@ -85,32 +93,32 @@
 	Reason logic.Status
 }
 
-// Answer gives the client what a server gave (effect).
+// Answer passes a server's answer to the client (effect).
 type Answer struct {
 	Origin Origin
 	Value  any
 }
 
-// Admit tells the caller to pass its traffic on itself (effect).
+// Admit tells the caller to forward its traffic itself (effect).
 type Admit struct{ Origin Origin }
 
 // Reject turns the client away (effect).
 type Reject struct {
 	Origin Origin
-	After  time.Duration
+	After  time.Duration // when a retry is welcome; 0 if none is named
 }
 
 // Fail ends a request context that may have run (effect).
 type Fail struct{ Origin Origin }
 
-// Count calls a counter, if that can be done before Until (effect).
+// Count adds Amount to a name on a counter, unless the call cannot be made before Until (effect).
 type Count struct {
 	Call    uint64
-	Counter int // 0: the platform's, unless a list names others
+	Counter int // number of the counter; 0 is the platform's own unless a list names others
 	Name    uint64
 	Amount  float64
-	Lives   time.Duration
-	Until   time.Duration
+	Lives   time.Duration // TTL of the name on the counter
+	Until   time.Duration // deadline of the call
 }
 
 // CloseIdle closes the idle connections to a server (effect).
@@ -119,19 +127,19 @@
 	Server logic.ServerID
 }
 
-// SetTimer asks for its Timer back as an event at the time At (effect).
+// SetTimer requests that its Timer be posted as an event at time At (effect).
 type SetTimer struct {
 	At    time.Duration
 	Timer Timer
 }
 
-// Log writes a line for the operators (effect).
+// Log writes a log line for the operators (effect).
 type Log struct{ Text string }
 
-// Timer is an alarm of the reducer's own (event).
+// Timer is a timer of the reducer that has fired (event).
 type Timer struct {
 	kind timerKind
-	key  Key // ID: also the token or the call
+	key  Key // identifies the try; for a module timer ID holds the token, for a count timer the number of the Count effect
 }
 
 type timerKind uint8
@@ -140,18 +148,18 @@
 	moduleTimer timerKind = iota
 	tryTimer
 	countTimer
-	planTimer        // a version or a reservation is due
-	reservationTimer // reservations in use are looked after
-	formerListTimer  // a former list of counters is over
+	planTimer        // a plan version or a reservation begins or ends
+	reservationTimer // periodic tick of the reservations in use
+	formerListTimer  // a former list of counters expires
 )
 
 type requestContext struct {
 	origin   Origin
 	group    int
 	deadline time.Duration
-	done     bool // the final answer is given, or nobody waits for it
+	done     bool // the final answer has been given, or the client no longer waits for it
 	tries    []tryState
-	inFlight int
+	inFlight int // number of tries without an outcome
 }
 
 type tryState struct {
@@ -160,31 +168,32 @@
 	inFlight bool
 }
 
-// Reducer owns all that the limiter knows. It is not safe for concurrent use: one goroutine owns it.
+// Reducer owns the whole state of the limiter. It is not safe for concurrent use: a single goroutine owns it.
 type Reducer struct {
 	settings            logic.Settings
 	gateway             *logic.Gateway
 	book                *plans.Book
 	reservations        *reserve.Manager
-	planTimerAt         time.Duration // when the earliest plan timer rings; 0: none is set
-	reservationTimerSet bool          // the reserve timer is set
+	planTimerAt         time.Duration // when the earliest plan timer fires; 0 if none is set
+	reservationTimerSet bool
 	tally               Tally
 	now                 time.Duration
-	wallClockAhead      time.Duration // of the wall clock, by which plans and reservations name their times
+	wallClockAhead      time.Duration // how far the wall clock, in which plans and reservations give times, is ahead of now
 	requests            map[uint64]*requestContext
-	ring                *sharding.Ring     // nil: there is one counter
-	formerListTimerAt   time.Duration      // when the list timer rings; 0: it is not set
-	partsInFlight       map[uint64]part    // by effect
-	unreported          map[uint64][]*call // calls of the module that it has not been told the answer to, by name, in their order
-	withoutCounter      []*call            // that no counter could be asked
+	ring                *sharding.Ring     // nil while there is a single counter
+	formerListTimerAt   time.Duration      // when the timer for former lists fires; 0 if it is not set
+	partsInFlight       map[uint64]part    // by the number of the Count effect
+	unreported          map[uint64][]*call // calls whose result the module has not received, by name, in the order in which they were made
+	withoutCounter      []*call            // calls for which no counter could be asked; they end within the step
 	groups              map[logic.ServerID]int
 	lastPartID          uint64
 	effects             []Effect
 	closing             bool
-	mootOutcomes        []logic.Outcome // of tries that could not be made, for the module's next turn
+	mootOutcomes        []logic.Outcome // outcomes of tries that were not started, reported to the module after its current event
 }
 
-// New makes a reducer round a module with these settings. The book's plans go before the settings'.
+// New returns a reducer and its module with the given settings. The book's plans take precedence over those in the
+// settings.
 func New(settings logic.Settings, seed uint64, book *plans.Book) *Reducer {
 	r := &Reducer{settings: settings, gateway: logic.New(settings, seed), requests: map[uint64]*requestContext{},
 		partsInFlight: map[uint64]part{}, unreported: map[uint64][]*call{}, groups: map[logic.ServerID]int{}, book: book,
@@ -193,19 +202,19 @@
 	return r
 }
 
-// Open is how many request contexts wait for their final answer or the outcome of a try.
+// Open returns the number of request contexts that wait for their final answer or for the outcome of a try.
 func (r *Reducer) Open() int { return len(r.requests) }
 
-// Reduce takes one event at time now and appends the effects that it asks for, in order.
+// Reduce processes one event at time now and appends the resulting effects in order.
 func (r *Reducer) Reduce(now time.Duration, ev Event, effects []Effect) []Effect {
 	r.now, r.effects = max(r.now, now), effects
 	switch e := ev.(type) {
 	case RequestContext:
-		if r.closing { // its time may end after the program's
+		if r.closing { // its deadline may lie beyond the end of the process
 			r.emit(Reject{e.Origin, Elsewhere(r.settings)})
 			break
 		}
-		if e.At > 0 { // guards against a time that begins anew where the inbox was long
+		if e.At > 0 { // without this, time spent in a long inbox would not count against the TTL
 			e.TTL -= max(0, r.now-e.At)
 		}
 		r.requests[e.ID] = &requestContext{origin: e.Origin, group: e.Group, deadline: r.now + e.TTL}
@@ -238,7 +247,8 @@
 	return r.effects
 }
 
-// finishStep does what a step has left over, until nothing is.
+// finishStep processes the work that an event leaves behind, until none remains: reservation calls, outcomes of tries that
+// were not started, and calls that reach no counter.
 func (r *Reducer) finishStep() {
 	r.serveReservations()
 	for len(r.mootOutcomes)+len(r.withoutCounter) > 0 {
@@ -254,9 +264,11 @@
 	}
 }
 
+// shutdownRetryAfter is short because another limiter accepts the retry.
 const shutdownRetryAfter = 10 * time.Millisecond
 
-// Elsewhere is when a client that a limiter at its end turns away may come again: soon, since another one takes it.
+// Elsewhere returns the retry-after time for clients that a limiter turns away while it shuts down. It is 0 if the
+// settings disable retry-after times.
 func Elsewhere(settings logic.Settings) time.Duration {
 	if !settings.RetryAfter {
 		return 0
@@ -264,7 +276,8 @@
 	return min(shutdownRetryAfter, settings.MaxRetryAfter)
 }
 
-// handleServerList keeps the groups of the servers that are handleServerList, and of no others: ids are never used again.
+// handleServerList records the group of each listed server and forgets servers that are no longer listed, whose ids are
+// never reused.
 func (r *Reducer) handleServerList(l logic.ServerList) {
 	if l.Whole && !l.Failed {
 		maps.DeleteFunc(r.groups, func(_ logic.ServerID, group int) bool { return group == l.Group })
@@ -282,7 +295,7 @@
 
 func (r *Reducer) emit(e Effect) { r.effects = append(r.effects, e) }
 
-// notify hands an event to the module and turns its actions into effects.
+// notify passes an event to the module and translates the module's actions into effects.
 func (r *Reducer) notify(ev logic.Event) {
 	for _, a := range r.gateway.Handle(r.now, ev) {
 		switch a := a.(type) {
@@ -310,10 +323,10 @@
 			r.startCount(a)
 		case logic.CloseIdle:
 			r.emit(CloseIdle{r.groups[a.Server], a.Server})
-		case logic.Watch, logic.FetchList: // the watch is always on: where it ends, discovery's client begins the next
+		case logic.Watch, logic.FetchList: // ignored: the discovery client always watches and starts a new watch when one ends
 		case logic.Log:
 			r.emit(Log{a.Text})
-		case logic.Tell: // limiters cannot talk to each other on sockets: the same as a message lost
+		case logic.Tell: // dropped: limiters have no connections to each other, so it is like a lost message
 		}
 	}
 }
@@ -327,7 +340,7 @@
 	if a.Timeout != 0 {
 		timeout = min(timeout, a.Timeout)
 	}
-	// Guards against a try for a request that is over, or too many: like the simulator's, it is not made.
+	// A try for a request that is done or out of time, or one too many, is not started. The simulator does the same.
 	if q.done || timeout <= 0 || r.settings.MaxAttempts > 0 && n >= r.settings.MaxAttempts {
 		r.mootOutcomes = append(r.mootOutcomes, logic.Outcome{ID: a.ID, Attempt: n, Server: a.Server, Status: logic.Moot, Closed: q.done})
 		q.tries = append(q.tries, tryState{server: a.Server, sentAt: r.now})
@@ -342,7 +355,8 @@
 	r.emit(SetTimer{r.now + timeout, Timer{tryTimer, Key{a.ID, n}}})
 }
 
-// markDone marks the final answer; nil if it was given before: a second one must never leave.
+// markDone records that the final answer is being given. It returns nil if one was given before, since a client must never
+// receive a second.
 func (r *Reducer) markDone(id uint64) *requestContext {
 	q := r.requests[id]
 	if q == nil || q.done {
@@ -353,7 +367,7 @@
 	return q
 }
 
-// release forgets a request context that is over and has no try out.
+// release forgets a request context that is done and has no try in flight.
 func (r *Reducer) release(id uint64, q *requestContext) {
 	if q.done && q.inFlight == 0 {
 		delete(r.requests, id)
@@ -377,7 +391,7 @@
 		Closed: done, Load: e.Load})
 }
 
-// handleClientGone ends the tries, too: nobody waits for what they would bring.
+// handleClientGone also abandons the tries in flight, since nobody waits for their answers.
 func (r *Reducer) handleClientGone(id uint64) {
 	q := r.requests[id]
 	if q == nil || q.done {
--- a/internal/core/count_test.go
+++ b/internal/core/count_test.go
@@ -11,8 +11,9 @@
 	"bramblefall/logic"
 )
 
-// After a move of the counter the answer to a later call for a name may come before that to an earlier one, on another
-// connection. Each request has the word on its own call, and a second answer to a call is none.
+// Guards against swapped results: after the counter has moved, the answer to a later call for a name may arrive, on the new
+// connection, before the answer to an earlier call. Each request must receive the result of its own call, and a second
+// answer to a call must be ignored.
 func TestOutOfOrderCounterAnswersAreNotSwapped(t *testing.T) {
 	set := logic.Settings{Gateways: 200, Zones: 1, MaxAttempts: 3, HasCounter: true, CounterLimit: 30 * time.Millisecond, MostUnits: 1,
 		Classes: []logic.Class{{Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}},
@@ -39,7 +40,7 @@
 	require.Equal(t, counts[0].Name, counts[1].Name)
 	reduce(core.CountResult{Call: counts[1].Call, Status: logic.OK, Total: 1000}) // over the quota
 	reduce(core.CountResult{Call: counts[1].Call, Status: logic.OK, Total: 1})
-	require.Empty(t, tried, "neither answer is the first request's")
+	require.Empty(t, tried, "both answers are to the second request's call")
 	reduce(core.CountResult{Call: counts[0].Call, Status: logic.OK, Total: 1})
 	require.Equal(t, []uint64{1}, tried)
 }
--- a/internal/core/counters.go
+++ b/internal/core/counters.go
@@ -9,44 +9,45 @@
 	"bramblefall/logic"
 )
 
-// Counters says which counters names are dealt out to from now on (event).
+// Counters sets the counters over which names are sharded from now on (event).
 type Counters struct {
-	Before    string // the one, number 0, that there has been if no list was taken until now
+	Before    string // address of the single counter, number 0, that was in use if this is the first list
 	Addresses []string
 }
 
-// Reach tells which counters may be called (effect): addresses by number, those of former lists among them.
+// Reach sets which counters may be called (effect).
 type Reach struct {
-	Counters map[int]string
-	Listed   int    // on the newest list
-	List     string // its fingerprint
+	Counters map[int]string // addresses by number, including those of former lists
+	Listed   int            // number of counters on the newest list
+	List     string         // fingerprint of the newest list
 }
 
-// call is a call for a name: one effect for each counter that it goes to, and one answer.
+// call adds to a name. It has one Count effect for each counter that holds the name, and a single result.
 type call struct {
 	name                uint64
 	amount              float64
 	ttl                 time.Duration
 	startedAt, deadline time.Duration
-	forReservation      bool   // of the reserves
-	reservationToken    uint64 // theirs
+	forReservation      bool   // made for the reservation manager, not for the module
+	reservationToken    uint64 // identifies the call to the reservation manager
 	targets             sharding.Targets
 	parts               []logic.CountPart
 	answers             []sharding.Answer
-	inFlight            int // parts without an answer
+	inFlight            int // number of parts without a result
 	done                bool
-	singleCounter       bool // there is one counter
+	singleCounter       bool // there was no list of counters when the call was made
 	result              logic.CountResult
 }
 
-// part is one effect of a call.
+// part is one Count effect of a call.
 type part struct {
 	call  *call
-	index int
+	index int // into the call's parts
 }
 
-// Spread has names dealt out to several counters from the start on. It is called before Begin. A process that starts in service
-// cannot know whether the list has just changed.
+// Spread shards names over several counters from the start. It must be called before Begin. settled says that the list has
+// been in force for long. A process that starts in service passes false, since it cannot know whether the list has just
+// changed.
 func (r *Reducer) Spread(now time.Duration, addresses []string, settled bool) {
 	if r.ring = sharding.Start(now, addresses); settled {
 		r.ring = sharding.New(addresses)
@@ -54,7 +55,7 @@
 	r.gateway.Spread(r.ring)
 }
 
-// handleCounters takes a list of counters.
+// handleCounters takes a new list of counters into use.
 func (r *Reducer) handleCounters(e Counters) {
 	if r.ring == nil {
 		r.ring = sharding.New([]string{e.Before})
@@ -65,7 +66,7 @@
 	}
 }
 
-// announceCounters tells everybody of the list.
+// announceCounters reports the list of counters to the loop and to the module, and sets the timer for former lists.
 func (r *Reducer) announceCounters() {
 	all := r.ring.Addresses()
 	r.emit(Reach{all, r.ring.Len(), r.ring.Fingerprint()})
@@ -76,7 +77,7 @@
 	}
 }
 
-// dropFormerLists forgets former lists that are over.
+// dropFormerLists forgets the former lists that have expired.
 func (r *Reducer) dropFormerLists() {
 	if r.ring.Advance(r.now) {
 		r.announceCounters()
@@ -91,7 +92,7 @@
 		a.Began, a.Spared)
 }
 
-// startCall makes a startCall at the counters of its name, but for those that are spared.
+// startCall calls the counters that hold the name, except those whose bit in spared is set.
 func (r *Reducer) startCall(c *call, began time.Duration, spared uint8) {
 	if c.targets = (sharding.Targets{To: []int{0}}); r.ring != nil {
 		c.targets = r.ring.Of(r.now, c.name, began)
@@ -116,7 +117,8 @@
 	}
 }
 
-// handleCountResult takes the first word on a part of a call: an answer that comes after its time-out changes nothing.
+// handleCountResult records the result of one part of a call. Only the first result counts: an answer that arrives after
+// the timeout is ignored.
 func (r *Reducer) handleCountResult(e CountResult) {
 	p, ok := r.partsInFlight[e.Call]
 	if !ok {
@@ -131,8 +133,9 @@
 	}
 }
 
-// finishCall tells the one answer to a call. The module is told in the order of the calls for a name, which is how it knows them
-// apart: after a move, the answer on the new connection may come before one that is due on the old.
+// finishCall computes the result of a call and reports it. The module receives results in the order of the calls for a
+// name, which is how it tells them apart. After a counter has moved, the answer on the new connection may arrive before
+// an earlier one that is still due on the old connection.
 func (r *Reducer) finishCall(c *call) {
 	c.done = true
 	c.result = logic.CountResult{Name: c.name, Status: c.combinedStatus(), Latency: r.now - c.startedAt}
@@ -148,7 +151,7 @@
 			c.result.Status = logic.Timeout
 		}
 	default:
-		c.result.Parts = []logic.CountPart{} // nobody is to blame
+		c.result.Parts = []logic.CountPart{} // not nil: no counter was called, so none is at fault
 	}
 	if c.forReservation {
 		r.reservations.Counted(r.now, c.reservationToken, c.result.Status, c.result.Total)
@@ -163,7 +166,8 @@
 	}
 }
 
-// combinedStatus is the word on a call as a whole where its total is not known: that nothing was added only if that holds everywhere.
+// combinedStatus returns the status of a call whose total is not known. It says that nothing was added only if that holds
+// on every counter that was called.
 func (c *call) combinedStatus() logic.Status {
 	notAdded := logic.ConnectFailed
 	for _, p := range c.parts {
--- a/internal/core/counters_test.go
+++ b/internal/core/counters_test.go
@@ -15,7 +15,7 @@
 	"bramblefall/logic"
 )
 
-// fleet is some reducers and the counters that they call, in virtual time. A call takes a millisecond each way.
+// fleet simulates several reducers and the counters that they call, in virtual time. A call takes one millisecond each way.
 type fleet struct {
 	now           time.Duration
 	limiters      []*core.Reducer
@@ -90,7 +90,7 @@
 	}
 }
 
-// runUntil goes on until a time.
+// runUntil runs the scheduled calls up to a time.
 func (f *fleet) runUntil(to time.Duration) {
 	for {
 		next := -1
@@ -110,7 +110,7 @@
 	}
 }
 
-// request has a firm request a limiter for a unit.
+// request sends a firm's admission-only request for one unit to limiter k.
 func (f *fleet) request(k int, firm uint64, spread int) {
 	f.lastRequestID++
 	f.post(k, core.RequestContext{Origin: countingOrigin{f: f}, Request: logic.Request{ID: f.lastRequestID, Customer: firm, Units: 1, Spread: spread, TTL: time.Second, Admit: true}})
@@ -122,8 +122,8 @@
 		Plans:   []logic.Plan{{Name: "regular", Rate: rate, Burst: burst, Price: 1}}}
 }
 
-// A reservation whose names move to other counters, while limiters hear of it at different times, is not leased twice; also where
-// the former counter is lost in the middle of it.
+// A reservation must not be leased twice when its names move to other counters and limiters learn of the new list at
+// different times. With odd seeds the former counter is also lost during the change.
 func TestReservationIsNotLeasedTwiceWhenCountersChange(t *testing.T) {
 	const units = 200.0
 	for seed := range uint64(6) {
@@ -144,13 +144,13 @@
 			f.at(at, func() { f.request(rng.IntN(3), 7, 3) })
 		}
 		f.runUntil(end)
-		require.LessOrEqual(t, float64(f.admitted), units+3*2, "seed %d: and what the quota gives", seed)
-		require.Greater(t, float64(f.admitted), units/2, "seed %d: it is used", seed)
+		require.LessOrEqual(t, float64(f.admitted), units+3*2, "seed %d: at most the reservation and what the quota admits", seed)
+		require.Greater(t, float64(f.admitted), units/2, "seed %d: more than half of the reservation is used", seed)
 	}
 }
 
-// Where one firm floods its names fall where the hash has them, and where each request is of another firm nearly each wants a
-// call: in both cases the calls that a counter gets are bounded by the requests.
+// Guards against calls to one counter that outgrow the requests in two extreme cases: one flooding firm, whose few names fall
+// wherever the hash puts them, and a different firm for each request, of which nearly each needs a call.
 func TestCallsPerCounterAreBounded(t *testing.T) {
 	for firms, counters := range map[uint64][]int{1: {1, 2, 8}, 5000: {1, 2, 8}} {
 		t.Run(fmt.Sprint(firms), func(t *testing.T) {
@@ -177,13 +177,15 @@
 	}
 	f.runUntil(time.Hour + 11*time.Second)
 	for addr, calls := range f.calls {
-		most := 1.2*float64(requests)*min(1, 2/float64(counters)) + 8*limiters // and what was saved
-		require.LessOrEqual(t, float64(calls), most, "%s of %d", addr, counters)
+		// The module's call budget: 1.2 calls a request, spread over the counters, and 8 calls that each limiter may save up.
+		most := 1.2*float64(requests)*min(1, 2/float64(counters)) + 8*limiters
+		require.LessOrEqual(t, float64(calls), most, "calls to %s, one of %d counters", addr, counters)
 	}
-	t.Logf("%d counters: %d asked, calls %v", counters, requests, f.calls)
+	t.Logf("%d counters: %d requests, calls by counter %v", counters, requests, f.calls)
 }
 
-// A process that starts with a list counts nothing that may stand under another one.
+// A process that starts with a list of counters cannot know whether the list has just changed. Until sharding.Slack has
+// passed it must not count under names that other limiters may still count on the counters of another list.
 func TestStartWithCounterListWaitsOutSlack(t *testing.T) {
 	set := oneTier(20, 20)
 	set.Gateways = 20
@@ -202,7 +204,7 @@
 	require.Zero(t, calls(time.Hour+time.Second))
 	later := time.Hour + sharding.Slack + 5*time.Second
 	n := 0
-	for k := range 50 { // some are thinned by chance
+	for k := range 50 { // the module omits some calls at random
 		n += calls(later + time.Duration(k)*20*time.Millisecond)
 	}
 	require.Positive(t, n)
--- a/internal/core/memory_test.go
+++ b/internal/core/memory_test.go
@@ -19,8 +19,8 @@
 func (discardOrigin) Rejected(time.Duration) {}
 func (discardOrigin) Failed()                {}
 
-// Two hours with firms that are seen once, servers that are replaced, calls and tries that are lost: what is held at the
-// end of each half-hour is the same.
+// Guards against leaks: over two simulated hours with firms that are seen once, servers that are replaced, and lost counter
+// calls and tries, the heap must not grow from the end of the first hour to the end of the second.
 func TestMemoryStaysFlatOverTwoHours(t *testing.T) {
 	set := logic.Settings{Gateways: 4, Zones: 2, HasCounter: true, CounterLimit: 50 * time.Millisecond, MostUnits: 8, RetryAfter: true,
 		MaxRetryAfter: time.Second, MaxAttempts: 3, Cancelling: true, StartCapacity: 0.2, Cold: 10 * time.Second, Fall: 3 * time.Second,
@@ -45,7 +45,7 @@
 			case core.SetTimer:
 				postAfter(e.At-sim.Now(), e.Timer)
 			case core.Try:
-				if sent++; rng.IntN(20) == 0 { // lost: its time ends it
+				if sent++; rng.IntN(20) == 0 { // lost: the try times out
 					postAfter(e.Wait, core.Outcome{Key: e.Key, Status: logic.Timeout})
 				} else {
 					postAfter(latency, core.Outcome{Key: e.Key, Status: logic.OK})
@@ -65,7 +65,7 @@
 	var arrive func()
 	arrive = func() {
 		sim.After(time.Duration(rng.ExpFloat64()*float64(50*time.Millisecond)), arrive)
-		if rng.IntN(10) == 0 || len(list) == 0 { // one goes, one comes
+		if rng.IntN(10) == 0 || len(list) == 0 { // one server goes once there are twelve, and one comes
 			var update []logic.Server
 			if len(list) >= 12 {
 				gone := list[0]
@@ -95,12 +95,13 @@
 		runtime.ReadMemStats(&m)
 		heapBytes[halfHour] = m.HeapAlloc
 		t.Logf("after %d half-hours: %d bytes, %d sent, %d refused, %d open", halfHour, m.HeapAlloc, sent, refused, r.Open())
-		// Beside the 3% the wheel of firms may grow: a slot's room stays after its first firm, eight bytes in each of 8,192.
+		// In addition to 3% the timing wheel of firms may grow: a slot keeps the memory of its first firm, 8 bytes in each of
+		// 8,192 slots.
 		if halfHour == 4 && float64(heapBytes[4]) > 1.03*float64(heapBytes[2])+8<<13 {
-			t.Errorf("%d bytes are held after two hours, %d after one", heapBytes[4], heapBytes[2])
+			t.Errorf("heap holds %d bytes after two hours, want at most 3%% and 64 KiB above the %d bytes after one hour", heapBytes[4], heapBytes[2])
 		}
 	}
 	if sent < 10000 || refused < 1000 {
-		t.Errorf("%d sent, %d refused: this shows little", sent, refused)
+		t.Errorf("load too low to show a leak: got %d tries and %d rejections, want at least 10000 and 1000", sent, refused)
 	}
 }
--- a/internal/core/plans.go
+++ b/internal/core/plans.go
@@ -8,57 +8,58 @@
 	"bramblefall/logic"
 )
 
-// Ask puts a question to the plan book, or a change (event). The answer is a Reply effect.
+// Ask queries or changes the plan book (event). It is answered by a SendReply effect.
 type Ask struct {
-	Question any         // one of the types below
-	Reply    func(Reply) // is called in the loop's goroutine and must not block
+	Question any         // a Replace, Reread, Propose, Withdraw, Grant, Revoke or Show
+	Reply    func(Reply) // called in the loop's goroutine; must not block
 }
 
-// Replace is a question: take all versions and reservations that a source names now.
+// Replace is a question that replaces all versions and reservations from a source.
 type Replace struct {
 	Source       plans.Source
 	Versions     []plans.Version
 	Reservations []plans.Reservation
 }
 
-// Reread is a question: take the tiers of the platform's configuration, read again.
+// Reread is a question that takes the tiers from the platform's configuration after it was read again.
 type Reread struct{ Tiers []logic.Plan }
 
-// Propose is a question: take one version, or only tell what it would change.
+// Propose is a question that adds one version or, with DryRun, only reports what the version would change.
 type Propose struct {
 	Version plans.Version
 	DryRun  bool
 }
 
-// Withdraw is a question: take back a version to come.
+// Withdraw is a question that withdraws a pending version.
 type Withdraw struct{ Number uint64 }
 
-// Grant is a question: take a reservation.
+// Grant is a question that adds a reservation.
 type Grant struct{ Reservation plans.Reservation }
 
-// Revoke is a question: end a reservation.
+// Revoke is a question that ends a reservation.
 type Revoke struct{ ID string }
 
-// Show is a question: tell what stands.
+// Show is a question that changes nothing and returns the plan book.
 type Show struct{}
 
 // Reply answers an Ask.
 type Reply struct {
 	Err     error
-	Effects []plans.Effect // of a proposal
+	Effects []plans.Effect // what a proposed version changes or would change
 	Book    plans.Snapshot
-	Uses    map[string]ReservationUse // by the reservation's id
+	Uses    map[string]ReservationUse // by reservation id
 	Tally   Tally
-	Now     time.Duration
+	Now     time.Duration // wall-clock time of the reply
 }
 
-// ReservationUse is what this limiter knows of a reservation's use.
+// ReservationUse is what this limiter knows of the use of a reservation, in units: Used by this limiter, in Hand here
+// (leased and not yet used), and Leased by all limiters.
 type ReservationUse struct{ Used, Hand, Leased float64 }
 
-// Tally counts request contexts by the plan version that governed them: the newest few versions.
+// Tally counts request contexts by the plan version that governed them. It keeps the newest maxTalliedVersions versions.
 type Tally struct{ Versions []VersionTally }
 
-// VersionTally is one version's.
+// VersionTally is the number of request contexts that one version governed.
 type VersionTally struct {
 	Number   uint64 `json:"number"`
 	Requests uint64 `json:"requests"`
@@ -73,22 +74,23 @@
 	Plans   []logic.Plan
 }
 
-// SendReply hands the reply of a question to who asked (effect).
+// SendReply passes the reply to a question to its sender (effect).
 type SendReply struct {
 	To    func(Reply)
 	Reply Reply
 }
 
-// SavePlans keeps the book where a state directory is named (effect). Who asked for the change is answered when it is kept.
+// SavePlans saves the book if a state directory is configured (effect). The sender of the change is answered once the book
+// has been saved.
 type SavePlans struct {
 	Book    plans.Snapshot
-	OnSaved *SendReply // nil: nobody asked
+	OnSaved *SendReply // nil if the change was not requested by a question
 }
 
-// reservationTickInterval is how often reservations in use are looked after.
+// reservationTickInterval is the interval at which reservations in use are checked.
 const reservationTickInterval = 50 * time.Millisecond
 
-// maxPlanTimer bounds a plan timer: one far ahead is set anew.
+// maxPlanTimer bounds how far ahead a plan timer is set. A timer for a later time is set again when it fires.
 const maxPlanTimer = time.Hour
 
 func (t *Tally) count(version uint64) {
@@ -102,7 +104,8 @@
 	t.Versions = append(t.Versions, VersionTally{version, 1})
 }
 
-// Begin brings into force what is due at the start and tells the fronts.
+// Begin brings into force the plans and reservations that are due at the start and publishes them to the fronts. It is called
+// before the first event.
 func (r *Reducer) Begin(now time.Duration, effects []Effect) []Effect {
 	r.now, r.effects = max(r.now, now), effects
 	r.book.Advance(r.wallClock())
@@ -117,7 +120,7 @@
 	return r.effects
 }
 
-// handleAsk answers a question; a change is taken whole or not at all.
+// handleAsk answers a question. A change is applied completely or not at all.
 func (r *Reducer) handleAsk(e Ask) {
 	reply := Reply{Now: r.wallClock()}
 	changed := true
@@ -162,10 +165,10 @@
 	r.emit(sendReply)
 }
 
-// wallClock is the time by the wallClock clock.
+// wallClock returns the current time on the wall clock.
 func (r *Reducer) wallClock() time.Duration { return r.now + r.wallClockAhead }
 
-// advancePlans moves the book on with time: one moment for all that changes.
+// advancePlans brings into force what is due by now, so that everything that changes in a step changes at one moment.
 func (r *Reducer) advancePlans() {
 	if r.book.Advance(r.wallClock()) {
 		r.publishPlans()
@@ -181,7 +184,7 @@
 	r.emit(PublishPlans{r.book.Current().Number, r.book.Tiers(), r.book.Plans()})
 }
 
-// setPlanTimer sets a timer for the next version or reservation that is due, if none rings before.
+// setPlanTimer sets a timer for the next version or reservation that is due, unless an earlier plan timer is set.
 func (r *Reducer) setPlanTimer() {
 	at, due := r.book.Next()
 	if reservationAt, ok := r.book.NextTurn(); ok && (!due || reservationAt < at) {
@@ -197,8 +200,9 @@
 	}
 }
 
-// serveReservations makes the calls that the reserves ask for, and looks again at the firms for which something has come, which may
-// ask for more.
+// serveReservations makes the calls that the reservation manager requests, records the reservations that are used up, and has
+// the module look again at the firms for which leased units have arrived or whose reservation is gone. Those may request
+// more calls, so it repeats until nothing is left.
 func (r *Reducer) serveReservations() {
 	for {
 		calls, woken, spent := r.reservations.Calls(), r.reservations.Woken(), r.reservations.Spent()
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -1,5 +1,5 @@
-// Package loop holds the one goroutine that owns the reducer. The reducer reads no clock and runs no effect, so
-// this package does: it drains events in batches, keeps the timers and hands out the effects after each batch.
+// Package loop runs the single goroutine that owns the reducer. The reducer reads no clock and runs no effects, so this
+// package does: it processes events in batches, keeps the timers, and runs the effects after each batch.
 package loop
 
 import (
@@ -23,24 +23,26 @@
 	CloseIdle(logic.ServerID)
 }
 
-// CounterClient makes the calls to the counters. It may not block.
+// CounterClient makes the calls to the counters. Its methods must not block.
 type CounterClient interface {
 	Count(core.Count)
+	// Reach sets the addresses of the counters that may be called, by number.
 	Reach(map[int]string)
 }
 
-// Keeper keeps the plan book. It may not block.
+// Keeper saves the plan book for a restart. It must not block.
 type Keeper interface {
+	// Save calls after with the result once the book has been saved or could not be.
 	Save(book plans.Snapshot, after func(error))
 }
 
-// Loop is the owner of a reducer.
+// Loop owns a reducer.
 type Loop struct {
 	reducer   *core.Reducer
 	callers   []Caller // by group
 	counters  CounterClient
 	board     *plans.Board
-	planStore Keeper // nil: nothing is kept
+	planStore Keeper // nil if the plan book is not saved
 
 	lastID       atomic.Uint64
 	openRequests atomic.Int64
@@ -49,57 +51,58 @@
 	mu    sync.Mutex
 	inbox []core.Event
 
-	wallClockAhead time.Duration // of the wall clock, as the reducer was told
+	wallClockAhead time.Duration // how far the wall clock is ahead of Now, as last reported to the reducer
 	timers         timers
 	effects        []core.Effect
-	traceTries     bool // tries and outcomes are logged: off in service
+	traceTries     bool // whether to log tries and outcomes at debug level; off in service
 }
 
-// New makes a loop; Run starts it once its parts are set.
+// New returns a loop for a reducer. Connect and Begin must be called before Run.
 func New(r *core.Reducer) *Loop {
 	return &Loop{reducer: r, wake: make(chan struct{}, 1), traceTries: slog.Default().Enabled(context.Background(), slog.LevelDebug)}
 }
 
-// Connect sets the parts that effects go to: the callers by group, the counter, the board that shows the
-// plans, and who keeps them (nil: nobody).
-func (l *Loop) Connect(callers []Caller, counter CounterClient, board *plans.Board, keeper Keeper) {
-	l.callers, l.counters, l.board, l.planStore = callers, counter, board, keeper
+// Connect sets where effects are carried out: the callers by group, the client of the counters, the board that shows the
+// plans to the fronts, and the store that saves the plan book (nil if it is not saved).
+func (l *Loop) Connect(callers []Caller, counters CounterClient, board *plans.Board, planStore Keeper) {
+	l.callers, l.counters, l.board, l.planStore = callers, counters, board, planStore
 }
 
-// Begin brings into force what is due before the first event. It is called before Run.
+// Begin brings into force the plans and reservations that are due before the first event. It must be called before Run.
 func (l *Loop) Begin() {
 	l.effects = l.reducer.Begin(Now(), l.effects)
 	l.runEffects()
 }
 
-// ID is a new request context's.
+// ID returns an id for a new request context.
 func (l *Loop) ID() uint64 { return l.lastID.Add(1) }
 
-// Open is how many request contexts are in hand.
+// Open returns the number of open request contexts as of the last batch.
 func (l *Loop) Open() int { return int(l.openRequests.Load()) }
 
 var startTime = time.Now()
 
-// Now is the limiter's clock: Unix time at the start, moved on by the monotonic clock, so that a step of the wall clock changes
-// no deadline. The reducer is told of such steps: servers' starts are told by the wall clock, and limiters number their
-// intervals by it.
+// Now returns the time on the limiter's clock: the Unix time at the start of the process, advanced by the monotonic clock, so
+// that a step of the wall clock does not move deadlines. Such steps are reported to the reducer, because start times of
+// servers are given on the wall clock and limiters number their intervals by it.
 func Now() time.Duration {
 	now, _ := readClocks()
 	return now
 }
 
-// readClocks reads the limiter's clock and how far the wall clock is ahead of it, at one moment.
+// readClocks returns the time on the limiter's clock and how far the wall clock is ahead of it at the same moment.
 func readClocks() (now, ahead time.Duration) {
 	at := time.Now()
 	now = time.Duration(startTime.UnixNano()) + at.Sub(startTime)
 	return now, time.Duration(at.UnixNano()) - now
 }
 
-// minClockStep is what the wall clock has to be off by: less, as where it is slewed, is made up for once it adds up to that.
+// minClockStep is the smallest change of the wall clock's offset that is reported to the reducer. Smaller changes, as when
+// the clock is slewed, are reported once they add up to this.
 const minClockStep = 50 * time.Millisecond
 
-// Post hands in an event. The inbox holds at most a few for each request context, try and call in hand, and
-// those are bounded by the fronts.
+// Post queues an event. The inbox needs no bound of its own: it holds at most a few events for each open request context,
+// try and call, and the fronts bound those.
 func (l *Loop) Post(ev core.Event) {
 	if q, ok := ev.(core.RequestContext); ok {
 		q.At = Now()
@@ -117,7 +120,7 @@
 	}
 }
 
-// Run owns the reducer until the context ends.
+// Run processes events and timers until ctx is done. No other goroutine may use the reducer meanwhile.
 func (l *Loop) Run(ctx context.Context) {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -127,7 +130,7 @@
 		batch, l.inbox = l.inbox, batch[:0]
 		l.mu.Unlock()
 		l.processBatch(batch)
-		clear(batch) // what the events point to must not live on in the spare slice
+		clear(batch) // the slice is reused and must not keep the events' data reachable
 		wait := time.Hour
 		if len(l.timers) > 0 {
 			wait = l.timers[0].At - Now()
@@ -144,13 +147,13 @@
 	}
 }
 
-// processBatch reduces a batch and the timers that are due, then runs the effects.
+// processBatch passes a batch of events and the timers that are due to the reducer, then runs the effects.
 func (l *Loop) processBatch(batch []core.Event) {
-	now, ahead := readClocks()
-	if step := ahead - l.wallClockAhead; step.Abs() >= minClockStep {
+	now, wallClockAhead := readClocks()
+	if step := wallClockAhead - l.wallClockAhead; step.Abs() >= minClockStep {
 		slog.Info("the wall clock has stepped", "by", step.Round(time.Millisecond))
-		l.wallClockAhead = ahead
-		l.effects = l.reducer.Reduce(now, core.ClockStepped{Ahead: ahead}, l.effects)
+		l.wallClockAhead = wallClockAhead
+		l.effects = l.reducer.Reduce(now, core.ClockStepped{Ahead: wallClockAhead}, l.effects)
 	}
 	for _, ev := range batch {
 		if o, ok := ev.(core.Outcome); ok && l.traceTries {
@@ -166,7 +169,7 @@
 	l.runEffects()
 }
 
-// runEffects runs the effects that are asked for.
+// runEffects runs the pending effects and clears the list.
 func (l *Loop) runEffects() {
 	for k := range l.effects {
 		l.runEffect(l.effects[k])
@@ -213,6 +216,8 @@
 	}
 }
 
+// savePlans saves the plan book, then answers the sender of the change. If saving fails the reply says so, but the change
+// stays in force.
 func (l *Loop) savePlans(e core.SavePlans) {
 	answer := func(err error) {
 		if e.OnSaved == nil {
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -1,6 +1,6 @@
-// Package state keeps the plan book in a directory, so that applied changes and reservations survive a restart. The file
-// is replaced whole: written beside, synced, renamed, and the directory synced. A checksum stands before its text. A file
-// that cannot be read is set aside, never overwritten.
+// Package state stores the plan book in a directory, so that applied changes and reservations survive a restart. The file
+// is replaced atomically: a temporary file is written and synced, then renamed, and the directory is synced. A header with
+// a checksum precedes the JSON text. A file that cannot be read is renamed and never overwritten.
 package state
 
 import (
@@ -25,38 +25,38 @@
 	tempPattern = ".new-*"
 	format      = "bramblefall-plans-1"
 
-	readTimeout       = 2 * time.Second // for a file that cannot be read, at the start
+	readTimeout       = 2 * time.Second // how long the start retries to read a file
 	readRetryInterval = 50 * time.Millisecond
-	minBackoff        = 100 * time.Millisecond // of a write that failed, doubled each time
+	minBackoff        = 100 * time.Millisecond // before a failed write is retried; doubles with each failure
 	maxBackoff        = 5 * time.Second
 )
 
-// ErrDamaged says that the file's text does not match its checksum, or cannot be read.
+// ErrDamaged reports that the file does not match its checksum or cannot be decoded.
 var ErrDamaged = errors.New("damaged")
 
-// Dir is a state directory. One limiter owns it.
+// Dir is a state directory. It must be used by one limiter only.
 type Dir struct {
 	path string
 
-	changed chan struct{} // something is to be kept
+	changed chan struct{} // signals a new pending snapshot, which ends the wait before a retry
 
 	mu        sync.Mutex
-	pending   *plans.Snapshot // to be written; nil: none
-	callbacks []func(error)   // to be told when it is
-	writing   bool            // a goroutine writes, or waits to try again
+	pending   *plans.Snapshot // to be written; nil if there is none
+	callbacks []func(error)   // to be called with the result of the next write
+	writing   bool            // whether a goroutine is writing or waiting to retry
 }
 
-// Open makes the directory if it is not there.
+// Open opens a state directory and creates it if it does not exist. Temporary files of interrupted writes are removed.
 func Open(path string) (*Dir, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
-		return nil, fmt.Errorf("state directory: %w", err)
+		return nil, fmt.Errorf("cannot create the state directory: %w", err)
 	}
 	d := &Dir{path: path, changed: make(chan struct{}, 1)}
 	d.removeTempFiles()
 	return d, nil
 }
 
-// removeTempFiles removes what a kill has left of files that were being written.
+// removeTempFiles removes temporary files that a killed process left behind.
 func (d *Dir) removeTempFiles() {
 	tempFiles, err := filepath.Glob(filepath.Join(d.path, fileName+tempPattern))
 	if err != nil {
@@ -64,12 +64,13 @@
 	}
 	for _, path := range tempFiles {
 		if err := os.Remove(path); err != nil {
-			slog.Warn("a file that was not written to its end stays", "err", err)
+			slog.Warn("cannot remove a temporary file of an interrupted write", "err", err)
 		}
 	}
 }
 
-// Load reads the book that was kept. found is false where there is none. A damaged file is set aside and told of.
+// Load reads the saved plan book. found is false if there is none. A file that is damaged or cannot be read is renamed, and
+// the error names its new name.
 func (d *Dir) Load() (s plans.Snapshot, found bool, err error) {
 	path := filepath.Join(d.path, fileName)
 	raw, err := readWithRetry(path)
@@ -89,7 +90,7 @@
 	return plans.Snapshot{}, false, fmt.Errorf("%s: %w; set aside as %s", path, err, filepath.Base(aside))
 }
 
-// readWithRetry reads a file, for a while also where that fails: a disk in trouble may have the plans all the same.
+// readWithRetry reads a file and retries for readTimeout if that fails: the plans may still be readable on a failing disk.
 func readWithRetry(path string) (raw []byte, err error) {
 	for until := time.Now().Add(readTimeout); ; time.Sleep(readRetryInterval) {
 		raw, err = os.ReadFile(path)
@@ -110,17 +111,17 @@
 func decode(raw []byte) (s plans.Snapshot, err error) {
 	head, text, ok := bytes.Cut(raw, []byte("\n"))
 	if want := fmt.Sprintf("%s %x %d", format, sha256.Sum256(text), len(text)); !ok || string(head) != want {
-		return s, fmt.Errorf("%w: the checksum does not match", ErrDamaged)
+		return s, fmt.Errorf("%w: the checksum does not match: header is %.100q, want %q", ErrDamaged, head, want)
 	}
 	if err := json.Unmarshal(text, &s); err != nil {
-		return s, fmt.Errorf("%w: %w", ErrDamaged, err)
+		return s, fmt.Errorf("%w: the checksum matches, but the text cannot be decoded: %w", ErrDamaged, err)
 	}
 	return s, nil
 }
 
-// Save writes the book in a goroutine of its own; of several that come meanwhile the last is written. It never waits.
-// after, if not nil, is told when this book or a later one is on the disk, or could not be written. What could not be written is
-// tried again until it is, or a later one.
+// Save writes the book in a separate goroutine and never blocks. Of several books that are passed during a write only the
+// last is written. after, if not nil, is called once this book or a later one is on disk, or with the error if the write
+// fails. A failed write is retried until it or the write of a later book succeeds.
 func (d *Dir) Save(s plans.Snapshot, after func(error)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -167,7 +168,7 @@
 	d.writing = false
 }
 
-// awaitRetry waits before a further try, for as long as nothing else is to be kept: who asks for that is answered at once.
+// awaitRetry waits before a write is retried. A new book ends the wait, so that its sender is answered at once.
 func (d *Dir) awaitRetry(backoff time.Duration) {
 	select {
 	case <-time.After(backoff):
