--- a/internal/core/counters.go
+++ b/internal/core/counters.go
@@ -17,9 +17,9 @@
 
 // Reach sets which counters may be called (effect).
 type Reach struct {
-	Counters map[int]string // addresses by number, including those of former lists
-	Listed   int            // number of counters on the newest list
-	List     string         // fingerprint of the newest list
+	Counters    map[int]string // addresses by number, including those of former lists
+	ListedCount int            // on the newest list
+	Fingerprint string         // of the newest list
 }
 
 // call adds to a name. It has one Count effect for each counter that holds the name, and a single result.
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -201,7 +201,7 @@
 		l.counters.Count(e)
 	case core.Reach:
 		l.counters.Reach(e.Counters)
-		slog.Info("counters", "listed", e.Listed, "list", e.List, "reached", len(e.Counters))
+		slog.Info("counters", "listed", e.ListedCount, "list", e.Fingerprint, "reached", len(e.Counters))
 	case core.CloseIdle:
 		l.callers[e.Group].CloseIdle(e.Server)
 	case core.PublishPlans:
