--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -105,7 +105,7 @@
 // Reject turns the client away (effect).
 type Reject struct {
 	Origin Origin
-	After  time.Duration // when a retry is welcome; 0 if none is named
+	After  time.Duration // how long from now a retry is welcome; 0 if no time is given
 }
 
 // Fail ends a request context that may have run (effect).
@@ -180,7 +180,7 @@
 	now                 time.Duration
 	wallClockAhead      time.Duration // how far the wall clock, in which plans and reservations give times, is ahead of now
 	requests            map[uint64]*requestContext
-	ring                *sharding.Ring     // nil while there is a single counter
+	ring                *sharding.Ring     // nil before the first list of counters, while there is only number 0
 	formerListTimerAt   time.Duration      // when the timer for former lists fires; 0 if it is not set
 	partsInFlight       map[uint64]part    // by the number of the Count effect
 	unreported          map[uint64][]*call // calls whose result the module has not received, by name, in the order in which they were made
@@ -247,8 +247,8 @@
 	return r.effects
 }
 
-// finishStep processes the work that an event leaves behind, until none remains: reservation calls, outcomes of tries that
-// were not started, and calls that reach no counter.
+// finishStep processes the work that an event leaves behind. It makes the calls for reservations, then reports the outcomes of
+// tries that were not started and ends the calls that reach no counter, until none of those two remain.
 func (r *Reducer) finishStep() {
 	r.serveReservations()
 	for len(r.mootOutcomes)+len(r.withoutCounter) > 0 {
--- a/internal/core/counters.go
+++ b/internal/core/counters.go
@@ -135,7 +135,7 @@
 
 // finishCall computes the result of a call and reports it. The module receives results in the order of the calls for a
 // name, which is how it tells them apart. After a counter has moved, the answer on the new connection may arrive before
-// an earlier one that is still due on the old connection.
+// an earlier one that is still due on the old connection; it is held back until that one has ended.
 func (r *Reducer) finishCall(c *call) {
 	c.done = true
 	c.result = logic.CountResult{Name: c.name, Status: c.combinedStatus(), Latency: r.now - c.startedAt}
--- a/internal/core/counters_test.go
+++ b/internal/core/counters_test.go
@@ -177,7 +177,8 @@
 	}
 	f.runUntil(time.Hour + 11*time.Second)
 	for addr, calls := range f.calls {
-		// The module's call budget: 1.2 calls a request, spread over the counters, and 8 calls that each limiter may save up.
+		// The module's call budget: 1.2 calls a request, of which one counter gets twice its even share, since names fall
+		// unevenly, and 8 calls that each limiter may save up for a counter.
 		most := 1.2*float64(requests)*min(1, 2/float64(counters)) + 8*limiters
 		require.LessOrEqual(t, float64(calls), most, "calls to %s, one of %d counters", addr, counters)
 	}
--- a/internal/core/plans.go
+++ b/internal/core/plans.go
@@ -201,8 +201,8 @@
 }
 
 // serveReservations makes the calls that the reservation manager requests, records the reservations that are used up, and has
-// the module look again at the firms for which leased units have arrived or whose reservation is gone. Those may request
-// more calls, so it repeats until nothing is left.
+// the module look again at the firms whose held requests may now be decided: leased units have arrived, a call brought none,
+// or the reservation is gone. Those may request more calls, so it repeats until nothing is left.
 func (r *Reducer) serveReservations() {
 	for {
 		calls, woken, spent := r.reservations.Calls(), r.reservations.Woken(), r.reservations.Spent()
