--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,5 +1,6 @@
-// Package core holds the reducer: the only place where the limiter's state changes. Events go in, effects come
-// out. It knows no wire, opens no socket and reads no clock; every decision is the module's in package logic.
+// Package core holds the reducer, the only place where the limiter's state changes. Events go in and effects come
+// out. The reducer knows no wire protocol, opens no socket and reads no clock. Every decision is made by the module in
+// package logic.
 package core
 
 import (
@@ -12,31 +13,35 @@
 	"bramblefall/logic"
 )
 
-// Origin is where a request context came from: the front that owes its client the one final answer.
+// Origin is the source of a request context: the front that owes the client exactly one final answer.
 type Origin interface {
-	Served(value any)             // what a server gave
-	Admitted()                    // an admission-only request context may go on
-	Rejected(after time.Duration) // a retry is harmless, after this time
-	Failed()                      // nothing is promised
+	// Served delivers a server's answer.
+	Served(value any)
+	// Admitted lets the client of an admission-only request context proceed.
+	Admitted()
+	// Rejected turns the client away. A retry after the given time is safe.
+	Rejected(after time.Duration)
+	// Failed ends the request context without a guarantee: it may or may not have run.
+	Failed()
 }
 
-// Key names a try: the request context and the number of the try.
+// Key identifies a try by its request context and its number within that request context.
 type Key struct {
 	ID  uint64
 	Try int
 }
 
-// Event is one of the types below that end in a comment "event".
+// Event is any of the types in this package whose doc comment is marked "(event)".
 type Event any
 
-// RequestContext is a request that a front has taken in (event).
+// RequestContext is a request that a front has accepted (event).
 type RequestContext struct {
 	logic.Request
 	Origin Origin
-	At     time.Duration // when its TTL began, by the reducer's clock; 0: now
+	At     time.Duration // when the TTL began, on the reducer's clock; 0 means now
 }
 
-// Outcome ends a try (event). There is exactly one for each Try effect.
+// Outcome ends a try (event). Each Try effect has exactly one.
 type Outcome struct {
 	Key
 	Status logic.Status
@@ -44,40 +49,43 @@
 	Load   []float64
 }
 
-// UpstreamGroup is news of the servers (event).
+// UpstreamGroup is an update to the servers of an upstream group (event).
 type UpstreamGroup struct{ logic.ServerList }
 
-// CountResult answers a Count effect (event).
+// CountResult is the result of a Count effect, which it identifies by Call (event).
 type CountResult struct {
 	Call   uint64
 	Status logic.Status
 	Total  float64
 }
 
-// ClientGone says that a request context's client no longer waits (event).
+// ClientGone reports that the client of a request context no longer waits for an answer (event).
 type ClientGone struct{ ID uint64 }
 
-// Closing says that the limiter is about to end: what is open is answered now, and what comes later at once (event).
+// Closing announces that the limiter is about to exit (event). Open request contexts are answered in this step; later
+// ones are answered as soon as they arrive.
 type Closing struct{}
 
-// ClockStepped says how far the wall clock is ahead of the reducer's from now on (event). At first it is not.
+// ClockStepped sets how far the wall clock is ahead of the reducer's clock from now on (event). Initially they agree.
 type ClockStepped struct{ Ahead time.Duration }
 
-// Effect is one of the types below that end in a comment "effect".
+// Effect is any of the types in this package whose doc comment is marked "(effect)".
 type Effect any
 
-// Try sends a request context on to a server (effect).
+// Try forwards a request context to a server (effect).
 type Try struct {
 	Key
 	Group  int
 	Server logic.ServerID
-	Wait   time.Duration
-	Ends   time.Duration // when Wait is over
-	Until  time.Duration // no byte of it may leave from then on: the try's time is over, or the window for its repeat
+	Wait   time.Duration // timeout of the try
+	Ends   time.Duration // deadline of the try: when Wait has elapsed
+	// Until is the time from which no byte of the try may be sent: its deadline, or the end of the window in which the
+	// request may be repeated, whichever comes first.
+	Until  time.Duration
 	Origin Origin
 }
 
-// Abandon ends the wait for a try (effect). Its outcome is Reason, or ConnectFailed where a time-out ends one that has no
+// Abandon stops waiting for a try (effect). The outcome is Reason, or ConnectFailed if a timeout ends a try that has no
 // connection yet.
 type Abandon struct {
 	Key
@@ -85,32 +93,32 @@
 	Reason logic.Status
 }
 
-// Answer gives the client what a server gave (effect).
+// Answer passes a server's answer to the client (effect).
 type Answer struct {
 	Origin Origin
 	Value  any
 }
 
-// Admit tells the caller to pass its traffic on itself (effect).
+// Admit tells the caller to forward its traffic itself (effect).
 type Admit struct{ Origin Origin }
 
 // Reject turns the client away (effect).
 type Reject struct {
 	Origin Origin
-	After  time.Duration
+	After  time.Duration // how long from now a retry is welcome; 0 if no time is given
 }
 
 // Fail ends a request context that may have run (effect).
 type Fail struct{ Origin Origin }
 
-// Count calls a counter, if that can be done before Until (effect).
+// Count adds Amount to a name on a counter, unless the call cannot be made before Until (effect).
 type Count struct {
 	Call    uint64
-	Counter int // 0: the platform's, unless a list names others
+	Counter int // number of the counter; 0 is the platform's own unless a list names others
 	Name    uint64
 	Amount  float64
-	Lives   time.Duration
-	Until   time.Duration
+	Lives   time.Duration // TTL of the name on the counter
+	Until   time.Duration // deadline of the call
 }
 
 // CloseIdle closes the idle connections to a server (effect).
@@ -119,19 +127,19 @@
 	Server logic.ServerID
 }
 
-// SetTimer asks for its Timer back as an event at the time At (effect).
+// SetTimer requests that its Timer be posted as an event at time At (effect).
 type SetTimer struct {
 	At    time.Duration
 	Timer Timer
 }
 
-// Log writes a line for the operators (effect).
+// Log writes a log line for the operators (effect).
 type Log struct{ Text string }
 
-// Timer is an alarm of the reducer's own (event).
+// Timer is a timer of the reducer that has fired (event).
 type Timer struct {
 	kind timerKind
-	key  Key // ID: also the token or the call
+	key  Key // identifies the try; for a module timer ID holds the token, for a count timer the number of the Count effect
 }
 
 type timerKind uint8
@@ -140,139 +148,144 @@
 	moduleTimer timerKind = iota
 	tryTimer
 	countTimer
-	planTimer    // a version or a reservation is due
-	reserveTimer // reservations in use are looked after
-	listTimer    // a former list of counters is over
+	planTimer        // a plan version or a reservation begins or ends
+	reservationTimer // periodic tick of the reservations in use
+	formerListTimer  // a former list of counters expires
 )
 
 type requestContext struct {
 	origin   Origin
 	group    int
 	deadline time.Duration
-	over     bool // the final answer is given, or nobody waits for it
-	tries    []try
-	out      int
+	done     bool // the final answer has been given, or the client no longer waits for it
+	tries    []tryState
+	inFlight int // number of tries without an outcome
 }
 
-type try struct {
-	server logic.ServerID
-	sentAt time.Duration
-	out    bool
+type tryState struct {
+	server   logic.ServerID
+	sentAt   time.Duration
+	inFlight bool
 }
 
-// Reducer owns all that the limiter knows. It is not safe for concurrent use: one goroutine owns it.
+// Reducer owns the whole state of the limiter. It is not safe for concurrent use: a single goroutine owns it.
 type Reducer struct {
-	set      logic.Settings
-	gateway  *logic.Gateway
-	book     *plans.Book
-	reserves *reserve.Manager
-	planned  time.Duration // when the earliest plan timer rings; 0: none is set
-	tending  bool          // the reserve timer is set
-	tally    Tally
-	now      time.Duration
-	ahead    time.Duration // of the wall clock, by which plans and reservations name their times
-	requests map[uint64]*requestContext
-	ring     *sharding.Ring     // nil: there is one counter
-	relistAt time.Duration      // when the list timer rings; 0: it is not set
-	calls    map[uint64]part    // by effect
-	due      map[uint64][]*call // calls of the module that it has not been told the answer to, by name, in their order
-	unmade   []*call            // that no counter could be asked
-	groups   map[logic.ServerID]int
-	next     uint64
-	effects  []Effect
-	closing  bool
-	moot     []logic.Outcome // of tries that could not be made, for the module's next turn
+	settings            logic.Settings
+	gateway             *logic.Gateway
+	book                *plans.Book
+	reservations        *reserve.Manager
+	planTimerAt         time.Duration // when the earliest plan timer fires; 0 if none is set
+	reservationTimerSet bool
+	tally               Tally
+	now                 time.Duration
+	wallClockAhead      time.Duration // how far the wall clock, in which plans and reservations give times, is ahead of now
+	requests            map[uint64]*requestContext
+	ring                *sharding.Ring     // nil before the first list of counters, while there is only number 0
+	formerListTimerAt   time.Duration      // when the timer for former lists fires; 0 if it is not set
+	partsInFlight       map[uint64]part    // by the number of the Count effect
+	unreported          map[uint64][]*call // calls whose result the module has not received, by name, in the order in which they were made
+	withoutCounter      []*call            // calls for which no counter could be asked; they end within the step
+	groups              map[logic.ServerID]int
+	lastPartID          uint64
+	effects             []Effect
+	closing             bool
+	mootOutcomes        []logic.Outcome // outcomes of tries that were not started, reported to the module after its current event
 }
 
-// New makes a reducer round a module with these settings. The book's plans go before the settings'.
-func New(set logic.Settings, seed uint64, book *plans.Book) *Reducer {
-	r := &Reducer{set: set, gateway: logic.New(set, seed), requests: map[uint64]*requestContext{},
-		calls: map[uint64]part{}, due: map[uint64][]*call{}, groups: map[logic.ServerID]int{}, book: book,
-		reserves: reserve.New(set.Gateways, set.Rank, set.MostUnits)}
-	r.gateway.Use(book, r.reserves)
+// New returns a reducer and its module with the given settings. The book's plans take precedence over those in the
+// settings.
+func New(settings logic.Settings, seed uint64, book *plans.Book) *Reducer {
+	r := &Reducer{settings: settings, gateway: logic.New(settings, seed), requests: map[uint64]*requestContext{},
+		partsInFlight: map[uint64]part{}, unreported: map[uint64][]*call{}, groups: map[logic.ServerID]int{}, book: book,
+		reservations: reserve.New(settings.Gateways, settings.Rank, settings.MostUnits)}
+	r.gateway.Use(book, r.reservations)
 	return r
 }
 
-// Open is how many request contexts wait for their final answer or the outcome of a try.
+// Open returns the number of request contexts that wait for their final answer or for the outcome of a try.
 func (r *Reducer) Open() int { return len(r.requests) }
 
-// Reduce takes one event at time now and appends the effects that it asks for, in order.
+// Reduce processes one event at time now and appends the resulting effects in order.
 func (r *Reducer) Reduce(now time.Duration, ev Event, effects []Effect) []Effect {
 	r.now, r.effects = max(r.now, now), effects
 	switch e := ev.(type) {
 	case RequestContext:
-		if r.closing { // its time may end after the program's
-			r.do(Reject{e.Origin, Elsewhere(r.set)})
+		if r.closing { // its deadline may lie beyond the end of the process
+			r.emit(Reject{e.Origin, Elsewhere(r.settings)})
 			break
 		}
-		if e.At > 0 { // guards against a time that begins anew where the inbox was long
+		if e.At > 0 { // without this, time spent in a long inbox would not count against the TTL
 			e.TTL -= max(0, r.now-e.At)
 		}
 		r.requests[e.ID] = &requestContext{origin: e.Origin, group: e.Group, deadline: r.now + e.TTL}
 		r.tally.count(r.book.Current().Number)
-		r.tell(e.Request)
+		r.notify(e.Request)
 	case Outcome:
-		r.outcome(e)
+		r.handleOutcome(e)
 	case UpstreamGroup:
-		r.listed(e.ServerList)
+		r.handleServerList(e.ServerList)
 	case CountResult:
-		r.counted(e)
+		r.handleCountResult(e)
 	case ClientGone:
-		r.clientGone(e.ID)
+		r.handleClientGone(e.ID)
 	case ClockStepped:
-		r.ahead = e.Ahead
-		r.reserves.Ahead(e.Ahead)
-		r.tell(logic.ClockStepped(e))
-		r.turn()
+		r.wallClockAhead = e.Ahead
+		r.reservations.Ahead(e.Ahead)
+		r.notify(logic.ClockStepped(e))
+		r.advancePlans()
 	case Closing:
 		r.closing = true
-		r.tell(logic.Closing{})
+		r.notify(logic.Closing{})
 	case Ask:
-		r.ask(e)
+		r.handleAsk(e)
 	case Counters:
-		r.relist(e)
+		r.handleCounters(e)
 	case Timer:
-		r.rang(e)
+		r.handleTimer(e)
 	}
-	r.settle()
+	r.finishStep()
 	return r.effects
 }
 
-// settle does what a step has left over, until nothing is.
-func (r *Reducer) settle() {
-	r.lease()
-	for len(r.moot)+len(r.unmade) > 0 {
-		if len(r.moot) > 0 {
-			o := r.moot[0]
-			r.moot = r.moot[1:]
-			r.tell(o)
+// finishStep processes the work that an event leaves behind. It makes the calls for reservations, then reports the outcomes of
+// tries that were not started and ends the calls that reach no counter, until none of those two remain.
+func (r *Reducer) finishStep() {
+	r.serveReservations()
+	for len(r.mootOutcomes)+len(r.withoutCounter) > 0 {
+		if len(r.mootOutcomes) > 0 {
+			o := r.mootOutcomes[0]
+			r.mootOutcomes = r.mootOutcomes[1:]
+			r.notify(o)
 			continue
 		}
-		c := r.unmade[0]
-		r.unmade = r.unmade[1:]
-		r.joined(c)
+		c := r.withoutCounter[0]
+		r.withoutCounter = r.withoutCounter[1:]
+		r.finishCall(c)
 	}
 }
 
-const soon = 10 * time.Millisecond
+// shutdownRetryAfter is short because another limiter accepts the retry.
+const shutdownRetryAfter = 10 * time.Millisecond
 
-// Elsewhere is when a client that a limiter at its end turns away may come again: soon, since another one takes it.
-func Elsewhere(set logic.Settings) time.Duration {
-	if !set.RetryAfter {
+// Elsewhere returns the retry-after time for clients that a limiter turns away while it shuts down. It is 0 if the
+// settings disable retry-after times.
+func Elsewhere(settings logic.Settings) time.Duration {
+	if !settings.RetryAfter {
 		return 0
 	}
-	return min(soon, set.MaxRetryAfter)
+	return min(shutdownRetryAfter, settings.MaxRetryAfter)
 }
 
-// listed keeps the groups of the servers that are listed, and of no others: ids are never used again.
-func (r *Reducer) listed(l logic.ServerList) {
+// handleServerList records the group of each listed server and forgets servers that are no longer listed, whose ids are
+// never reused.
+func (r *Reducer) handleServerList(l logic.ServerList) {
 	if l.Whole && !l.Failed {
 		maps.DeleteFunc(r.groups, func(_ logic.ServerID, group int) bool { return group == l.Group })
 	}
 	for _, s := range l.Servers {
 		r.groups[s.ID] = l.Group
 	}
-	r.tell(l)
+	r.notify(l)
 	for _, s := range l.Servers {
 		if s.State == logic.Gone {
 			delete(r.groups, s.ID)
@@ -280,137 +293,138 @@
 	}
 }
 
-func (r *Reducer) do(e Effect) { r.effects = append(r.effects, e) }
+func (r *Reducer) emit(e Effect) { r.effects = append(r.effects, e) }
 
-// tell hands an event to the module and turns its actions into effects.
-func (r *Reducer) tell(ev logic.Event) {
+// notify passes an event to the module and translates the module's actions into effects.
+func (r *Reducer) notify(ev logic.Event) {
 	for _, a := range r.gateway.Handle(r.now, ev) {
 		switch a := a.(type) {
 		case logic.Send:
-			r.try(a)
+			r.startTry(a)
 		case logic.Refuse:
-			if q := r.end(a.ID); q != nil {
-				r.do(Reject{q.origin, a.RetryAfter})
+			if q := r.markDone(a.ID); q != nil {
+				r.emit(Reject{q.origin, a.RetryAfter})
 			}
 		case logic.Fail:
-			if q := r.end(a.ID); q != nil {
-				r.do(Fail{q.origin})
+			if q := r.markDone(a.ID); q != nil {
+				r.emit(Fail{q.origin})
 			}
 		case logic.Admit:
-			if q := r.end(a.ID); q != nil {
-				r.do(Admit{q.origin})
+			if q := r.markDone(a.ID); q != nil {
+				r.emit(Admit{q.origin})
 			}
 		case logic.Cancel:
-			if q := r.requests[a.ID]; q != nil && a.Attempt < len(q.tries) && q.tries[a.Attempt].out {
-				r.do(Abandon{Key{a.ID, a.Attempt}, q.group, logic.Cancelled})
+			if q := r.requests[a.ID]; q != nil && a.Attempt < len(q.tries) && q.tries[a.Attempt].inFlight {
+				r.emit(Abandon{Key{a.ID, a.Attempt}, q.group, logic.Cancelled})
 			}
 		case logic.SetTimer:
-			r.do(SetTimer{r.now + a.After, Timer{moduleTimer, Key{ID: uint64(a.Token)}}})
+			r.emit(SetTimer{r.now + a.After, Timer{moduleTimer, Key{ID: uint64(a.Token)}}})
 		case logic.Count:
-			r.count(a)
+			r.startCount(a)
 		case logic.CloseIdle:
-			r.do(CloseIdle{r.groups[a.Server], a.Server})
-		case logic.Watch, logic.FetchList: // the watch is always on: where it ends, discovery's client begins the next
+			r.emit(CloseIdle{r.groups[a.Server], a.Server})
+		case logic.Watch, logic.FetchList: // ignored: the discovery client always watches and starts a new watch when one ends
 		case logic.Log:
-			r.do(Log{a.Text})
-		case logic.Tell: // limiters cannot talk to each other on sockets: the same as a message lost
+			r.emit(Log{a.Text})
+		case logic.Tell: // dropped: limiters have no connections to each other, so it is like a lost message
 		}
 	}
 }
 
-func (r *Reducer) try(a logic.Send) {
+func (r *Reducer) startTry(a logic.Send) {
 	q := r.requests[a.ID]
 	if q == nil {
 		return
 	}
-	n, wait := len(q.tries), q.deadline-r.now
+	n, timeout := len(q.tries), q.deadline-r.now
 	if a.Timeout != 0 {
-		wait = min(wait, a.Timeout)
+		timeout = min(timeout, a.Timeout)
 	}
-	// Guards against a try for a request that is over, or too many: like the simulator's, it is not made.
-	if q.over || wait <= 0 || r.set.MaxAttempts > 0 && n >= r.set.MaxAttempts {
-		r.moot = append(r.moot, logic.Outcome{ID: a.ID, Attempt: n, Server: a.Server, Status: logic.Moot, Closed: q.over})
-		q.tries = append(q.tries, try{server: a.Server, sentAt: r.now})
+	// A try for a request that is done or out of time, or one too many, is not started. The simulator does the same.
+	if q.done || timeout <= 0 || r.settings.MaxAttempts > 0 && n >= r.settings.MaxAttempts {
+		r.mootOutcomes = append(r.mootOutcomes, logic.Outcome{ID: a.ID, Attempt: n, Server: a.Server, Status: logic.Moot, Closed: q.done})
+		q.tries = append(q.tries, tryState{server: a.Server, sentAt: r.now})
 		return
 	}
-	q.tries, q.out = append(q.tries, try{a.Server, r.now, true}), q.out+1
-	until := r.now + wait
+	q.tries, q.inFlight = append(q.tries, tryState{a.Server, r.now, true}), q.inFlight+1
+	sendUntil := r.now + timeout
 	if a.Until > 0 {
-		until = min(until, a.Until)
+		sendUntil = min(sendUntil, a.Until)
 	}
-	r.do(Try{Key: Key{a.ID, n}, Group: q.group, Server: a.Server, Wait: wait, Ends: r.now + wait, Until: until, Origin: q.origin})
-	r.do(SetTimer{r.now + wait, Timer{tryTimer, Key{a.ID, n}}})
+	r.emit(Try{Key: Key{a.ID, n}, Group: q.group, Server: a.Server, Wait: timeout, Ends: r.now + timeout, Until: sendUntil, Origin: q.origin})
+	r.emit(SetTimer{r.now + timeout, Timer{tryTimer, Key{a.ID, n}}})
 }
 
-// end marks the final answer; nil if it was given before: a second one must never leave.
-func (r *Reducer) end(id uint64) *requestContext {
+// markDone records that the final answer is being given. It returns nil if one was given before, since a client must never
+// receive a second.
+func (r *Reducer) markDone(id uint64) *requestContext {
 	q := r.requests[id]
-	if q == nil || q.over {
+	if q == nil || q.done {
 		return nil
 	}
-	q.over = true
+	q.done = true
 	r.release(id, q)
 	return q
 }
 
-// release forgets a request context that is over and has no try out.
+// release forgets a request context that is done and has no try in flight.
 func (r *Reducer) release(id uint64, q *requestContext) {
-	if q.over && q.out == 0 {
+	if q.done && q.inFlight == 0 {
 		delete(r.requests, id)
 	}
 }
 
-func (r *Reducer) outcome(e Outcome) {
+func (r *Reducer) handleOutcome(e Outcome) {
 	q := r.requests[e.ID]
-	if q == nil || e.Try >= len(q.tries) || !q.tries[e.Try].out {
+	if q == nil || e.Try >= len(q.tries) || !q.tries[e.Try].inFlight {
 		return
 	}
 	t := &q.tries[e.Try]
-	t.out, q.out = false, q.out-1
-	if e.Status == logic.OK && !q.over {
-		q.over = true
-		r.do(Answer{q.origin, e.Value})
+	t.inFlight, q.inFlight = false, q.inFlight-1
+	if e.Status == logic.OK && !q.done {
+		q.done = true
+		r.emit(Answer{q.origin, e.Value})
 	}
-	over := q.over
+	done := q.done
 	r.release(e.ID, q)
-	r.tell(logic.Outcome{ID: e.ID, Attempt: e.Try, Server: t.server, Status: e.Status, Latency: r.now - t.sentAt,
-		Closed: over, Load: e.Load})
+	r.notify(logic.Outcome{ID: e.ID, Attempt: e.Try, Server: t.server, Status: e.Status, Latency: r.now - t.sentAt,
+		Closed: done, Load: e.Load})
 }
 
-// clientGone ends the tries, too: nobody waits for what they would bring.
-func (r *Reducer) clientGone(id uint64) {
+// handleClientGone also abandons the tries in flight, since nobody waits for their answers.
+func (r *Reducer) handleClientGone(id uint64) {
 	q := r.requests[id]
-	if q == nil || q.over {
+	if q == nil || q.done {
 		return
 	}
-	q.over = true
+	q.done = true
 	for n, t := range q.tries {
-		if t.out {
-			r.do(Abandon{Key{id, n}, q.group, logic.Cancelled})
+		if t.inFlight {
+			r.emit(Abandon{Key{id, n}, q.group, logic.Cancelled})
 		}
 	}
 	r.release(id, q)
-	r.tell(logic.ClientGone{ID: id})
+	r.notify(logic.ClientGone{ID: id})
 }
 
-func (r *Reducer) rang(t Timer) {
+func (r *Reducer) handleTimer(t Timer) {
 	switch t.kind {
 	case moduleTimer:
-		r.tell(logic.Timer{Token: uint32(t.key.ID)})
+		r.notify(logic.Timer{Token: uint32(t.key.ID)})
 	case tryTimer:
-		if q := r.requests[t.key.ID]; q != nil && q.tries[t.key.Try].out {
-			r.do(Abandon{t.key, q.group, logic.Timeout})
+		if q := r.requests[t.key.ID]; q != nil && q.tries[t.key.Try].inFlight {
+			r.emit(Abandon{t.key, q.group, logic.Timeout})
 		}
 	case countTimer:
-		r.counted(CountResult{Call: t.key.ID, Status: logic.Timeout})
-	case listTimer:
-		r.relistAt = 0
-		r.advance()
+		r.handleCountResult(CountResult{Call: t.key.ID, Status: logic.Timeout})
+	case formerListTimer:
+		r.formerListTimerAt = 0
+		r.dropFormerLists()
 	case planTimer:
-		r.planned = 0
-		r.turn()
-	case reserveTimer:
-		r.tending = false
-		r.reserves.Tick(r.now)
+		r.planTimerAt = 0
+		r.advancePlans()
+	case reservationTimer:
+		r.reservationTimerSet = false
+		r.reservations.Tick(r.now)
 	}
 }
--- a/internal/core/counters.go
+++ b/internal/core/counters.go
@@ -9,44 +9,45 @@
 	"bramblefall/logic"
 )
 
-// Counters says which counters names are dealt out to from now on (event).
+// Counters sets the counters over which names are sharded from now on (event).
 type Counters struct {
-	Before    string // the one, number 0, that there has been if no list was taken until now
+	Before    string // address of the single counter, number 0, that was in use if this is the first list
 	Addresses []string
 }
 
-// Reach tells which counters may be called (effect): addresses by number, those of former lists among them.
+// Reach sets which counters may be called (effect).
 type Reach struct {
-	Counters map[int]string
-	Listed   int    // on the newest list
-	List     string // its fingerprint
+	Counters    map[int]string // addresses by number, including those of former lists
+	ListedCount int            // on the newest list
+	Fingerprint string         // of the newest list
 }
 
-// call is a call for a name: one effect for each counter that it goes to, and one answer.
+// call adds to a name. It has one Count effect for each counter that holds the name, and a single result.
 type call struct {
-	name      uint64
-	amount    float64
-	lives     time.Duration
-	at, until time.Duration
-	lease     bool   // of the reserves
-	token     uint64 // theirs
-	targets   sharding.Targets
-	parts     []logic.CountPart
-	answers   []sharding.Answer
-	out       int // parts without an answer
-	over      bool
-	single    bool // there is one counter
-	result    logic.CountResult
+	name                uint64
+	amount              float64
+	ttl                 time.Duration
+	startedAt, deadline time.Duration
+	forReservation      bool   // made for the reservation manager, not for the module
+	reservationToken    uint64 // identifies the call to the reservation manager
+	targets             sharding.Targets
+	parts               []logic.CountPart
+	answers             []sharding.Answer
+	inFlight            int // number of parts without a result
+	done                bool
+	singleCounter       bool // there was no list of counters when the call was made
+	result              logic.CountResult
 }
 
-// part is one effect of a call.
+// part is one Count effect of a call.
 type part struct {
-	call *call
-	n    int
+	call  *call
+	index int // into the call's parts
 }
 
-// Spread has names dealt out to several counters from the start on. It is called before Begin. A process that starts in service
-// cannot know whether the list has just changed.
+// Spread shards names over several counters from the start. It must be called before Begin. settled says that the list has
+// been in force for long. A process that starts in service passes false, since it cannot know whether the list has just
+// changed.
 func (r *Reducer) Spread(now time.Duration, addresses []string, settled bool) {
 	if r.ring = sharding.Start(now, addresses); settled {
 		r.ring = sharding.New(addresses)
@@ -54,90 +55,92 @@
 	r.gateway.Spread(r.ring)
 }
 
-// relist takes a list of counters.
-func (r *Reducer) relist(e Counters) {
+// handleCounters takes a new list of counters into use.
+func (r *Reducer) handleCounters(e Counters) {
 	if r.ring == nil {
 		r.ring = sharding.New([]string{e.Before})
 		r.gateway.Spread(r.ring)
 	}
 	if r.ring.Set(r.now, e.Addresses) {
-		r.counters()
+		r.announceCounters()
 	}
 }
 
-// counters tells everybody of the list.
-func (r *Reducer) counters() {
+// announceCounters reports the list of counters to the loop and to the module, and sets the timer for former lists.
+func (r *Reducer) announceCounters() {
 	all := r.ring.Addresses()
-	r.do(Reach{all, r.ring.Len(), r.ring.Fingerprint()})
-	r.tell(logic.CountersChanged{Listed: slices.Sorted(maps.Keys(all)), Among: r.ring.Len()})
-	if at, due := r.ring.Next(); due && (r.relistAt == 0 || at < r.relistAt) {
-		r.relistAt = at
-		r.do(SetTimer{at, Timer{kind: listTimer}})
+	r.emit(Reach{all, r.ring.Len(), r.ring.Fingerprint()})
+	r.notify(logic.CountersChanged{Listed: slices.Sorted(maps.Keys(all)), Among: r.ring.Len()})
+	if at, due := r.ring.Next(); due && (r.formerListTimerAt == 0 || at < r.formerListTimerAt) {
+		r.formerListTimerAt = at
+		r.emit(SetTimer{at, Timer{kind: formerListTimer}})
 	}
 }
 
-// advance forgets former lists that are over.
-func (r *Reducer) advance() {
+// dropFormerLists forgets the former lists that have expired.
+func (r *Reducer) dropFormerLists() {
 	if r.ring.Advance(r.now) {
-		r.counters()
+		r.announceCounters()
 	} else if at, due := r.ring.Next(); due {
-		r.relistAt = at
-		r.do(SetTimer{at, Timer{kind: listTimer}})
+		r.formerListTimerAt = at
+		r.emit(SetTimer{at, Timer{kind: formerListTimer}})
 	}
 }
 
-func (r *Reducer) count(a logic.Count) {
-	r.call(&call{name: a.Name, amount: a.Amount, lives: a.Lives, at: r.now, until: r.now + max(r.set.CounterLimit, a.Wait)},
+func (r *Reducer) startCount(a logic.Count) {
+	r.startCall(&call{name: a.Name, amount: a.Amount, ttl: a.Lives, startedAt: r.now, deadline: r.now + max(r.settings.CounterLimit, a.Wait)},
 		a.Began, a.Spared)
 }
 
-// call makes a call at the counters of its name, but for those that are spared.
-func (r *Reducer) call(c *call, began time.Duration, spared uint8) {
+// startCall calls the counters that hold the name, except those whose bit in spared is set.
+func (r *Reducer) startCall(c *call, began time.Duration, spared uint8) {
 	if c.targets = (sharding.Targets{To: []int{0}}); r.ring != nil {
 		c.targets = r.ring.Of(r.now, c.name, began)
 	} else {
-		c.single = true
+		c.singleCounter = true
 	}
-	if !c.lease {
-		r.due[c.name] = append(r.due[c.name], c)
+	if !c.forReservation {
+		r.unreported[c.name] = append(r.unreported[c.name], c)
 	}
 	for k, counter := range c.targets.To {
 		if spared&(1<<k) != 0 {
 			continue
 		}
-		r.next++
-		r.calls[r.next] = part{c, len(c.parts)}
-		c.parts, c.out = append(c.parts, logic.CountPart{Counter: counter}), c.out+1
-		r.do(Count{r.next, counter, c.name, c.amount, c.lives, c.until})
-		r.do(SetTimer{c.until, Timer{countTimer, Key{ID: r.next}}})
+		r.lastPartID++
+		r.partsInFlight[r.lastPartID] = part{c, len(c.parts)}
+		c.parts, c.inFlight = append(c.parts, logic.CountPart{Counter: counter}), c.inFlight+1
+		r.emit(Count{r.lastPartID, counter, c.name, c.amount, c.ttl, c.deadline})
+		r.emit(SetTimer{c.deadline, Timer{countTimer, Key{ID: r.lastPartID}}})
 	}
-	if c.out == 0 {
-		r.unmade = append(r.unmade, c)
+	if c.inFlight == 0 {
+		r.withoutCounter = append(r.withoutCounter, c)
 	}
 }
 
-// counted takes the first word on a part of a call: an answer that comes after its time-out changes nothing.
-func (r *Reducer) counted(e CountResult) {
-	p, ok := r.calls[e.Call]
+// handleCountResult records the result of one part of a call. Only the first result counts: an answer that arrives after
+// the timeout is ignored.
+func (r *Reducer) handleCountResult(e CountResult) {
+	p, ok := r.partsInFlight[e.Call]
 	if !ok {
 		return
 	}
-	delete(r.calls, e.Call)
+	delete(r.partsInFlight, e.Call)
 	c := p.call
-	c.parts[p.n].Status, c.parts[p.n].Latency = e.Status, r.now-c.at
-	c.answers = append(c.answers, sharding.Answer{Counter: c.parts[p.n].Counter, OK: e.Status == logic.OK, Total: e.Total})
-	if c.out--; c.out == 0 {
-		r.joined(c)
+	c.parts[p.index].Status, c.parts[p.index].Latency = e.Status, r.now-c.startedAt
+	c.answers = append(c.answers, sharding.Answer{Counter: c.parts[p.index].Counter, OK: e.Status == logic.OK, Total: e.Total})
+	if c.inFlight--; c.inFlight == 0 {
+		r.finishCall(c)
 	}
 }
 
-// joined tells the one answer to a call. The module is told in the order of the calls for a name, which is how it knows them
-// apart: after a move, the answer on the new connection may come before one that is due on the old.
-func (r *Reducer) joined(c *call) {
-	c.over = true
-	c.result = logic.CountResult{Name: c.name, Status: c.status(), Latency: r.now - c.at}
+// finishCall computes the result of a call and reports it. The module receives results in the order of the calls for a
+// name, which is how it tells them apart. After a counter has moved, the answer on the new connection may arrive before
+// an earlier one that is still due on the old connection; it is held back until that one has ended.
+func (r *Reducer) finishCall(c *call) {
+	c.done = true
+	c.result = logic.CountResult{Name: c.name, Status: c.combinedStatus(), Latency: r.now - c.startedAt}
 	switch {
-	case c.single:
+	case c.singleCounter:
 		c.result.Total = c.answers[0].Total
 	case len(c.targets.To) > 0:
 		c.result.Parts = c.parts
@@ -148,28 +151,29 @@
 			c.result.Status = logic.Timeout
 		}
 	default:
-		c.result.Parts = []logic.CountPart{} // nobody is to blame
+		c.result.Parts = []logic.CountPart{} // not nil: no counter was called, so none is at fault
 	}
-	if c.lease {
-		r.reserves.Counted(r.now, c.token, c.result.Status, c.result.Total)
+	if c.forReservation {
+		r.reservations.Counted(r.now, c.reservationToken, c.result.Status, c.result.Total)
 		return
 	}
-	for due := r.due[c.name]; len(due) > 0 && due[0].over; due = r.due[c.name] {
-		answer := due[0].result
-		if r.due[c.name] = due[1:]; len(due) == 1 {
-			delete(r.due, c.name)
+	for unreported := r.unreported[c.name]; len(unreported) > 0 && unreported[0].done; unreported = r.unreported[c.name] {
+		answer := unreported[0].result
+		if r.unreported[c.name] = unreported[1:]; len(unreported) == 1 {
+			delete(r.unreported, c.name)
 		}
-		r.tell(answer)
+		r.notify(answer)
 	}
 }
 
-// status is the word on a call as a whole where its total is not known: that nothing was added only if that holds everywhere.
-func (c *call) status() logic.Status {
-	never := logic.ConnectFailed
+// combinedStatus returns the status of a call whose total is not known. It says that nothing was added only if that holds
+// on every counter that was called.
+func (c *call) combinedStatus() logic.Status {
+	notAdded := logic.ConnectFailed
 	for _, p := range c.parts {
 		switch p.Status {
 		case logic.Full:
-			never = logic.Full
+			notAdded = logic.Full
 		case logic.ConnectFailed:
 		default:
 			if len(c.parts) == 1 && len(c.targets.To) == 1 {
@@ -181,5 +185,5 @@
 	if len(c.parts) == 0 {
 		return logic.Timeout
 	}
-	return never
+	return notAdded
 }
--- a/internal/core/plans.go
+++ b/internal/core/plans.go
@@ -8,124 +8,127 @@
 	"bramblefall/logic"
 )
 
-// Ask puts a question to the plan book, or a change (event). The answer is a Reply effect.
+// Ask queries or changes the plan book (event). It is answered by a SendReply effect.
 type Ask struct {
-	Question any         // one of the types below
-	Reply    func(Reply) // is called in the loop's goroutine and must not block
+	Question any         // a Replace, Reread, Propose, Withdraw, Grant, Revoke or Show
+	Reply    func(Reply) // called in the loop's goroutine; must not block
 }
 
-// Replace is a question: take all versions and reservations that a source names now.
+// Replace is a question that replaces all versions and reservations from a source.
 type Replace struct {
 	Source       plans.Source
 	Versions     []plans.Version
 	Reservations []plans.Reservation
 }
 
-// Reread is a question: take the tiers of the platform's configuration, read again.
+// Reread is a question that takes the tiers from the platform's configuration after it was read again.
 type Reread struct{ Tiers []logic.Plan }
 
-// Propose is a question: take one version, or only tell what it would change.
+// Propose is a question that adds one version or, with DryRun, only reports what the version would change.
 type Propose struct {
 	Version plans.Version
 	DryRun  bool
 }
 
-// Withdraw is a question: take back a version to come.
+// Withdraw is a question that withdraws a pending version.
 type Withdraw struct{ Number uint64 }
 
-// Grant is a question: take a reservation.
+// Grant is a question that adds a reservation.
 type Grant struct{ Reservation plans.Reservation }
 
-// Revoke is a question: end a reservation.
+// Revoke is a question that ends a reservation.
 type Revoke struct{ ID string }
 
-// Show is a question: tell what stands.
+// Show is a question that changes nothing and returns the plan book.
 type Show struct{}
 
 // Reply answers an Ask.
 type Reply struct {
 	Err     error
-	Effects []plans.Effect // of a proposal
+	Effects []plans.Effect // what a proposed version changes or would change
 	Book    plans.Snapshot
-	Uses    map[string]ReservationUse // by the reservation's id
+	Uses    map[string]ReservationUse // by reservation id
 	Tally   Tally
-	Now     time.Duration
+	Now     time.Duration // wall-clock time of the reply
 }
 
-// ReservationUse is what this limiter knows of a reservation's use.
+// ReservationUse is what this limiter knows of the use of a reservation, in units: Used by this limiter, in Hand here
+// (leased and not yet used), and Leased by all limiters.
 type ReservationUse struct{ Used, Hand, Leased float64 }
 
-// Tally counts request contexts by the plan version that governed them: the newest few versions.
+// Tally counts request contexts by the plan version that governed them. It keeps the newest maxTalliedVersions versions.
 type Tally struct{ Versions []VersionTally }
 
-// VersionTally is one version's.
+// VersionTally is the number of request contexts that one version governed.
 type VersionTally struct {
 	Number   uint64 `json:"number"`
 	Requests uint64 `json:"requests"`
 }
 
-const mostTallied = 64
+const maxTalliedVersions = 64
 
-// Publish tells the fronts which tiers are in force (effect).
-type Publish struct {
+// PublishPlans tells the fronts which tiers are in force (effect).
+type PublishPlans struct {
 	Version uint64
 	Tiers   map[string]int
 	Plans   []logic.Plan
 }
 
-// Answered hands the reply of a question to who asked (effect).
-type Answered struct {
+// SendReply passes the reply to a question to its sender (effect).
+type SendReply struct {
 	To    func(Reply)
 	Reply Reply
 }
 
-// Store keeps the book where a state directory is named (effect). Who asked for the change is answered when it is kept.
-type Store struct {
-	Book plans.Snapshot
-	Then *Answered // nil: nobody asked
+// SavePlans saves the book if a state directory is configured (effect). The sender of the change is answered once the book
+// has been saved.
+type SavePlans struct {
+	Book    plans.Snapshot
+	OnSaved *SendReply // nil if the change was not requested by a question
 }
 
-// tendEvery is how often reservations in use are looked after.
-const tendEvery = 50 * time.Millisecond
+// reservationTickInterval is the interval at which reservations in use are checked.
+const reservationTickInterval = 50 * time.Millisecond
 
-// latest bounds a plan timer: one far ahead is set anew.
-const latest = time.Hour
+// maxPlanTimer bounds how far ahead a plan timer is set. A timer for a later time is set again when it fires.
+const maxPlanTimer = time.Hour
 
 func (t *Tally) count(version uint64) {
 	if n := len(t.Versions); n > 0 && t.Versions[n-1].Number == version {
 		t.Versions[n-1].Requests++
 		return
 	}
-	if len(t.Versions) >= mostTallied {
+	if len(t.Versions) >= maxTalliedVersions {
 		t.Versions = slices.Delete(t.Versions, 0, 1)
 	}
 	t.Versions = append(t.Versions, VersionTally{version, 1})
 }
 
-// Begin brings into force what is due at the start and tells the fronts.
+// Begin brings into force the plans and reservations that are due at the start and publishes them to the fronts. It is called
+// before the first event.
 func (r *Reducer) Begin(now time.Duration, effects []Effect) []Effect {
 	r.now, r.effects = max(r.now, now), effects
-	r.book.Advance(r.wall())
-	r.book.Turn(r.wall())
-	r.reserves.Set(r.book.Reservations())
-	r.publish()
-	r.alarm()
+	r.book.Advance(r.wallClock())
+	r.book.Turn(r.wallClock())
+	r.reservations.Set(r.book.Reservations())
+	r.publishPlans()
+	r.setPlanTimer()
 	if r.ring != nil {
-		r.counters()
+		r.announceCounters()
 	}
-	r.settle()
+	r.finishStep()
 	return r.effects
 }
 
-// ask answers a question; a change is taken whole or not at all.
-func (r *Reducer) ask(e Ask) {
-	reply := Reply{Now: r.wall()}
+// handleAsk answers a question. A change is applied completely or not at all.
+func (r *Reducer) handleAsk(e Ask) {
+	reply := Reply{Now: r.wallClock()}
 	changed := true
 	switch q := e.Question.(type) {
 	case Replace:
-		reply.Err = r.book.Replace(q.Source, q.Versions, q.Reservations, r.wall(), r.gateway.InUse(r.book.Tiers()))
+		reply.Err = r.book.Replace(q.Source, q.Versions, q.Reservations, r.wallClock(), r.gateway.InUse(r.book.Tiers()))
 	case Reread:
-		reply.Err = r.book.Reread(q.Tiers, r.wall(), r.gateway.InUse(r.book.Tiers()))
+		reply.Err = r.book.Reread(q.Tiers, r.wallClock(), r.gateway.InUse(r.book.Tiers()))
 	case Propose:
 		inUse := r.gateway.InUse(r.book.Tiers())
 		reply.Effects = plans.Diff(r.book.Current().Tiers, q.Version.Tiers, inUse)
@@ -133,92 +136,93 @@
 		if q.DryRun {
 			book, changed = r.book.Clone(), false
 		}
-		reply.Err = book.Propose(q.Version, r.wall(), inUse)
+		reply.Err = book.Propose(q.Version, r.wallClock(), inUse)
 	case Withdraw:
-		reply.Err = r.book.Withdraw(q.Number, r.wall())
+		reply.Err = r.book.Withdraw(q.Number, r.wallClock())
 	case Grant:
-		reply.Err = r.book.Grant(q.Reservation, r.wall())
+		reply.Err = r.book.Grant(q.Reservation, r.wallClock())
 	case Revoke:
-		reply.Err = r.book.Revoke(q.ID, r.wall())
+		reply.Err = r.book.Revoke(q.ID, r.wallClock())
 	case Show:
 		changed = false
 	}
 	changed = changed && reply.Err == nil
 	if changed {
-		r.turn()
+		r.advancePlans()
 	}
 	reply.Book, reply.Uses = r.book.Snapshot(), map[string]ReservationUse{}
 	reply.Tally.Versions = slices.Clone(r.tally.Versions)
 	for _, x := range reply.Book.Reservations {
-		if u, ok := r.reserves.Use(x.ID); ok {
+		if u, ok := r.reservations.Use(x.ID); ok {
 			reply.Uses[x.ID] = ReservationUse(u)
 		}
 	}
-	answered := Answered{e.Reply, reply}
+	sendReply := SendReply{e.Reply, reply}
 	if changed {
-		r.do(Store{reply.Book, &answered})
+		r.emit(SavePlans{reply.Book, &sendReply})
 		return
 	}
-	r.do(answered)
+	r.emit(sendReply)
 }
 
-// wall is the time by the wall clock.
-func (r *Reducer) wall() time.Duration { return r.now + r.ahead }
+// wallClock returns the current time on the wall clock.
+func (r *Reducer) wallClock() time.Duration { return r.now + r.wallClockAhead }
 
-// turn moves the book on with time: one moment for all that changes.
-func (r *Reducer) turn() {
-	if r.book.Advance(r.wall()) {
-		r.publish()
-		r.do(Store{Book: r.book.Snapshot()})
-		r.tell(logic.PlansChanged{})
+// advancePlans brings into force what is due by now, so that everything that changes in a step changes at one moment.
+func (r *Reducer) advancePlans() {
+	if r.book.Advance(r.wallClock()) {
+		r.publishPlans()
+		r.emit(SavePlans{Book: r.book.Snapshot()})
+		r.notify(logic.PlansChanged{})
 	}
-	r.book.Turn(r.wall())
-	r.reserves.Set(r.book.Reservations())
-	r.alarm()
+	r.book.Turn(r.wallClock())
+	r.reservations.Set(r.book.Reservations())
+	r.setPlanTimer()
 }
 
-func (r *Reducer) publish() {
-	r.do(Publish{r.book.Current().Number, r.book.Tiers(), r.book.Plans()})
+func (r *Reducer) publishPlans() {
+	r.emit(PublishPlans{r.book.Current().Number, r.book.Tiers(), r.book.Plans()})
 }
 
-// alarm sets a timer for the next version or reservation that is due, if none rings before.
-func (r *Reducer) alarm() {
+// setPlanTimer sets a timer for the next version or reservation that is due, unless an earlier plan timer is set.
+func (r *Reducer) setPlanTimer() {
 	at, due := r.book.Next()
-	if turn, ok := r.book.NextTurn(); ok && (!due || turn < at) {
-		at, due = turn, true
+	if reservationAt, ok := r.book.NextTurn(); ok && (!due || reservationAt < at) {
+		at, due = reservationAt, true
 	}
 	if !due {
 		return
 	}
-	at = min(max(at-r.ahead, r.now+1), r.now+latest)
-	if r.planned == 0 || at < r.planned {
-		r.planned = at
-		r.do(SetTimer{at, Timer{kind: planTimer}})
+	at = min(max(at-r.wallClockAhead, r.now+1), r.now+maxPlanTimer)
+	if r.planTimerAt == 0 || at < r.planTimerAt {
+		r.planTimerAt = at
+		r.emit(SetTimer{at, Timer{kind: planTimer}})
 	}
 }
 
-// lease makes the calls that the reserves ask for, and looks again at the firms for which something has come, which may
-// ask for more.
-func (r *Reducer) lease() {
+// serveReservations makes the calls that the reservation manager requests, records the reservations that are used up, and has
+// the module look again at the firms whose held requests may now be decided: leased units have arrived, a call brought none,
+// or the reservation is gone. Those may request more calls, so it repeats until nothing is left.
+func (r *Reducer) serveReservations() {
 	for {
-		calls, woken, spent := r.reserves.Calls(), r.reserves.Woken(), r.reserves.Spent()
+		calls, woken, spent := r.reservations.Calls(), r.reservations.Woken(), r.reservations.Spent()
 		if len(calls)+len(woken)+len(spent) == 0 {
 			break
 		}
 		for _, c := range calls {
-			r.call(&call{name: c.Name, amount: c.Amount, lives: c.Lives, at: r.now, until: r.now + c.Wait, lease: true, token: c.Token},
+			r.startCall(&call{name: c.Name, amount: c.Amount, ttl: c.Lives, startedAt: r.now, deadline: r.now + c.Wait, forReservation: true, reservationToken: c.Token},
 				c.Began, 0)
 		}
 		for _, id := range spent {
-			r.book.Spend(id, r.wall())
-			r.reserves.Set(r.book.Reservations())
+			r.book.Spend(id, r.wallClock())
+			r.reservations.Set(r.book.Reservations())
 		}
 		for _, firm := range woken {
-			r.tell(logic.Leased{Customer: firm})
+			r.notify(logic.Leased{Customer: firm})
 		}
 	}
-	if !r.tending && r.reserves.Active() {
-		r.tending = true
-		r.do(SetTimer{r.now + tendEvery, Timer{kind: reserveTimer}})
+	if !r.reservationTimerSet && r.reservations.Active() {
+		r.reservationTimerSet = true
+		r.emit(SetTimer{r.now + reservationTickInterval, Timer{kind: reservationTimer}})
 	}
 }
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -1,5 +1,5 @@
-// Package loop holds the one goroutine that owns the reducer. The reducer reads no clock and runs no effect, so
-// this package does: it drains events in batches, keeps the timers and hands out the effects after each batch.
+// Package loop runs the single goroutine that owns the reducer. The reducer reads no clock and runs no effects, so this
+// package does: it processes events in batches, keeps the timers, and runs the effects after each batch.
 package loop
 
 import (
@@ -23,83 +23,86 @@
 	CloseIdle(logic.ServerID)
 }
 
-// Counter makes the calls to the counters. It may not block.
-type Counter interface {
+// CounterClient makes the calls to the counters. Its methods must not block.
+type CounterClient interface {
 	Count(core.Count)
+	// Reach sets the addresses of the counters that may be called, by number.
 	Reach(map[int]string)
 }
 
-// Keeper keeps the plan book. It may not block.
+// Keeper saves the plan book for a restart. It must not block.
 type Keeper interface {
-	Keep(book plans.Snapshot, after func(error))
+	// Save calls after with the result once the book has been saved or could not be.
+	Save(book plans.Snapshot, after func(error))
 }
 
-// Loop is the owner of a reducer.
+// Loop owns a reducer.
 type Loop struct {
-	reducer *core.Reducer
-	callers []Caller // by group
-	counter Counter
-	board   *plans.Board
-	keeper  Keeper // nil: nothing is kept
+	reducer   *core.Reducer
+	callers   []Caller // by group
+	counters  CounterClient
+	board     *plans.Board
+	planStore Keeper // nil if the plan book is not saved
 
-	ids  atomic.Uint64
-	open atomic.Int64
-	wake chan struct{}
+	lastID       atomic.Uint64
+	openRequests atomic.Int64
+	wake         chan struct{}
 
 	mu    sync.Mutex
 	inbox []core.Event
 
-	ahead   time.Duration // of the wall clock, as the reducer was told
-	timers  timers
-	effects []core.Effect
-	traced  bool // tries and outcomes are logged: off in service
+	wallClockAhead time.Duration // how far the wall clock is ahead of Now, as last reported to the reducer
+	timers         timers
+	effects        []core.Effect
+	traceTries     bool // whether to log tries and outcomes at debug level; off in service
 }
 
-// New makes a loop; Run starts it once its parts are set.
+// New returns a loop for a reducer. Connect and Begin must be called before Run.
 func New(r *core.Reducer) *Loop {
-	return &Loop{reducer: r, wake: make(chan struct{}, 1), traced: slog.Default().Enabled(context.Background(), slog.LevelDebug)}
+	return &Loop{reducer: r, wake: make(chan struct{}, 1), traceTries: slog.Default().Enabled(context.Background(), slog.LevelDebug)}
 }
 
-// Connect sets the parts that effects go to: the callers by group, the counter, the board that shows the
-// plans, and who keeps them (nil: nobody).
-func (l *Loop) Connect(callers []Caller, counter Counter, board *plans.Board, keeper Keeper) {
-	l.callers, l.counter, l.board, l.keeper = callers, counter, board, keeper
+// Connect sets where effects are carried out: the callers by group, the client of the counters, the board that shows the
+// plans to the fronts, and the store that saves the plan book (nil if it is not saved).
+func (l *Loop) Connect(callers []Caller, counters CounterClient, board *plans.Board, planStore Keeper) {
+	l.callers, l.counters, l.board, l.planStore = callers, counters, board, planStore
 }
 
-// Begin brings into force what is due before the first event. It is called before Run.
+// Begin brings into force the plans and reservations that are due before the first event. It must be called before Run.
 func (l *Loop) Begin() {
 	l.effects = l.reducer.Begin(Now(), l.effects)
-	l.flush()
+	l.runEffects()
 }
 
-// ID is a new request context's.
-func (l *Loop) ID() uint64 { return l.ids.Add(1) }
+// ID returns an id for a new request context.
+func (l *Loop) ID() uint64 { return l.lastID.Add(1) }
 
-// Open is how many request contexts are in hand.
-func (l *Loop) Open() int { return int(l.open.Load()) }
+// Open returns the number of open request contexts as of the last batch.
+func (l *Loop) Open() int { return int(l.openRequests.Load()) }
 
-var began = time.Now()
+var startTime = time.Now()
 
-// Now is the limiter's clock: Unix time at the start, moved on by the monotonic clock, so that a step of the wall clock changes
-// no deadline. The reducer is told of such steps: servers' starts are told by the wall clock, and limiters number their
-// intervals by it.
+// Now returns the time on the limiter's clock: the Unix time at the start of the process, advanced by the monotonic clock, so
+// that a step of the wall clock does not move deadlines. Such steps are reported to the reducer, because start times of
+// servers are given on the wall clock and limiters number their intervals by it.
 func Now() time.Duration {
-	now, _ := clocks()
+	now, _ := readClocks()
 	return now
 }
 
-// clocks reads the limiter's clock and how far the wall clock is ahead of it, at one moment.
-func clocks() (now, ahead time.Duration) {
+// readClocks returns the time on the limiter's clock and how far the wall clock is ahead of it at the same moment.
+func readClocks() (now, ahead time.Duration) {
 	at := time.Now()
-	now = time.Duration(began.UnixNano()) + at.Sub(began)
+	now = time.Duration(startTime.UnixNano()) + at.Sub(startTime)
 	return now, time.Duration(at.UnixNano()) - now
 }
 
-// leastStep is what the wall clock has to be off by: less, as where it is slewed, is made up for once it adds up to that.
-const leastStep = 50 * time.Millisecond
+// minClockStep is the smallest change of the wall clock's offset that is reported to the reducer. Smaller changes, as when
+// the clock is slewed, are reported once they add up to this.
+const minClockStep = 50 * time.Millisecond
 
-// Post hands in an event. The inbox holds at most a few for each request context, try and call in hand, and
-// those are bounded by the fronts.
+// Post queues an event. The inbox needs no bound of its own: it holds at most a few events for each open request context,
+// try and call, and the fronts bound those.
 func (l *Loop) Post(ev core.Event) {
 	if q, ok := ev.(core.RequestContext); ok {
 		q.At = Now()
@@ -117,17 +120,17 @@
 	}
 }
 
-// Run owns the reducer until the context ends.
+// Run processes events and timers until ctx is done. No other goroutine may use the reducer meanwhile.
 func (l *Loop) Run(ctx context.Context) {
-	alarm := time.NewTimer(time.Hour)
-	defer alarm.Stop()
+	timer := time.NewTimer(time.Hour)
+	defer timer.Stop()
 	var batch []core.Event
 	for ctx.Err() == nil {
 		l.mu.Lock()
 		batch, l.inbox = l.inbox, batch[:0]
 		l.mu.Unlock()
-		l.turn(batch)
-		clear(batch) // what the events point to must not live on in the spare slice
+		l.processBatch(batch)
+		clear(batch) // the slice is reused and must not keep the events' data reachable
 		wait := time.Hour
 		if len(l.timers) > 0 {
 			wait = l.timers[0].At - Now()
@@ -135,25 +138,25 @@
 		if wait <= 0 {
 			continue
 		}
-		alarm.Reset(wait)
+		timer.Reset(wait)
 		select {
 		case <-l.wake:
-		case <-alarm.C:
+		case <-timer.C:
 		case <-ctx.Done():
 		}
 	}
 }
 
-// turn reduces a batch and the timers that are due, then runs the effects.
-func (l *Loop) turn(batch []core.Event) {
-	now, ahead := clocks()
-	if off := ahead - l.ahead; off.Abs() >= leastStep {
-		slog.Info("the wall clock has stepped", "by", off.Round(time.Millisecond))
-		l.ahead = ahead
-		l.effects = l.reducer.Reduce(now, core.ClockStepped{Ahead: ahead}, l.effects)
+// processBatch passes a batch of events and the timers that are due to the reducer, then runs the effects.
+func (l *Loop) processBatch(batch []core.Event) {
+	now, wallClockAhead := readClocks()
+	if step := wallClockAhead - l.wallClockAhead; step.Abs() >= minClockStep {
+		slog.Info("the wall clock has stepped", "by", step.Round(time.Millisecond))
+		l.wallClockAhead = wallClockAhead
+		l.effects = l.reducer.Reduce(now, core.ClockStepped{Ahead: wallClockAhead}, l.effects)
 	}
 	for _, ev := range batch {
-		if o, ok := ev.(core.Outcome); ok && l.traced {
+		if o, ok := ev.(core.Outcome); ok && l.traceTries {
 			slog.Debug("outcome", "context", o.ID, "try", o.Try, "status", o.Status)
 		}
 		l.effects = l.reducer.Reduce(now, ev, l.effects)
@@ -162,25 +165,25 @@
 		due := heap.Pop(&l.timers).(core.SetTimer)
 		l.effects = l.reducer.Reduce(now, due.Timer, l.effects)
 	}
-	l.open.Store(int64(l.reducer.Open()))
-	l.flush()
+	l.openRequests.Store(int64(l.reducer.Open()))
+	l.runEffects()
 }
 
-// flush runs the effects that are asked for.
-func (l *Loop) flush() {
+// runEffects runs the pending effects and clears the list.
+func (l *Loop) runEffects() {
 	for k := range l.effects {
-		l.run(l.effects[k])
+		l.runEffect(l.effects[k])
 		l.effects[k] = nil
 	}
 	l.effects = l.effects[:0]
 }
 
-func (l *Loop) run(e core.Effect) {
+func (l *Loop) runEffect(e core.Effect) {
 	switch e := e.(type) {
 	case core.SetTimer:
 		heap.Push(&l.timers, e)
 	case core.Try:
-		if l.traced {
+		if l.traceTries {
 			slog.Debug("try", "context", e.ID, "try", e.Key.Try, "server", e.Server, "wait", e.Wait)
 		}
 		l.callers[e.Group].Try(e)
@@ -195,39 +198,41 @@
 	case core.Fail:
 		e.Origin.Failed()
 	case core.Count:
-		l.counter.Count(e)
+		l.counters.Count(e)
 	case core.Reach:
-		l.counter.Reach(e.Counters)
-		slog.Info("counters", "listed", e.Listed, "list", e.List, "reached", len(e.Counters))
+		l.counters.Reach(e.Counters)
+		slog.Info("counters", "listed", e.ListedCount, "list", e.Fingerprint, "reached", len(e.Counters))
 	case core.CloseIdle:
 		l.callers[e.Group].CloseIdle(e.Server)
-	case core.Publish:
+	case core.PublishPlans:
 		l.board.Show(plans.Sheet{Version: e.Version, Tiers: e.Tiers, Plans: e.Plans})
 		slog.Info("plans in force", "version", e.Version, "tiers", len(e.Tiers))
-	case core.Answered:
+	case core.SendReply:
 		e.To(e.Reply)
-	case core.Store:
-		l.store(e)
+	case core.SavePlans:
+		l.savePlans(e)
 	case core.Log:
 		slog.Info("module", "says", e.Text)
 	}
 }
 
-func (l *Loop) store(e core.Store) {
+// savePlans saves the plan book, then answers the sender of the change. If saving fails the reply says so, but the change
+// stays in force.
+func (l *Loop) savePlans(e core.SavePlans) {
 	answer := func(err error) {
-		if e.Then == nil {
+		if e.OnSaved == nil {
 			return
 		}
 		if err != nil {
-			e.Then.Reply.Err = fmt.Errorf("in force, but not kept for a restart: %w", err)
+			e.OnSaved.Reply.Err = fmt.Errorf("in force, but not kept for a restart: %w", err)
 		}
-		e.Then.To(e.Then.Reply)
+		e.OnSaved.To(e.OnSaved.Reply)
 	}
-	if l.keeper == nil {
+	if l.planStore == nil {
 		answer(nil)
 		return
 	}
-	l.keeper.Keep(e.Book, answer)
+	l.planStore.Save(e.Book, answer)
 }
 
 type timers []core.SetTimer
