--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -29,8 +29,8 @@
 // Term numbers the grants of a duty, from 1. No number is given twice.
 type Term uint64
 
-// Life is one life of a limiter: after a restart it is another.
-type Life struct {
+// Instance is one life of a limiter: after a restart it is another.
+type Instance struct {
 	Name  string
 	Epoch uint64
 }
@@ -49,19 +49,19 @@
 
 // Command is a wish to the register.
 type Command struct {
-	Kind  Kind
-	Duty  Duty
-	By    Life
-	To    Life // of Transfer: the successor
-	Term  Term // held; of Acquire: none
-	Beats uint64
+	Kind     Kind
+	Duty     Duty
+	By       Instance
+	To       Instance // of Transfer: the successor
+	Term     Term     // held; of Acquire: none
+	Renewals uint64
 }
 
 // Grant is what stands of one duty.
 type Grant struct {
-	Holder Life   // the zero Life: nobody
-	Term   Term   // of the newest grant, also after its end
-	Beats  uint64 // renewals of this term: an end that crosses with one is void
+	Holder   Instance // the zero Life: nobody
+	Term     Term     // of the newest grant, also after its end
+	Renewals uint64   // renewals of this term: an end that crosses with one is void
 }
 
 // The register's refusals.
@@ -86,28 +86,28 @@
 
 // Apply takes a command and tells what stands then. A command that comes twice has one effect.
 func (r *Register) Apply(c Command) (Grant, error) {
-	g, err := next(r.grants[c.Duty], c)
+	g, err := transition(r.grants[c.Duty], c)
 	if err == nil {
 		r.grants[c.Duty] = g
 	}
 	return g, err
 }
 
-// next is what a command makes of a grant.
-func next(g Grant, c Command) (Grant, error) {
-	held := g.Holder != Life{} && g.Holder == c.By && g.Term == c.Term
+// transition is what a command makes of a grant.
+func transition(g Grant, c Command) (Grant, error) {
+	held := g.Holder != Instance{} && g.Holder == c.By && g.Term == c.Term
 	switch c.Kind {
 	case Acquire:
-		if g.Holder == c.By && c.By != (Life{}) { // its first answer was lost
-			g.Beats++
+		if g.Holder == c.By && c.By != (Instance{}) { // its first answer was lost
+			g.Renewals++
 			return g, nil
 		}
-		if g.Holder != (Life{}) {
+		if g.Holder != (Instance{}) {
 			return g, ErrHeld
 		}
 		return Grant{Holder: c.By, Term: g.Term + 1}, nil
 	case Expire:
-		if g.Holder == (Life{}) || g.Term != c.Term || g.Beats != c.Beats {
+		if g.Holder == (Instance{}) || g.Term != c.Term || g.Renewals != c.Renewals {
 			return g, ErrNotHeld
 		}
 		return Grant{Term: g.Term}, nil
@@ -117,12 +117,12 @@
 	}
 	switch c.Kind {
 	case Renew:
-		g.Beats++
+		g.Renewals++
 		return g, nil
 	case Release:
 		return Grant{Term: g.Term}, nil
 	case Transfer:
-		if c.To == (Life{}) || c.To == c.By {
+		if c.To == (Instance{}) || c.To == c.By {
 			return g, fmt.Errorf("hand over to %q: no other limiter", c.To.Name)
 		}
 		return Grant{Holder: c.To, Term: g.Term + 1}, nil
@@ -130,67 +130,67 @@
 	return g, fmt.Errorf("command %d is unknown", c.Kind)
 }
 
-// Watch has leases ended that are not renewed. It belongs to one term of leading the quorum.
-type Watch struct {
-	life  time.Duration
-	marks map[Duty]mark
+// ExpiryWatch has leases ended that are not renewed. It belongs to one term of leading the quorum.
+type ExpiryWatch struct {
+	duration time.Duration
+	renewals map[Duty]lastRenewal
 }
 
-type mark struct {
-	term  Term
-	beats uint64
-	since time.Duration
+type lastRenewal struct {
+	term     Term
+	renewals uint64
+	seenAt   time.Duration
 }
 
-// NewWatch begins to lead now: what is held has a whole life from here, since when it was renewed last is not known.
-func NewWatch(life time.Duration, r *Register, now time.Duration) *Watch {
-	w := &Watch{life: life, marks: map[Duty]mark{}}
+// NewExpiryWatch begins to lead now: what is held has a whole life from here, since when it was renewed last is not known.
+func NewExpiryWatch(life time.Duration, r *Register, now time.Duration) *ExpiryWatch {
+	w := &ExpiryWatch{duration: life, renewals: map[Duty]lastRenewal{}}
 	for d := range r.grants {
-		w.Applied(d, r.grants[d], now)
+		w.Observe(d, r.grants[d], now)
 	}
 	return w
 }
 
-// Applied tells of what stands after a command.
-func (w *Watch) Applied(d Duty, g Grant, now time.Duration) {
-	m, known := w.marks[d]
+// Observe tells of what stands after a command.
+func (w *ExpiryWatch) Observe(d Duty, g Grant, now time.Duration) {
+	m, known := w.renewals[d]
 	switch {
-	case g.Holder == (Life{}):
-		delete(w.marks, d)
-	case !known || m.term != g.Term || m.beats != g.Beats:
-		w.marks[d] = mark{g.Term, g.Beats, now}
+	case g.Holder == (Instance{}):
+		delete(w.renewals, d)
+	case !known || m.term != g.Term || m.renewals != g.Renewals:
+		w.renewals[d] = lastRenewal{g.Term, g.Renewals, now}
 	}
 }
 
-// Due is the ends that are due, to be put to the register like any command. They are due until they are applied.
-func (w *Watch) Due(now time.Duration) (ends []Command) {
-	for d, m := range w.marks {
-		if over(m, w.life, now) {
-			ends = append(ends, Command{Kind: Expire, Duty: d, Term: m.term, Beats: m.beats})
+// DueExpirations is the ends that are due, to be put to the register like any command. They are due until they are applied.
+func (w *ExpiryWatch) DueExpirations(now time.Duration) (ends []Command) {
+	for d, m := range w.renewals {
+		if expired(m, w.duration, now) {
+			ends = append(ends, Command{Kind: Expire, Duty: d, Term: m.term, Renewals: m.renewals})
 		}
 	}
 	return ends
 }
 
-func over(m mark, life, now time.Duration) bool { return now-m.since >= life }
+func expired(m lastRenewal, life, now time.Duration) bool { return now-m.seenAt >= life }
 
 // Fence keeps late effects out. It stands where effects are taken, and is as lasting as what they change.
-type Fence struct{ seen map[Duty]Term }
+type Fence struct{ highest map[Duty]Term }
 
 // NewFence makes a fence from the terms that were kept (nil: none).
 func NewFence(seen map[Duty]Term) *Fence {
-	return &Fence{seen: maps.Collect(maps.All(seen))}
+	return &Fence{highest: maps.Collect(maps.All(seen))}
 }
 
-// Take tells whether an effect of this term may be taken. A new holder's first effect raises the fence; where its duty
+// Admit tells whether an effect of this term may be taken. A new holder's first effect raises the fence; where its duty
 // allows no late effect of the one before, it raises the fence with an empty one before it begins.
-func (f *Fence) Take(d Duty, t Term) bool {
-	if t == 0 || t < f.seen[d] {
+func (f *Fence) Admit(d Duty, t Term) bool {
+	if t == 0 || t < f.highest[d] {
 		return false
 	}
-	f.seen[d] = t
+	f.highest[d] = t
 	return true
 }
 
-// Seen is a copy of the highest terms, to be kept.
-func (f *Fence) Seen() map[Duty]Term { return maps.Clone(f.seen) }
+// HighestTerms is a copy of the highest terms, to be kept.
+func (f *Fence) HighestTerms() map[Duty]Term { return maps.Clone(f.highest) }
--- a/internal/lease/model_test.go
+++ b/internal/lease/model_test.go
@@ -15,112 +15,112 @@
 // states within the bounds are visited.
 
 const (
-	life   = 4 * time.Second // four ticks
-	fleet  = 3
-	behind = time.Second - 1 // a clock falls, once: less than the drift
-	ways   = 2               // messages of each direction under way at a time
+	leaseDuration = 4 * time.Second // four ticks
+	maxPeers      = 3
+	clockDelay    = time.Second - 1 // a clock falls, once: less than the drift
+	messageSlots  = 2               // messages of each direction under way at a time
 )
 
-var modelRules = Rules{Life: life, Drift: time.Second, Patience: 2 * time.Second, Retry: time.Second, MostLag: time.Second}
+var modelRules = Rules{Duration: leaseDuration, MaxClockDrift: time.Second, AnswerTimeout: 2 * time.Second, RetryDelay: time.Second, MaxLoopLag: time.Second}
 
-type ask struct {
-	from int8 // from 1; 0: none
-	num  uint64
-	c    Command
+type request struct {
+	from    int8 // from 1; 0: none
+	number  uint64
+	command Command
 }
 
 type answer struct {
-	to  int8
-	who Life
-	num uint64
-	g   Grant
-	no  bool
+	to       int8
+	instance Instance
+	number   uint64
+	grant    Grant
+	refused  bool
 }
 
 type effect struct {
 	term Term
-	by   Life
+	by   Instance
 }
 
 type peer struct {
-	h       Holder
+	holder  Holder
 	pending effect // checked, and not arrived
 }
 
 // bounds say what a run may hold: limiters that take part, terms, effects, and how often each fault comes. Time has none.
 type bounds struct {
-	peers                                     int
-	terms                                     Term
-	effects, crash, slow, twice, leads, gives uint8
+	peers                                                                int
+	terms                                                                Term
+	effects, restarts, clockDelays, duplicates, leaderChanges, transfers uint8
 }
 
-type world struct {
-	now     time.Duration
-	g       Grant
-	watch   mark
-	end     Command // put to the register by the watch and not applied
-	ended   bool    // end is set
-	peers   [fleet]peer
-	asks    [ways]ask
-	answers [ways]answer
-	fence   Term
-	last    effect // the newest that was accepted
-	left    bounds
+type state struct {
+	now           time.Duration
+	grant         Grant
+	renewal       lastRenewal
+	expiry        Command // put to the register by the watch and not applied
+	expiryPending bool    // end is set
+	peers         [maxPeers]peer
+	requests      [messageSlots]request
+	answers       [messageSlots]answer
+	fenceTerm     Term
+	lastAccepted  effect // the newest that was accepted
+	remaining     bounds
 }
 
 type bug string
 
-func self(k int, epoch uint64) Life { return Life{Name: string(rune('a' + k)), Epoch: epoch} }
+func self(k int, epoch uint64) Instance { return Instance{Name: string(rune('a' + k)), Epoch: epoch} }
 
-func begin(b bounds) world {
-	w := world{left: b}
+func initialState(b bounds) state {
+	w := state{remaining: b}
 	for k := range w.peers {
-		w.peers[k].h = NewHolder("keeper", self(k, 1), modelRules)
+		w.peers[k].holder = NewHolder("keeper", self(k, 1), modelRules)
 	}
 	return w
 }
 
-// normal moves time to 0, so that all clocks show 0 and one that falls behind has its times moved on, and drops what decides nothing any more, so that states which go on alike are one.
-func (w *world) normal(planted bug) {
-	if w.g.Holder != (Life{}) {
-		w.watch.since = max(w.watch.since-w.now, -life)
+// normalize moves time to 0, so that all clocks show 0 and one that falls behind has its times moved on, and drops what decides nothing any more, so that states which go on alike are one.
+func (w *state) normalize(planted bug) {
+	if w.grant.Holder != (Instance{}) {
+		w.renewal.seenAt = max(w.renewal.seenAt-w.now, -leaseDuration)
 	}
-	if w.ended && (w.end.Term != w.g.Term || w.end.Beats != w.g.Beats) && planted != "an end that ignores renewals" {
-		w.end, w.ended = Command{}, false // void: the same renewals do not come again
+	if w.expiryPending && (w.expiry.Term != w.grant.Term || w.expiry.Renewals != w.grant.Renewals) && planted != "an end that ignores renewals" {
+		w.expiry, w.expiryPending = Command{}, false // void: the same renewals do not come again
 	}
-	if w.g.Beats, w.watch.beats = 0, 0; planted != "an end that ignores renewals" {
-		w.end.Beats = 0
+	if w.grant.Renewals, w.renewal.renewals = 0, 0; planted != "an end that ignores renewals" {
+		w.expiry.Renewals = 0
 	}
-	for k := range w.left.peers {
-		h := &w.peers[k].h
-		if h.next = max(h.next-w.now, 0); h.until != 0 {
-			if h.until -= w.now; h.until <= 0 && h.ending {
-				h.until = -1
+	for k := range w.remaining.peers {
+		h := &w.peers[k].holder
+		if h.notBefore = max(h.notBefore-w.now, 0); h.heldUntil != 0 {
+			if h.heldUntil -= w.now; h.heldUntil <= 0 && h.releasing {
+				h.heldUntil = -1
 			} else {
-				h.until = max(h.until, 0)
+				h.heldUntil = max(h.heldUntil, 0)
 			}
 		}
-		if h.asked = max(h.asked-w.now, -life); h.out == 0 {
-			h.asked = 0
+		if h.askedAt = max(h.askedAt-w.now, -leaseDuration); h.pendingAsk == 0 {
+			h.askedAt = 0
 		}
-		for s := range w.asks {
-			if m := &w.asks[s]; int(m.from) == k+1 && (m.c.By != h.self || m.num != h.out) {
-				m.num = 0 // its answer is not heard
+		for s := range w.requests {
+			if m := &w.requests[s]; int(m.from) == k+1 && (m.command.By != h.self || m.number != h.pendingAsk) {
+				m.number = 0 // its answer is not heard
 			} else if int(m.from) == k+1 {
-				m.num = 1
+				m.number = 1
 			}
 		}
 		for s := range w.answers {
-			if m := &w.answers[s]; int(m.to) == k+1 && (m.who != h.self || m.num != h.out) && planted != "an old answer heard" {
+			if m := &w.answers[s]; int(m.to) == k+1 && (m.instance != h.self || m.number != h.pendingAsk) && planted != "an old answer heard" {
 				*m = answer{}
 			} else if int(m.to) == k+1 {
-				m.num = 1
+				m.number = 1
 			}
 		}
-		h.out, h.numbers = min(h.out, 1), 1
+		h.pendingAsk, h.lastAsk = min(h.pendingAsk, 1), 1
 	}
-	if w.asks[0].from == 0 || w.asks[1].from != 0 && w.asks[1].from < w.asks[0].from {
-		w.asks[0], w.asks[1] = w.asks[1], w.asks[0]
+	if w.requests[0].from == 0 || w.requests[1].from != 0 && w.requests[1].from < w.requests[0].from {
+		w.requests[0], w.requests[1] = w.requests[1], w.requests[0]
 	}
 	if w.answers[0].to == 0 || w.answers[1].to != 0 && w.answers[1].to < w.answers[0].to {
 		w.answers[0], w.answers[1] = w.answers[1], w.answers[0]
@@ -128,76 +128,76 @@
 	w.now = 0
 }
 
-func (w *world) apply(c Command, planted bug) (Grant, error) {
+func (w *state) apply(c Command, planted bug) (Grant, error) {
 	if planted == "an end that ignores renewals" && c.Kind == Expire {
-		c.Beats = w.g.Beats
+		c.Renewals = w.grant.Renewals
 	}
-	g, err := next(w.g, c)
+	g, err := transition(w.grant, c)
 	if err != nil {
 		return g, err
 	}
 	if planted == "a term used again" && c.Kind == Expire {
 		g.Term--
 	}
-	if w.g = g; g.Holder == (Life{}) {
-		w.watch = mark{}
-	} else if w.watch.term != g.Term || w.watch.beats != g.Beats {
-		w.watch = mark{g.Term, g.Beats, w.now}
+	if w.grant = g; g.Holder == (Instance{}) {
+		w.renewal = lastRenewal{}
+	} else if w.renewal.term != g.Term || w.renewal.renewals != g.Renewals {
+		w.renewal = lastRenewal{g.Term, g.Renewals, w.now}
 	}
 	return g, nil
 }
 
-// arrive takes an effect at the fence. It tells what is wrong.
-func (w *world) arrive(e effect, planted bug) string {
-	if e.term < w.fence && planted != "no fence" {
+// acceptEffect takes an effect at the fence. It tells what is wrong.
+func (w *state) acceptEffect(e effect, planted bug) string {
+	if e.term < w.fenceTerm && planted != "no fence" {
 		return ""
 	}
-	if e.term < w.last.term {
-		return fmt.Sprintf("an effect of term %d was accepted after one of term %d", e.term, w.last.term)
+	if e.term < w.lastAccepted.term {
+		return fmt.Sprintf("an effect of term %d was accepted after one of term %d", e.term, w.lastAccepted.term)
 	}
-	if e.term == w.last.term && e.by != w.last.by {
-		return fmt.Sprintf("effects of %v and %v under one term", e.by, w.last.by)
+	if e.term == w.lastAccepted.term && e.by != w.lastAccepted.by {
+		return fmt.Sprintf("effects of %v and %v under one term", e.by, w.lastAccepted.by)
 	}
-	w.fence, w.last = max(w.fence, e.term), e
+	w.fenceTerm, w.lastAccepted = max(w.fenceTerm, e.term), e
 	return ""
 }
 
 // believers is how many think that they hold the duty, but for one of them.
-func (w *world) believers(but int) (n int) {
+func (w *state) believers(but int) (n int) {
 	for k := range w.peers {
-		if _, may := w.peers[k].h.May(w.now); may && k != but {
+		if _, may := w.peers[k].holder.MayAct(w.now); may && k != but {
 			n++
 		}
 	}
 	return n
 }
 
-const none = -1
+const noPeer = -1
 
-// steps gives each state that may follow to visit.
-func (w world) steps(planted bug, visit func(world, string)) {
+// successors gives each state that may follow to visit.
+func (w state) successors(planted bug, visit func(state, string)) {
 	n := w
 	n.now += time.Second
 	visit(n, "")
-	for k := range w.left.peers {
+	for k := range w.remaining.peers {
 		if n := w; true {
-			if c, num, ok := n.peers[k].h.Ask(n.now); ok {
-				for s := range n.asks { // in a free place, or in that of one that is lost
+			if c, num, ok := n.peers[k].holder.NextCommand(n.now); ok {
+				for s := range n.requests { // in a free place, or in that of one that is lost
 					m := n
-					m.asks[s] = ask{int8(k + 1), num, c}
+					m.requests[s] = request{int8(k + 1), num, c}
 					visit(m, "")
-					if w.asks[s].from == 0 {
+					if w.requests[s].from == 0 {
 						break
 					}
 				}
 			}
 		}
 		p := w.peers[k]
-		term, may := p.h.May(w.now)
-		if acts := may || planted == "no check before an effect" && term > 0; acts && p.pending.term == 0 && w.left.effects > 0 {
+		term, may := p.holder.MayAct(w.now)
+		if acts := may || planted == "no check before an effect" && term > 0; acts && p.pending.term == 0 && w.remaining.effects > 0 {
 			n, bad := w, ""
-			n.left.effects--
-			n.peers[k].pending = effect{term, p.h.self}
+			n.remaining.effects--
+			n.peers[k].pending = effect{term, p.holder.self}
 			if w.believers(k) > 0 {
 				bad = "an effect begins while another limiter holds the duty"
 			}
@@ -206,47 +206,47 @@
 		if p.pending.term != 0 {
 			n := w
 			n.peers[k].pending = effect{}
-			visit(n, n.arrive(p.pending, planted))
+			visit(n, n.acceptEffect(p.pending, planted))
 		}
-		if w.left.crash > 0 {
+		if w.remaining.restarts > 0 {
 			n := w
-			n.left.crash--
-			n.peers[k].h = NewHolder("keeper", self(k, p.h.self.Epoch+1), modelRules) // what it sent may still arrive
+			n.remaining.restarts--
+			n.peers[k].holder = NewHolder("keeper", self(k, p.holder.self.Epoch+1), modelRules) // what it sent may still arrive
 			visit(n, "")
 		}
-		if w.left.slow > 0 && p.h.until > 0 {
+		if w.remaining.clockDelays > 0 && p.holder.heldUntil > 0 {
 			n := w
-			n.left.slow--
-			n.peers[k].h.until += behind
-			n.peers[k].h.asked += behind
+			n.remaining.clockDelays--
+			n.peers[k].holder.heldUntil += clockDelay
+			n.peers[k].holder.askedAt += clockDelay
 			visit(n, "")
 		}
-		if w.left.gives > 0 && may {
+		if w.remaining.transfers > 0 && may {
 			n := w
-			n.left.gives--
-			old := n.peers[k].h
-			if c, ok := n.peers[k].h.HandOver(w.peers[(k+1)%w.left.peers].h.self, n.now); ok {
+			n.remaining.transfers--
+			old := n.peers[k].holder
+			if c, ok := n.peers[k].holder.Transfer(w.peers[(k+1)%w.remaining.peers].holder.self, n.now); ok {
 				if planted == "a hand-over that goes on" {
-					n.peers[k].h = old
+					n.peers[k].holder = old
 				}
 				_, _ = n.apply(c, planted)
-				n.peers[(k+1)%w.left.peers].h.Given(n.now)
+				n.peers[(k+1)%w.remaining.peers].holder.NotifyTransfer(n.now)
 			}
 			visit(n, "")
 		}
 	}
-	for s, m := range w.asks {
+	for s, m := range w.requests {
 		if m.from == 0 {
 			continue
 		}
 		n := w // what never arrives is lost: its place is taken by the next
-		if n.left.twice > 0 {
-			n.left.twice--
+		if n.remaining.duplicates > 0 {
+			n.remaining.duplicates--
 			n.reply(m, planted)
 			visit(n, "") // and comes again
 		}
 		n = w
-		n.asks[s] = ask{}
+		n.requests[s] = request{}
 		n.reply(m, planted)
 		visit(n, "")
 	}
@@ -256,49 +256,49 @@
 		}
 		n := w
 		n.answers[s] = answer{}
-		h := &n.peers[m.to-1].h
-		if h.self == m.who {
+		h := &n.peers[m.to-1].holder
+		if h.self == m.instance {
 			var err error
-			if m.no {
+			if m.refused {
 				err = ErrHeld
 			}
-			num := m.num
+			num := m.number
 			switch planted {
 			case "time counted from the answer":
-				h.asked = n.now
+				h.askedAt = n.now
 			case "an old answer heard":
-				num = h.out
+				num = h.pendingAsk
 			}
-			h.Told(n.now, num, m.g, err, 0)
+			h.HandleGrant(n.now, num, m.grant, err, 0)
 			visit(n, "")
 		}
 	}
-	if w.g.Holder != (Life{}) && over(w.watch, life, w.now) && !w.ended {
+	if w.grant.Holder != (Instance{}) && expired(w.renewal, leaseDuration, w.now) && !w.expiryPending {
 		n := w
-		n.end, n.ended = Command{Kind: Expire, Duty: "keeper", Term: w.watch.term, Beats: w.watch.beats}, true
+		n.expiry, n.expiryPending = Command{Kind: Expire, Duty: "keeper", Term: w.renewal.term, Renewals: w.renewal.renewals}, true
 		visit(n, "")
 	}
-	if w.ended {
+	if w.expiryPending {
 		n := w
-		n.end, n.ended = Command{}, false
-		_, _ = n.apply(w.end, planted)
+		n.expiry, n.expiryPending = Command{}, false
+		_, _ = n.apply(w.expiry, planted)
 		visit(n, "")
 	}
-	if w.left.leads > 0 && w.g.Holder != (Life{}) {
+	if w.remaining.leaderChanges > 0 && w.grant.Holder != (Instance{}) {
 		n := w
-		n.left.leads--
-		if n.watch.since = n.now; planted == "a new leader that counts from before" {
-			n.watch.since = -life
+		n.remaining.leaderChanges--
+		if n.renewal.seenAt = n.now; planted == "a new leader that counts from before" {
+			n.renewal.seenAt = -leaseDuration
 		}
 		visit(n, "")
 	}
 }
 
-func (w *world) reply(m ask, planted bug) {
-	g, err := w.apply(m.c, planted)
+func (w *state) reply(m request, planted bug) {
+	g, err := w.apply(m.command, planted)
 	for s := range w.answers {
-		if w.answers[s].to == 0 || s == ways-1 { // without room the last is lost
-			w.answers[s] = answer{m.from, m.c.By, m.num, g, err != nil}
+		if w.answers[s].to == 0 || s == messageSlots-1 { // without room the last is lost
+			w.answers[s] = answer{m.from, m.command.By, m.number, g, err != nil}
 			return
 		}
 	}
@@ -308,15 +308,15 @@
 func explore(b bounds, planted bug, most int) (states int, wrong string) {
 	seed := maphash.MakeSeed()
 	seen := map[uint64]struct{}{}
-	todo := []world{begin(b)}
+	todo := []state{initialState(b)}
 	for len(todo) > 0 && wrong == "" && len(seen) < most {
 		w := todo[0]
 		todo = todo[1:]
-		w.steps(planted, func(n world, bad string) {
+		w.successors(planted, func(n state, bad string) {
 			if bad != "" {
 				wrong = bad
 			}
-			if n.normal(planted); n.g.Term > b.terms {
+			if n.normalize(planted); n.grant.Term > b.terms {
 				return
 			}
 			key := maphash.Comparable(seed, n)
@@ -324,10 +324,10 @@
 				return
 			}
 			seen[key] = struct{}{}
-			if n.believers(none) > 1 {
+			if n.believers(noPeer) > 1 {
 				wrong = "two limiters believe that they hold the duty"
 			}
-			if planted == "" && len(seen)%97 == 0 && !n.fair() {
+			if planted == "" && len(seen)%97 == 0 && !n.findsHolder() {
 				wrong = fmt.Sprintf("nobody comes to hold the duty from %+v", n)
 			}
 			todo = append(todo, n)
@@ -336,34 +336,34 @@
 	return len(seen), wrong
 }
 
-// fair tells whether the duty finds a holder where from now on nothing is lost and nobody stands still.
-func (w world) fair() bool {
+// findsHolder tells whether the duty finds a holder where from now on nothing is lost and nobody stands still.
+func (w state) findsHolder() bool {
 	for range 30 { // ticks: two lives, the retries and what an earlier limiter that is gone had asked for
-		for k := range w.left.peers {
-			if c, num, ok := w.peers[k].h.Ask(0); ok {
+		for k := range w.remaining.peers {
+			if c, num, ok := w.peers[k].holder.NextCommand(0); ok {
 				g, err := w.apply(c, "")
-				w.peers[k].h.Told(0, num, g, err, float64(k)/fleet)
+				w.peers[k].holder.HandleGrant(0, num, g, err, float64(k)/maxPeers)
 			}
 		}
-		if w.believers(none) == 1 {
+		if w.believers(noPeer) == 1 {
 			return true
 		}
-		if w.g.Holder != (Life{}) && over(w.watch, life, 0) {
-			_, _ = w.apply(Command{Kind: Expire, Duty: "keeper", Term: w.watch.term, Beats: w.watch.beats}, "")
+		if w.grant.Holder != (Instance{}) && expired(w.renewal, leaseDuration, 0) {
+			_, _ = w.apply(Command{Kind: Expire, Duty: "keeper", Term: w.renewal.term, Renewals: w.renewal.renewals}, "")
 		}
 		w.now = time.Second
-		w.normal("")
+		w.normalize("")
 	}
 	return false
 }
 
 // Never two believe that they hold the duty, no effect is accepted out of the order of terms or by two under one term, and
 // from each state there is a holder again.
-func TestAllStatesOfALease(t *testing.T) {
+func TestLeaseStateSpaceHoldsInvariants(t *testing.T) {
 	all := []bounds{
-		{peers: 2, terms: 2, slow: 1, leads: 1},
-		{peers: 2, terms: 2, twice: 1, gives: 1},
-		{peers: 2, terms: 2, crash: 1},
+		{peers: 2, terms: 2, clockDelays: 1, leaderChanges: 1},
+		{peers: 2, terms: 2, duplicates: 1, transfers: 1},
+		{peers: 2, terms: 2, restarts: 1},
 		{peers: 2, terms: 2, effects: 2},
 		{peers: 3, terms: 1},
 	}
@@ -380,15 +380,15 @@
 	}
 }
 
-func TestPlantedBugsAreCaught(t *testing.T) {
+func TestModelDetectsInjectedBugs(t *testing.T) {
 	for planted, b := range map[bug]bounds{
 		"no check before an effect":            {peers: 2, terms: 2, effects: 2},
 		"time counted from the answer":         {peers: 2, terms: 2},
 		"a term used again":                    {peers: 2, terms: 3, effects: 2},
 		"no fence":                             {peers: 2, terms: 2, effects: 2},
 		"an end that ignores renewals":         {peers: 2, terms: 2},
-		"a new leader that counts from before": {peers: 2, terms: 2, leads: 1},
-		"a hand-over that goes on":             {peers: 2, terms: 2, gives: 1},
+		"a new leader that counts from before": {peers: 2, terms: 2, leaderChanges: 1},
+		"a hand-over that goes on":             {peers: 2, terms: 2, transfers: 1},
 		"an old answer heard":                  {peers: 2, terms: 2},
 	} {
 		t.Run(string(planted), func(t *testing.T) {
--- a/internal/plans/board.go
+++ b/internal/plans/board.go
@@ -7,7 +7,7 @@
 )
 
 // Board shows the fronts the tiers in force. The reducer's owner writes it, any goroutine may read it.
-type Board struct{ sheet atomic.Pointer[Sheet] }
+type Board struct{ snapshot atomic.Pointer[Sheet] }
 
 // Sheet is what the board shows. It is never changed.
 type Sheet struct {
@@ -17,11 +17,11 @@
 }
 
 // Show puts up a sheet.
-func (b *Board) Show(s Sheet) { b.sheet.Store(&s) }
+func (b *Board) Show(s Sheet) { b.snapshot.Store(&s) }
 
 // Sheet is the one that is up; empty before the first.
 func (b *Board) Sheet() Sheet {
-	if s := b.sheet.Load(); s != nil {
+	if s := b.snapshot.Load(); s != nil {
 		return *s
 	}
 	return Sheet{}
--- a/internal/plans/book.go
+++ b/internal/plans/book.go
@@ -54,40 +54,40 @@
 
 // Sizes of what is kept: versions ended, to come, and reservations.
 const (
-	MostHistory      = 32
-	MostPending      = 64
-	MostTiers        = 64
-	MostFirms        = 100_000
-	MostReservations = 4096
+	MaxHistory      = 32
+	MaxPending      = 64
+	MaxTiers        = 64
+	MostFirms       = 100_000
+	MaxReservations = 4096
 )
 
 // Book holds the versions and reservations. The zero value is not usable; New makes one.
 type Book struct {
-	limits  Limits
-	names   []string // tiers ever, a tier's number is its place: requests in hand hold it
-	current Version
-	pending []Version // by instant, then number
-	history []Ended   // oldest first
-	table   []figures // of the tiers in force, by number
-	firms   map[uint64]override
-	newest  uint64
+	limits        Limits
+	tierNames     []string // tiers ever, a tier's number is its place: requests in hand hold it
+	current       Version
+	pending       []Version      // by instant, then number
+	history       []EndedVersion // oldest first
+	tiers         []tierEntry    // of the tiers in force, by number
+	firmOverrides map[uint64]override
+	highestNumber uint64
 
-	platform []logic.Plan // as last read
+	platformTiers []logic.Plan // as last read
 
 	reservations map[string]Reservation
 }
 
-// Ended is a version that is no longer in force, and until when it was.
-type Ended struct {
+// EndedVersion is a version that is no longer in force, and until when it was.
+type EndedVersion struct {
 	Version
 	Began     time.Duration `json:"began"`
 	Until     time.Duration `json:"until"`
 	Withdrawn bool          `json:"withdrawn,omitempty"` // before its time
 }
 
-type figures struct {
-	plan logic.Plan
-	is   bool // there is such a tier in the version in force
+type tierEntry struct {
+	plan    logic.Plan
+	inForce bool // there is such a tier in the version in force
 }
 
 // override is a Firm, looked up: figures of its own, or a tier's number.
@@ -99,33 +99,33 @@
 // New makes a book whose first version, number 0, is the platform's. It is taken as it is: the platform has been
 // running on these figures.
 func New(tiers []logic.Plan, limits Limits) *Book {
-	b := &Book{limits: limits, platform: tiers, reservations: map[string]Reservation{}}
-	b.use(Version{Source: Platform, Note: "the platform's settings at the start", Tiers: tiers})
+	b := &Book{limits: limits, platformTiers: tiers, reservations: map[string]Reservation{}}
+	b.activate(Version{Source: Platform, Note: "the platform's settings at the start", Tiers: tiers})
 	return b
 }
 
 // Clone copies the book, to try a change on.
 func (b *Book) Clone() *Book {
 	c := *b
-	c.names = slices.Clone(b.names)
+	c.tierNames = slices.Clone(b.tierNames)
 	c.pending, c.history = slices.Clone(b.pending), slices.Clone(b.history)
-	c.table = slices.Clone(b.table)
+	c.tiers = slices.Clone(b.tiers)
 	c.reservations = maps.Clone(b.reservations)
 	return &c // versions are never changed in place, so their tiers and firms may be shared
 }
 
 // Plan implements logic.Book.
 func (b *Book) Plan(firm uint64, tier int) (logic.Plan, bool) {
-	if o, ok := b.firms[firm]; ok {
+	if o, ok := b.firmOverrides[firm]; ok {
 		if o.own != nil {
-			return *o.own, tier >= 0 && tier < len(b.names)
+			return *o.own, tier >= 0 && tier < len(b.tierNames)
 		}
 		tier = o.tier
 	}
-	if tier < 0 || tier >= len(b.table) || !b.table[tier].is {
+	if tier < 0 || tier >= len(b.tiers) || !b.tiers[tier].inForce {
 		return logic.Plan{}, false
 	}
-	return b.table[tier].plan, true
+	return b.tiers[tier].plan, true
 }
 
 // Current is the version in force.
@@ -135,14 +135,14 @@
 func (b *Book) Pending() []Version { return slices.Clone(b.pending) }
 
 // History is the versions that have ended, oldest first.
-func (b *Book) History() []Ended { return slices.Clone(b.history) }
+func (b *Book) History() []EndedVersion { return slices.Clone(b.history) }
 
 // Tiers is the tiers in force by name, with their numbers, which stay the same for as long as the program runs.
 func (b *Book) Tiers() map[string]int {
 	all := map[string]int{}
-	for n, f := range b.table {
-		if f.is {
-			all[b.names[n]] = n
+	for n, f := range b.tiers {
+		if f.inForce {
+			all[b.tierNames[n]] = n
 		}
 	}
 	return all
@@ -150,9 +150,9 @@
 
 // Plans is the tiers' figures by number. Those of tiers that are gone are zero.
 func (b *Book) Plans() []logic.Plan {
-	all := make([]logic.Plan, len(b.table))
-	for n, f := range b.table {
-		if f.is {
+	all := make([]logic.Plan, len(b.tiers))
+	for n, f := range b.tiers {
+		if f.inForce {
 			all[n] = f.plan
 		}
 	}
@@ -173,62 +173,62 @@
 	for len(b.pending) > 0 && b.pending[0].Effective <= now {
 		v := b.pending[0]
 		b.pending = slices.Clone(b.pending[1:])
-		b.end(Ended{Version: b.current, Began: b.current.Effective, Until: now})
-		b.use(v)
+		b.appendHistory(EndedVersion{Version: b.current, Began: b.current.Effective, Until: now})
+		b.activate(v)
 		changed = true
 	}
 	return changed
 }
 
-func (b *Book) end(e Ended) {
+func (b *Book) appendHistory(e EndedVersion) {
 	b.history = append(b.history, e)
-	if over := len(b.history) - MostHistory; over > 0 {
+	if over := len(b.history) - MaxHistory; over > 0 {
 		b.history = slices.Clone(b.history[over:])
 	}
 }
 
-// use makes a version the one in force.
-func (b *Book) use(v Version) {
+// activate makes a version the one in force.
+func (b *Book) activate(v Version) {
 	b.current = v
-	b.newest = max(b.newest, v.Number)
-	b.table = make([]figures, len(b.names))
+	b.highestNumber = max(b.highestNumber, v.Number)
+	b.tiers = make([]tierEntry, len(b.tierNames))
 	for _, t := range v.Tiers {
-		n := b.number(t.Name)
-		for len(b.table) <= n {
-			b.table = append(b.table, figures{})
+		n := b.tierNumber(t.Name)
+		for len(b.tiers) <= n {
+			b.tiers = append(b.tiers, tierEntry{})
 		}
-		b.table[n] = figures{t, true}
+		b.tiers[n] = tierEntry{t, true}
 	}
-	b.firms = make(map[uint64]override, len(v.Firms))
+	b.firmOverrides = make(map[uint64]override, len(v.Firms))
 	for _, f := range v.Firms {
-		b.firms[f.Firm] = override{f.Own, b.number(f.Tier)}
+		b.firmOverrides[f.Firm] = override{f.Own, b.tierNumber(f.Tier)}
 	}
 }
 
-// number is a tier's, a new one for a name not seen before; -1 for none.
-func (b *Book) number(name string) int {
+// tierNumber is a tier's, a new one for a name not seen before; -1 for none.
+func (b *Book) tierNumber(name string) int {
 	if name == "" {
 		return -1
 	}
-	if n := slices.Index(b.names, name); n >= 0 {
+	if n := slices.Index(b.tierNames, name); n >= 0 {
 		return n
 	}
-	b.names = append(b.names, name)
-	return len(b.names) - 1
+	b.tierNames = append(b.tierNames, name)
+	return len(b.tierNames) - 1
 }
 
 // Reread takes the tiers that the platform's configuration names when it is read again. They are a change, effective on
 // receipt, if they differ from those read before. Such versions have no number: each limiter reads for itself.
 func (b *Book) Reread(tiers []logic.Plan, now time.Duration, inUse func(string) int) error {
-	if slices.Equal(tiers, b.platform) {
+	if slices.Equal(tiers, b.platformTiers) {
 		return nil
 	}
 	v := Version{Effective: now, Source: Platform, Note: "the platform's settings, read again", Tiers: tiers}
-	problems := append(b.Check(v), b.orphans(v, inUse)...)
+	problems := append(b.Check(v), b.checkRemovedTiers(v, inUse)...)
 	if len(problems) > 0 {
 		return problems
 	}
-	b.platform = tiers
+	b.platformTiers = tiers
 	b.insert(v)
 	return nil
 }
@@ -237,18 +237,18 @@
 // is refused. inUse tells how many firms known here name a tier; nil: not known. What is due comes into force with the
 // next Advance.
 func (b *Book) Propose(v Version, now time.Duration, inUse func(tier string) int) error {
-	if known, ok := b.version(v.Number); ok {
-		if same(known, v) {
+	if known, ok := b.findVersion(v.Number); ok {
+		if sameVersion(known, v) {
 			return nil
 		}
 		return Problems{{"number", fmt.Sprintf("%d is another version's already", v.Number)}}
 	}
 	if v.Number == 0 {
-		v.Number = b.newest + 1
+		v.Number = b.highestNumber + 1
 	}
 	problems := b.Check(v)
-	if v.Number <= b.newest && v.Source == Admin { // a file names all its versions each time, in any order
-		problems = append(problems, Problem{"number", fmt.Sprintf("%d is not above %d, the newest", v.Number, b.newest)})
+	if v.Number <= b.highestNumber && v.Source == Admin { // a file names all its versions each time, in any order
+		problems = append(problems, Problem{"number", fmt.Sprintf("%d is not above %d, the newest", v.Number, b.highestNumber)})
 	}
 	if v.Effective == 0 {
 		v.Effective = now
@@ -257,10 +257,10 @@
 		problems = append(problems, Problem{"effective", fmt.Sprintf("lies %s in the past, %s at most",
 			(now - v.Effective).Round(time.Millisecond), b.limits.Late)})
 	}
-	if len(b.pending) >= MostPending {
-		problems = append(problems, Problem{"number", fmt.Sprintf("%d versions to come, no more are taken", MostPending)})
+	if len(b.pending) >= MaxPending {
+		problems = append(problems, Problem{"number", fmt.Sprintf("%d versions to come, no more are taken", MaxPending)})
 	}
-	problems = append(problems, b.orphans(v, inUse)...)
+	problems = append(problems, b.checkRemovedTiers(v, inUse)...)
 	if len(problems) > 0 {
 		return problems
 	}
@@ -269,7 +269,7 @@
 }
 
 func (b *Book) insert(v Version) {
-	b.newest = max(b.newest, v.Number)
+	b.highestNumber = max(b.highestNumber, v.Number)
 	b.pending = append(slices.Clone(b.pending), v)
 	slices.SortStableFunc(b.pending, func(a, b Version) int {
 		return cmp.Or(cmp.Compare(a.Effective, b.Effective), cmp.Compare(a.Number, b.Number))
@@ -282,7 +282,7 @@
 	if at < 0 {
 		return Problems{{"number", fmt.Sprintf("%d is not to come", number)}}
 	}
-	b.end(Ended{Version: b.pending[at], Began: now, Until: now, Withdrawn: true})
+	b.appendHistory(EndedVersion{Version: b.pending[at], Began: now, Until: now, Withdrawn: true})
 	b.pending = slices.Delete(slices.Clone(b.pending), at, at+1)
 	return nil
 }
@@ -321,8 +321,8 @@
 	return nil
 }
 
-// version finds a version by its number wherever it stands.
-func (b *Book) version(number uint64) (Version, bool) {
+// findVersion finds a findVersion by its number wherever it stands.
+func (b *Book) findVersion(number uint64) (Version, bool) {
 	if number == 0 { // the platform's, of which there may be many
 		return Version{}, false
 	}
@@ -342,8 +342,8 @@
 	return Version{}, false
 }
 
-// same tells whether two versions say the same. One that comes into force on receipt is the same whenever it came.
-func same(a, b Version) bool {
+// sameVersion tells whether two versions say the sameVersion. One that comes into force on receipt is the sameVersion whenever it came.
+func sameVersion(a, b Version) bool {
 	if b.Effective == 0 {
 		b.Effective = a.Effective
 	}
--- a/internal/plans/book_test.go
+++ b/internal/plans/book_test.go
@@ -21,7 +21,7 @@
 
 func platform() []logic.Plan { return []logic.Plan{tier("associate", 1), tier("full", 10)} }
 
-func TestEachBadFieldIsNamed(t *testing.T) {
+func TestInvalidFieldsAreReportedByName(t *testing.T) {
 	for field, spoil := range map[string]func(*Version){
 		"tiers":                  func(v *Version) { v.Tiers = nil },
 		"tiers[0].name":          func(v *Version) { v.Tiers[0].Name = "a b" },
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestOfTwoVersionsAtOneInstantTheHigherNumberIsInForce(t *testing.T) {
+func TestHigherNumberWinsAtTheSameInstant(t *testing.T) {
 	b := New(platform(), DefaultLimits)
 	for n, rate := range map[uint64]float64{2: 3, 1: 2} {
 		v := Version{Number: n, Effective: start + time.Second, Source: File, Tiers: []logic.Plan{tier("associate", rate), tier("full", 10)}}
@@ -72,7 +72,7 @@
 	require.Len(t, b.History(), 2)
 }
 
-func TestAVersionWithdrawnBeforeItsTimeNeverComesIntoForce(t *testing.T) {
+func TestWithdrawnVersionNeverTakesEffect(t *testing.T) {
 	b := New(platform(), DefaultLimits)
 	require.NoError(t, b.Propose(Version{Number: 1, Effective: start + time.Second, Source: Admin, Tiers: platform()}, start, nil))
 	require.NoError(t, b.Withdraw(1, start))
@@ -82,7 +82,7 @@
 	require.True(t, b.History()[0].Withdrawn)
 }
 
-func TestAFileThatNoLongerNamesAVersionOrReservationTakesItBack(t *testing.T) {
+func TestFileThatDropsAnEntryWithdrawsIt(t *testing.T) {
 	b := New(platform(), DefaultLimits)
 	v := Version{Number: 1, Effective: start + time.Hour, Tiers: platform()}
 	r := Reservation{ID: "r", Firm: 7, Units: 10, From: start - 1, Until: start + time.Hour}
@@ -100,7 +100,7 @@
 	require.Equal(t, InUse, kept.State)
 }
 
-func TestReservationsTogetherStayWithinTheFleetsShare(t *testing.T) {
+func TestReservationsStayWithinTheFleetsShare(t *testing.T) {
 	b := New(platform(), Limits{MostUnits: 1, FleetRate: 100, ReservedShare: 0.5})
 	hour := Reservation{ID: "a", Firm: 7, Units: 100 * 3600 * 0.4, From: start, Until: start + time.Hour}
 	require.NoError(t, b.Grant(hour, start))
@@ -119,7 +119,7 @@
 
 // Whatever comes in whatever order: what is in force is valid and was proposed, sizes stay bounded, a stale number never
 // governs, and a book restored from its snapshot says the same.
-func TestBookUnderAnySequence(t *testing.T) {
+func TestBookInvariantsUnderRandomOperations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := New(platform(), DefaultLimits)
 		now := start
@@ -153,8 +153,8 @@
 				}
 				cur := b.Current()
 				require.Empty(t, b.Check(cur))
-				require.LessOrEqual(t, len(b.History()), MostHistory)
-				require.LessOrEqual(t, len(b.Pending()), MostPending)
+				require.LessOrEqual(t, len(b.History()), MaxHistory)
+				require.LessOrEqual(t, len(b.Pending()), MaxPending)
 				for _, v := range b.Pending() {
 					require.Greater(t, v.Effective, now)
 				}
--- a/internal/plans/check.go
+++ b/internal/plans/check.go
@@ -41,20 +41,20 @@
 }
 
 const (
-	mostFigure = 1e9 // units, or units a second
-	mostName   = 64  // bytes of a tier's name or a reservation's id
-	mostNote   = 512
-	mostPrice  = 1e6
+	maxPlanValue = 1e9 // units, or units a second
+	maxNameBytes = 64  // bytes of a tier's name or a reservation's id
+	maxNoteBytes = 512
+	maxPrice     = 1e6
 )
 
 // Check finds all that is wrong with a version by itself.
 func (b *Book) Check(v Version) (all Problems) {
 	bad := func(field, text string, args ...any) { all = append(all, Problem{field, fmt.Sprintf(text, args...)}) }
-	if len(v.Tiers) == 0 || len(v.Tiers) > MostTiers {
-		bad("tiers", "1 to %d are needed, %d are named", MostTiers, len(v.Tiers))
+	if len(v.Tiers) == 0 || len(v.Tiers) > MaxTiers {
+		bad("tiers", "1 to %d are needed, %d are named", MaxTiers, len(v.Tiers))
 	}
-	if len(v.Note) > mostNote || len(v.Author) > mostNote {
-		bad("note", "note and author have %d bytes at most", mostNote)
+	if len(v.Note) > maxNoteBytes || len(v.Author) > maxNoteBytes {
+		bad("note", "note and author have %d bytes at most", maxNoteBytes)
 	}
 	if len(v.Firms) > MostFirms {
 		bad("firms", "%d at most, %d are named", MostFirms, len(v.Firms))
@@ -65,15 +65,15 @@
 	names := map[string]bool{}
 	for k, t := range v.Tiers {
 		field := fmt.Sprintf("tiers[%d]", k)
-		if !Name(t.Name) {
-			bad(field+".name", "%q is not 1 to %d letters, digits, '-', '_' or '.'", t.Name, mostName)
+		if !ValidName(t.Name) {
+			bad(field+".name", "%q is not 1 to %d letters, digits, '-', '_' or '.'", t.Name, maxNameBytes)
 			continue
 		}
 		if names[t.Name] {
 			bad(field+".name", "%q stands twice", t.Name)
 		}
 		names[t.Name] = true
-		all = append(all, b.figures(field, t)...)
+		all = append(all, b.checkPlan(field, t)...)
 	}
 	seen := map[uint64]bool{}
 	for k, f := range v.Firms {
@@ -89,7 +89,7 @@
 		case (f.Own == nil) == (f.Tier == ""):
 			bad(field, "either a tier or figures of its own are needed")
 		case f.Own != nil:
-			all = append(all, b.figures(field+".own", *f.Own)...)
+			all = append(all, b.checkPlan(field+".own", *f.Own)...)
 		case !names[f.Tier]:
 			bad(field+".tier", "unknown tier %q", f.Tier)
 		}
@@ -97,8 +97,8 @@
 	return all
 }
 
-// figures checks one set of figures.
-func (b *Book) figures(field string, p logic.Plan) (all Problems) {
+// checkPlan checks one set of checkPlan.
+func (b *Book) checkPlan(field string, p logic.Plan) (all Problems) {
 	bad := func(name, text string, args ...any) {
 		all = append(all, Problem{field + "." + name, fmt.Sprintf(text, args...)})
 	}
@@ -106,9 +106,9 @@
 		name string
 		v    float64
 		most float64
-	}{{"rate", p.Rate, mostFigure}, {"burst", p.Burst, mostFigure}, {"price", p.Price, mostPrice},
-		{"over_worth", p.OverWorth, 1}, {"over_cost", p.OverCost, mostPrice}, {"ceiling_rate", p.CeilingRate, mostFigure},
-		{"ceiling_burst", p.CeilingBurst, mostFigure}, {"ceiling_slack", p.CeilingSlack, mostFigure}} {
+	}{{"rate", p.Rate, maxPlanValue}, {"burst", p.Burst, maxPlanValue}, {"price", p.Price, maxPrice},
+		{"over_worth", p.OverWorth, 1}, {"over_cost", p.OverCost, maxPrice}, {"ceiling_rate", p.CeilingRate, maxPlanValue},
+		{"ceiling_burst", p.CeilingBurst, maxPlanValue}, {"ceiling_slack", p.CeilingSlack, maxPlanValue}} {
 		if !(f.v >= 0 && f.v <= f.most) { // not a number is neither
 			bad(f.name, "%v is not a number from 0 to %g", f.v, f.most)
 		}
@@ -117,7 +117,7 @@
 		return all
 	}
 	largest := max(b.limits.MostUnits, 1)
-	if p.Open < 0 || p.Open > mostFigure {
+	if p.Open < 0 || p.Open > maxPlanValue {
 		bad("open", "%d is out of range", p.Open)
 	}
 	if p.Rate > 0 && p.Burst < largest {
@@ -138,8 +138,8 @@
 	return all
 }
 
-// orphans finds the tiers that a version removes while firms use them.
-func (b *Book) orphans(v Version, inUse func(string) int) (all Problems) {
+// checkRemovedTiers finds the tiers that a version removes while firms use them.
+func (b *Book) checkRemovedTiers(v Version, inUse func(string) int) (all Problems) {
 	if inUse == nil {
 		return nil
 	}
@@ -155,41 +155,41 @@
 	return all
 }
 
-// Name tells whether a text may name a tier or a reservation.
-func Name(s string) bool {
-	return len(s) > 0 && len(s) <= mostName && strings.Trim(s, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.") == ""
+// ValidName tells whether a text may name a tier or a reservation.
+func ValidName(s string) bool {
+	return len(s) > 0 && len(s) <= maxNameBytes && strings.Trim(s, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.") == ""
 }
 
-// reservable checks a reservation by itself and beside the others.
-func (b *Book) reservable(r Reservation, now time.Duration) (all Problems) {
+// checkReservation checks a reservation by itself and beside the others.
+func (b *Book) checkReservation(r Reservation, now time.Duration) (all Problems) {
 	bad := func(field, text string, args ...any) { all = append(all, Problem{field, fmt.Sprintf(text, args...)}) }
-	if !Name(r.ID) {
-		bad("id", "%q is not 1 to %d letters, digits, '-', '_' or '.'", r.ID, mostName)
+	if !ValidName(r.ID) {
+		bad("id", "%q is not 1 to %d letters, digits, '-', '_' or '.'", r.ID, maxNameBytes)
 	}
 	if r.Firm >= 1<<33 {
 		bad("firm", "%x is not below 2^33", r.Firm)
 	}
-	if !(r.Units >= 1 && r.Units <= mostFigure) {
-		bad("units", "%v is not a number from 1 to %g", r.Units, mostFigure)
+	if !(r.Units >= 1 && r.Units <= maxPlanValue) {
+		bad("units", "%v is not a number from 1 to %g", r.Units, maxPlanValue)
 	}
-	if !(r.Rate >= 0 && r.Rate <= mostFigure) {
-		bad("rate", "%v is not a number from 0 to %g", r.Rate, mostFigure)
+	if !(r.Rate >= 0 && r.Rate <= maxPlanValue) {
+		bad("rate", "%v is not a number from 0 to %g", r.Rate, maxPlanValue)
 	}
 	if r.Until <= r.From {
 		bad("until", "is not after from")
 	} else if r.Until <= now {
 		bad("until", "is over")
 	}
-	if len(r.Note) > mostNote {
-		bad("note", "%d bytes at most", mostNote)
+	if len(r.Note) > maxNoteBytes {
+		bad("note", "%d bytes at most", maxNoteBytes)
 	}
 	if len(all) > 0 || b.limits.FleetRate <= 0 {
 		return all
 	}
-	promised := r.mean()
+	promised := r.meanRate()
 	for _, other := range b.reservations {
 		if other.ID != r.ID && !other.State.Over() && other.From < r.Until && r.From < other.Until {
-			promised += other.mean()
+			promised += other.meanRate()
 		}
 	}
 	if most := b.limits.ReservedShare * b.limits.FleetRate; promised > most {
@@ -199,8 +199,8 @@
 	return all
 }
 
-// mean is the units a second that a reservation promises.
-func (r Reservation) mean() float64 {
+// meanRate is the units a second that a reservation promises.
+func (r Reservation) meanRate() float64 {
 	mean := math.Inf(1)
 	if s := (r.Until - r.From).Seconds(); s > 0 {
 		mean = r.Units / s
--- a/internal/plans/reservation.go
+++ b/internal/plans/reservation.go
@@ -37,8 +37,8 @@
 	Ended  time.Duration `json:"ended,omitempty"`
 }
 
-// same tells whether two grants say the same.
-func (r Reservation) same(o Reservation) bool {
+// sameGrant tells whether two grants say the sameGrant.
+func (r Reservation) sameGrant(o Reservation) bool {
 	return r.ID == o.ID && r.Firm == o.Firm && r.Units == o.Units && r.Rate == o.Rate && r.From == o.From &&
 		r.Until == o.Until && r.Note == o.Note
 }
@@ -46,14 +46,14 @@
 // Grant takes a reservation. Twice the same is one; the same id with other content is refused.
 func (b *Book) Grant(r Reservation, now time.Duration) error {
 	if known, ok := b.reservations[r.ID]; ok {
-		if known.same(r) {
+		if known.sameGrant(r) {
 			return nil
 		}
 		return Problems{{"id", fmt.Sprintf("%q is granted with other content already", r.ID)}}
 	}
-	problems := b.reservable(r, now)
-	if len(b.reservations) >= MostReservations && !b.forgetReservation() {
-		problems = append(problems, Problem{"id", fmt.Sprintf("%d reservations stand, no more are taken", MostReservations)})
+	problems := b.checkReservation(r, now)
+	if len(b.reservations) >= MaxReservations && !b.evictOldestEnded() {
+		problems = append(problems, Problem{"id", fmt.Sprintf("%d reservations stand, no more are taken", MaxReservations)})
 	}
 	if len(problems) > 0 {
 		return problems
@@ -78,18 +78,18 @@
 	if r.State.Over() {
 		return Problems{{"id", fmt.Sprintf("%q is %s already", id, r.State)}}
 	}
-	b.finish(r, Revoked, now)
+	b.setState(r, Revoked, now)
 	return nil
 }
 
 // Spend notes that a reservation is used up.
 func (b *Book) Spend(id string, now time.Duration) {
 	if r, ok := b.reservations[id]; ok && !r.State.Over() {
-		b.finish(r, Spent, now)
+		b.setState(r, Spent, now)
 	}
 }
 
-func (b *Book) finish(r Reservation, s State, now time.Duration) {
+func (b *Book) setState(r Reservation, s State, now time.Duration) {
 	r.State, r.Ended = s, now
 	b.reservations[r.ID] = r
 }
@@ -100,10 +100,10 @@
 		switch {
 		case r.State.Over():
 		case now >= r.Until:
-			b.finish(r, Expired, now)
+			b.setState(r, Expired, now)
 			changed = true
 		case r.State == Granted && now >= r.From:
-			b.finish(r, InUse, 0)
+			b.setState(r, InUse, 0)
 			changed = true
 		}
 	}
@@ -142,8 +142,8 @@
 	return r, ok
 }
 
-// forgetReservation makes room: the one that ended first goes. It tells whether there was one.
-func (b *Book) forgetReservation() bool {
+// evictOldestEnded makes room: the one that ended first goes. It tells whether there was one.
+func (b *Book) evictOldestEnded() bool {
 	var oldest *Reservation
 	for _, r := range b.reservations {
 		if r.State.Over() && (oldest == nil || r.Ended < oldest.Ended || r.Ended == oldest.Ended && r.ID < oldest.ID) {
@@ -158,10 +158,10 @@
 
 // Snapshot is the book as it is kept on disk.
 type Snapshot struct {
-	Current      Version       `json:"current"`
-	Pending      []Version     `json:"pending"`
-	History      []Ended       `json:"history"`
-	Reservations []Reservation `json:"reservations"`
+	Current      Version        `json:"current"`
+	Pending      []Version      `json:"pending"`
+	History      []EndedVersion `json:"history"`
+	Reservations []Reservation  `json:"reservations"`
 }
 
 // Snapshot copies what must survive a restart.
@@ -173,14 +173,14 @@
 // the platform had set is not taken up: the platform's settings of today go before it.
 func (b *Book) Restore(s Snapshot) {
 	for _, v := range append([]Version{s.Current}, s.Pending...) {
-		b.newest = max(b.newest, v.Number)
+		b.highestNumber = max(b.highestNumber, v.Number)
 		for _, t := range v.Tiers {
-			b.number(t.Name)
+			b.tierNumber(t.Name)
 		}
 	}
 	b.history, b.pending = s.History, s.Pending
 	if s.Current.Source != Platform {
-		b.use(s.Current)
+		b.activate(s.Current)
 	}
 	for _, r := range s.Reservations {
 		b.reservations[r.ID] = r
--- a/internal/reserve/reserve.go
+++ b/internal/reserve/reserve.go
@@ -30,27 +30,27 @@
 )
 
 const (
-	generation = 15 * time.Second
-	guard      = 300 * time.Millisecond // round a generation's end: calls on their way must have arrived
-	lives      = 60 * time.Second       // of a name, the most that the counter knows
-	callWait   = 250 * time.Millisecond
-	Part       = 64 // a lease is at most this part of the reservation, or one request
-
-	idleAfter  = time.Second             // what nobody wants for so long is given back
-	lastLook   = 1500 * time.Millisecond // before a generation's end, who has not leased looks, too: it must know a loss
-	beatEvery  = time.Second             // between two looks at the total: a loss must show
-	retryAfter = 300 * time.Millisecond  // after a call without an answer
-	emptyAfter = 500 * time.Millisecond  // when nothing was left: others may give back
-	settleFor  = 600 * time.Millisecond  // after a loss: the others add theirs again
-	publishGap = 100 * time.Millisecond  // between the limiters that may write the base
-	baseSteps  = 4096                    // in which the base is written
-	baseWriter = 1 << 16                 // added by each that writes it
-	eps        = 1e-3                    // totals are exact to seven digits
+	generationLength = 15 * time.Second
+	boundaryMargin   = 300 * time.Millisecond // round a generation's end: calls on their way must have arrived
+	counterTTL       = 60 * time.Second       // of a name, the most that the counter knows
+	callTimeout      = 250 * time.Millisecond
+	Part             = 64 // a lease is at most this part of the reservation, or one request
+
+	idleReturnDelay   = time.Second             // what nobody wants for so long is given back
+	finalReadWindow   = 1500 * time.Millisecond // before a generation's end, who has not leased looks, too: it must know a loss
+	readInterval      = time.Second             // between two looks at the total: a loss must show
+	retryDelay        = 300 * time.Millisecond  // after a call without an answer
+	exhaustedDelay    = 500 * time.Millisecond  // when nothing was left: others may give back
+	lossRecoveryDelay = 600 * time.Millisecond  // after a loss: the others add theirs again
+	baseWriteStagger  = 100 * time.Millisecond  // between the limiters that may write the base
+	baseSteps         = 4096                    // in which the base is written
+	baseWriterUnit    = 1 << 16                 // added by each that writes it
+	unitTolerance     = 1e-3                    // totals are exact to seven digits
 )
 
 // Blind is how long before a loss of the counter's names a limiter may have looked last, and how long after it may not
 // have seen it.
-const Blind = beatEvery + settleFor + 2*guard
+const Blind = readInterval + lossRecoveryDelay + 2*boundaryMargin
 
 // Call asks for an addition to a name of the counter. Its answer goes to Counted with the token.
 type Call struct {
@@ -63,71 +63,71 @@
 
 // Manager leases for all firms of one limiter.
 type Manager struct {
-	gateways, rank int
-	ahead          time.Duration // of the wall clock
-	largest        float64       // request
-	accounts       map[string]*account
-	firms          map[uint64][]*account // those not over, by end
-	past           map[string]Use        // of those that are over and still listed
-	out            map[uint64]*account   // by the token of the call that is out
-	next           uint64
-	calls          []Call
-	woken          []uint64
-	spent          []string
+	limiterCount, rank int
+	clockOffset        time.Duration // of the wall clock
+	maxRequestUnits    float64       // request
+	accounts           map[string]*account
+	accountsByFirm     map[uint64][]*account // those not over, by end
+	endedUse           map[string]Use        // of those that are over and still listed
+	inFlight           map[uint64]*account   // by the token of the call that is out
+	lastToken          uint64
+	calls              []Call
+	wokenFirms         []uint64
+	spentIDs           []string
 }
 
-type kind uint8
+type callKind uint8
 
 const (
-	none        kind = iota
-	lease            // adds
-	back             // gives back what is not wanted
-	excess           // gives back what a lease added over what may be drawn
-	look             // reads what was leased
-	lookBack         // reads what was given back
-	again            // adds its own after a loss
-	closing          // reads what was leased in the generation before
-	closingBack      // and what was given back
-	base             // reads the base
-	publish          // writes it
+	noCall        callKind = iota
+	takeLease              // adds
+	returnIdle             // gives back what is not wanted
+	returnExcess           // gives back what a lease added over what may be drawn
+	readLeased             // reads what was leased
+	readReturned           // reads what was given back
+	restoreOwn             // adds its own after a loss
+	closeLeased            // reads what was leased in the generation before
+	closeReturned          // and what was given back
+	readBase               // reads the base
+	writeBase              // writes it
 )
 
 // account is what this limiter knows of one reservation.
 type account struct {
-	r         plans.Reservation
-	ahead     time.Duration // of the wall clock when it came into use: generations go on evenly from there
-	gen       int64         // that the figures below are of
-	base      float64       // units leased in the generations before
-	based     bool          // it is known
-	published bool
-	joined    bool    // something was ever leased here
-	own       float64 // leased here in this generation
-	total     float64 // leased by all, as last told
-	floor     float64 // at least so much was leased in this generation: the total before a loss
-	given     float64 // given back in this generation by all, as last told
-	hand      float64 // leased and not used
-	used      float64 // ever, here
-
-	wants  float64 // units of a request that waits; 0: none
-	wantAt time.Duration
-	rate   float64 // units a second used here, smoothed
-	rateAt time.Duration
-	called kind // the call that is out
-	amount float64
-	tryAt  time.Duration // no lease before
-	seenAt time.Duration // last told a total
-	empty  bool          // nothing was left at the last try
+	reservation   plans.Reservation
+	clockOffset   time.Duration // of the wall clock when it came into use: generations go on evenly from there
+	generation    int64         // that the figures below are of
+	base          float64       // units leased in the generations before
+	baseKnown     bool          // it is known
+	baseWritten   bool
+	hasLeased     bool    // something was ever leased here
+	ownLeased     float64 // leased here in this generation
+	totalLeased   float64 // leased by all, as last told
+	minLeased     float64 // at least so much was leased in this generation: the total before a loss
+	totalReturned float64 // given back in this generation by all, as last told
+	unused        float64 // leased and not used
+	used          float64 // ever, here
+
+	wantedUnits   float64 // units of a request that waits; 0: none
+	lastWantedAt  time.Duration
+	useRate       float64 // units a second used here, smoothed
+	useRateAt     time.Duration
+	pendingCall   callKind // the call that is out
+	pendingAmount float64
+	retryAt       time.Duration // no lease before
+	leasedReadAt  time.Duration // last told a total
+	exhausted     bool          // nothing was left at the last try
 }
 
 // New makes a manager for one of so many limiters.
 func New(gateways, rank int, largest float64) *Manager {
-	return &Manager{gateways: max(gateways, 1), rank: rank, largest: max(largest, 1), accounts: map[string]*account{},
-		firms: map[uint64][]*account{}, past: map[string]Use{}, out: map[uint64]*account{}}
+	return &Manager{limiterCount: max(gateways, 1), rank: rank, maxRequestUnits: max(largest, 1), accounts: map[string]*account{},
+		accountsByFirm: map[uint64][]*account{}, endedUse: map[string]Use{}, inFlight: map[uint64]*account{}}
 }
 
 // Ahead sets how far the wall clock is ahead of the time that is told. Reservations go by it; the generations of one that is in
 // use go on as before. Guards against one that is left in a step before what others leased in it is known.
-func (m *Manager) Ahead(by time.Duration) { m.ahead = by }
+func (m *Manager) Ahead(by time.Duration) { m.clockOffset = by }
 
 // Set takes the reservations that may be drawn now. Those that are gone are forgotten with what is in hand; the firms
 // that it held something for are woken.
@@ -148,52 +148,52 @@
 			delete(gone, r.ID)
 			continue
 		}
-		a := &account{r: r, ahead: m.ahead}
+		a := &account{reservation: r, clockOffset: m.clockOffset}
 		m.accounts[r.ID] = a
-		m.firms[r.Firm] = append(m.firms[r.Firm], a)
-		slices.SortFunc(m.firms[r.Firm], func(a, b *account) int {
-			if a.r.Until != b.r.Until {
-				return int(min(max(a.r.Until-b.r.Until, -1), 1))
+		m.accountsByFirm[r.Firm] = append(m.accountsByFirm[r.Firm], a)
+		slices.SortFunc(m.accountsByFirm[r.Firm], func(a, b *account) int {
+			if a.reservation.Until != b.reservation.Until {
+				return int(min(max(a.reservation.Until-b.reservation.Until, -1), 1))
 			}
-			return slices.Compare([]byte(a.r.ID), []byte(b.r.ID))
+			return slices.Compare([]byte(a.reservation.ID), []byte(b.reservation.ID))
 		})
 	}
-	m.past = past
+	m.endedUse = past
 	for id, a := range gone {
 		delete(m.accounts, id)
-		left := slices.DeleteFunc(m.firms[a.r.Firm], func(x *account) bool { return x == a })
-		if m.firms[a.r.Firm] = left; len(left) == 0 {
-			delete(m.firms, a.r.Firm)
+		left := slices.DeleteFunc(m.accountsByFirm[a.reservation.Firm], func(x *account) bool { return x == a })
+		if m.accountsByFirm[a.reservation.Firm] = left; len(left) == 0 {
+			delete(m.accountsByFirm, a.reservation.Firm)
 		}
-		m.woken = append(m.woken, a.r.Firm)
+		m.wokenFirms = append(m.wokenFirms, a.reservation.Firm)
 	}
-	slices.Sort(m.woken)
+	slices.Sort(m.wokenFirms)
 }
 
 // Take implements logic.Reserves.
 func (m *Manager) Take(now time.Duration, firm uint64, units float64) bool {
-	for _, a := range m.firms[firm] {
-		a.wantAt = now
-		if a.hand >= units-eps {
-			a.hand = max(0, a.hand-units)
+	for _, a := range m.accountsByFirm[firm] {
+		a.lastWantedAt = now
+		if a.unused >= units-unitTolerance {
+			a.unused = max(0, a.unused-units)
 			a.used += units
-			a.note(now, units)
-			m.step(now, a)
+			a.recordUse(now, units)
+			m.startDueCall(now, a)
 			return true
 		}
 	}
-	for _, a := range m.firms[firm] {
-		a.wants = max(a.wants, units)
-		m.step(now, a)
+	for _, a := range m.accountsByFirm[firm] {
+		a.wantedUnits = max(a.wantedUnits, units)
+		m.startDueCall(now, a)
 	}
 	return false
 }
 
 // Return implements logic.Reserves.
 func (m *Manager) Return(now time.Duration, firm uint64, units float64) {
-	for _, a := range m.firms[firm] {
-		if a.used >= units-eps {
-			a.used, a.hand, a.wantAt = a.used-units, a.hand+units, now
+	for _, a := range m.accountsByFirm[firm] {
+		if a.used >= units-unitTolerance {
+			a.used, a.unused, a.lastWantedAt = a.used-units, a.unused+units, now
 			return
 		}
 	}
@@ -201,14 +201,14 @@
 
 // Coming implements logic.Reserves.
 func (m *Manager) Coming(now time.Duration, firm uint64) bool {
-	return slices.ContainsFunc(m.firms[firm], func(a *account) bool { return a.called == lease || !a.empty && now >= a.tryAt })
+	return slices.ContainsFunc(m.accountsByFirm[firm], func(a *account) bool { return a.pendingCall == takeLease || !a.exhausted && now >= a.retryAt })
 }
 
-func (a *account) note(now time.Duration, units float64) {
-	dt := max((now - a.rateAt).Seconds(), 1e-3)
-	a.rateAt = now
+func (a *account) recordUse(now time.Duration, units float64) {
+	dt := max((now - a.useRateAt).Seconds(), 1e-3)
+	a.useRateAt = now
 	keep := math.Exp(-dt)
-	a.rate = keep*a.rate + (1-keep)*units/dt
+	a.useRate = keep*a.useRate + (1-keep)*units/dt
 }
 
 // Active tells whether there is anything to tend.
@@ -222,7 +222,7 @@
 	}
 	slices.Sort(ids) // a map's order must not reach a call
 	for _, id := range ids {
-		m.step(now, m.accounts[id])
+		m.startDueCall(now, m.accounts[id])
 	}
 }
 
@@ -234,13 +234,13 @@
 
 // Woken hands over the firms whose held requests are to be looked at again.
 func (m *Manager) Woken() (firms []uint64) {
-	firms, m.woken = m.woken, nil
+	firms, m.wokenFirms = m.wokenFirms, nil
 	return firms
 }
 
 // Spent hands over the reservations of which nothing is left.
 func (m *Manager) Spent() (ids []string) {
-	ids, m.spent = m.spent, nil
+	ids, m.spentIDs = m.spentIDs, nil
 	return ids
 }
 
@@ -255,232 +255,234 @@
 func (m *Manager) Use(id string) (Use, bool) {
 	a := m.accounts[id]
 	if a == nil {
-		u, ok := m.past[id]
+		u, ok := m.endedUse[id]
 		return u, ok
 	}
-	return Use{a.used, a.hand, a.leased()}, true
+	return Use{a.used, a.unused, a.leased()}, true
 }
 
-func (a *account) leased() float64 { return a.base + max(0, max(a.total, a.floor)-a.given) }
+func (a *account) leased() float64 {
+	return a.base + max(0, max(a.totalLeased, a.minLeased)-a.totalReturned)
+}
 
-// allowed is how much may have been drawn by a time of the wall clock.
-func (a *account) allowed(wall time.Duration) float64 {
-	if a.r.Rate <= 0 {
-		return a.r.Units
+// allowedBy is how much may have been drawn by a time of the wall clock.
+func (a *account) allowedBy(wall time.Duration) float64 {
+	if a.reservation.Rate <= 0 {
+		return a.reservation.Units
 	}
-	return min(a.r.Units, a.r.Rate*(1+(wall-a.r.From).Seconds()))
+	return min(a.reservation.Units, a.reservation.Rate*(1+(wall-a.reservation.From).Seconds()))
 }
 
-// size is what a lease takes: what a second needs, up to the part.
-func (m *Manager) size(a *account) float64 {
-	most := max(a.r.Units/Part, m.largest)
-	return min(max(a.wants, math.Ceil(a.rate), m.largest), max(most, a.wants))
+// leaseSize is what a lease takes: what a second needs, up to the part.
+func (m *Manager) leaseSize(a *account) float64 {
+	most := max(a.reservation.Units/Part, m.maxRequestUnits)
+	return min(max(a.wantedUnits, math.Ceil(a.useRate), m.maxRequestUnits), max(most, a.wantedUnits))
 }
 
-// step makes the next call that is due, one at a time.
-func (m *Manager) step(now time.Duration, a *account) {
-	wall := now + m.ahead
-	if a.called != none || wall >= a.r.Until {
+// startDueCall makes the next call that is due, one at a time.
+func (m *Manager) startDueCall(now time.Duration, a *account) {
+	wall := now + m.clockOffset
+	if a.pendingCall != noCall || wall >= a.reservation.Until {
 		return
 	}
-	clock := now + a.ahead
-	gen, first := int64(clock/generation), int64(a.r.From/generation)
-	into := clock - time.Duration(gen)*generation
+	clock := now + a.clockOffset
+	gen, first := int64(clock/generationLength), int64(a.reservation.From/generationLength)
+	into := clock - time.Duration(gen)*generationLength
 	switch {
-	case !a.based && gen == first:
-		a.gen, a.based, a.published = gen, true, true // nothing was drawn before
-	case !a.based:
-		if now >= a.tryAt {
-			a.gen = gen
-			m.call(a, base, a.name("base", gen), 0)
+	case !a.baseKnown && gen == first:
+		a.generation, a.baseKnown, a.baseWritten = gen, true, true // nothing was drawn before
+	case !a.baseKnown:
+		if now >= a.retryAt {
+			a.generation = gen
+			m.startCall(a, readBase, a.counterName("base", gen), 0)
 		}
 		return
 	}
-	if gen > a.gen {
-		m.close(now, a, gen, into)
+	if gen > a.generation {
+		m.closeGeneration(now, a, gen, into)
 		return
 	}
-	size := m.size(a)
-	wanted := a.wants > 0 || a.hand < size/2 && now-a.wantAt < idleAfter/2
+	size := m.leaseSize(a)
+	wanted := a.wantedUnits > 0 || a.unused < size/2 && now-a.lastWantedAt < idleReturnDelay/2
 	switch {
-	case !a.published && into >= guard+time.Duration(m.rank)*publishGap && now >= a.tryAt:
-		m.call(a, publish, a.name("base", gen), 0)
-	case into >= generation-guard || now < a.tryAt:
-	case wanted && a.leased()+eps < a.allowed(now+m.ahead):
-		m.call(a, lease, a.name("leased", gen), size)
-	case a.hand > 0 && now-a.wantAt >= idleAfter:
-		give := a.hand
-		a.hand = 0
-		m.call(a, back, a.name("given", gen), give)
-	case now-a.seenAt >= beatEvery && (a.joined || into >= generation-guard-lastLook && now-a.seenAt >= lastLook):
-		m.call(a, look, a.name("leased", gen), 0)
-	case wanted && a.hand == 0: // all that may be drawn by now is leased, but some may be given back
-		m.call(a, lookBack, a.name("given", gen), 0)
+	case !a.baseWritten && into >= boundaryMargin+time.Duration(m.rank)*baseWriteStagger && now >= a.retryAt:
+		m.startCall(a, writeBase, a.counterName("base", gen), 0)
+	case into >= generationLength-boundaryMargin || now < a.retryAt:
+	case wanted && a.leased()+unitTolerance < a.allowedBy(now+m.clockOffset):
+		m.startCall(a, takeLease, a.counterName("leased", gen), size)
+	case a.unused > 0 && now-a.lastWantedAt >= idleReturnDelay:
+		give := a.unused
+		a.unused = 0
+		m.startCall(a, returnIdle, a.counterName("given", gen), give)
+	case now-a.leasedReadAt >= readInterval && (a.hasLeased || into >= generationLength-boundaryMargin-finalReadWindow && now-a.leasedReadAt >= finalReadWindow):
+		m.startCall(a, readLeased, a.counterName("leased", gen), 0)
+	case wanted && a.unused == 0: // all that may be drawn by now is leased, but some may be given back
+		m.startCall(a, readReturned, a.counterName("given", gen), 0)
 	}
 }
 
-// close ends the figures of a generation that is over. Those that leased in it go first: they add theirs again if they
+// closeGeneration ends the figures of a generation that is over. Those that leased in it go first: they add theirs again if they
 // have been lost, and the others read after them.
-func (m *Manager) close(now time.Duration, a *account, gen int64, into time.Duration) {
-	if gen-a.gen > 2 { // the counter was away for longer than its names live
-		a.begin(gen, a.leased())
+func (m *Manager) closeGeneration(now time.Duration, a *account, gen int64, into time.Duration) {
+	if gen-a.generation > 2 { // the counter was away for longer than its names live
+		a.startGeneration(gen, a.leased())
 		return
 	}
-	after := guard
-	if a.own <= 0 {
-		after += settleFor
+	after := boundaryMargin
+	if a.ownLeased <= 0 {
+		after += lossRecoveryDelay
 	}
-	if now >= a.tryAt && (into >= after || gen-a.gen > 1) {
-		m.call(a, closing, a.name("leased", a.gen), 0)
+	if now >= a.retryAt && (into >= after || gen-a.generation > 1) {
+		m.startCall(a, closeLeased, a.counterName("leased", a.generation), 0)
 	}
 }
 
-// begin starts the figures of a generation.
-func (a *account) begin(gen int64, base float64) {
-	a.gen, a.base, a.published = gen, base, false
-	a.own, a.total, a.floor, a.given = 0, 0, 0, 0
+// startGeneration starts the figures of a generation.
+func (a *account) startGeneration(gen int64, base float64) {
+	a.generation, a.base, a.baseWritten = gen, base, false
+	a.ownLeased, a.totalLeased, a.minLeased, a.totalReturned = 0, 0, 0, 0
 }
 
-func (m *Manager) nothingLeft(now time.Duration, a *account) {
-	a.empty, a.wants, a.tryAt = true, 0, now+emptyAfter
-	m.woken = append(m.woken, a.r.Firm)
-	if a.hand == 0 && a.base+eps >= a.r.Units { // all generations that count are over: nobody can give back
-		m.spent = append(m.spent, a.r.ID)
+func (m *Manager) markExhausted(now time.Duration, a *account) {
+	a.exhausted, a.wantedUnits, a.retryAt = true, 0, now+exhaustedDelay
+	m.wokenFirms = append(m.wokenFirms, a.reservation.Firm)
+	if a.unused == 0 && a.base+unitTolerance >= a.reservation.Units { // all generations that count are over: nobody can give back
+		m.spentIDs = append(m.spentIDs, a.reservation.ID)
 	}
 }
 
-func (m *Manager) call(a *account, k kind, name uint64, amount float64) {
-	m.next++
-	a.called, a.amount = k, amount
-	m.out[m.next] = a
-	m.calls = append(m.calls, Call{m.next, name, amount, lives, callWait, time.Duration(a.gen)*generation - a.ahead})
+func (m *Manager) startCall(a *account, k callKind, name uint64, amount float64) {
+	m.lastToken++
+	a.pendingCall, a.pendingAmount = k, amount
+	m.inFlight[m.lastToken] = a
+	m.calls = append(m.calls, Call{m.lastToken, name, amount, counterTTL, callTimeout, time.Duration(a.generation)*generationLength - a.clockOffset})
 }
 
-// name is that of a count of one generation: limiters agree on it without talk.
-func (a *account) name(what string, gen int64) uint64 {
+// counterName is that of a count of one generation: limiters agree on it without talk.
+func (a *account) counterName(what string, gen int64) uint64 {
 	h := fnv.New64a()
-	fmt.Fprintf(h, "reservation %s of %x from %d: %s %d", a.r.ID, a.r.Firm, a.r.From, what, gen)
+	fmt.Fprintf(h, "reservation %s of %x from %d: %s %d", a.reservation.ID, a.reservation.Firm, a.reservation.From, what, gen)
 	return h.Sum64()
 }
 
 // Counted takes the answer to a call.
 func (m *Manager) Counted(now time.Duration, token uint64, status logic.Status, total float64) {
-	a := m.out[token]
+	a := m.inFlight[token]
 	if a == nil {
 		return
 	}
-	delete(m.out, token)
-	k, amount := a.called, a.amount
-	a.called = none
-	if m.accounts[a.r.ID] != a {
+	delete(m.inFlight, token)
+	k, amount := a.pendingCall, a.pendingAmount
+	a.pendingCall = noCall
+	if m.accounts[a.reservation.ID] != a {
 		return // over meanwhile
 	}
 	if status != logic.OK {
-		m.failed(now, a, k, amount, status == logic.Full || status == logic.ConnectFailed)
+		m.handleFailure(now, a, k, amount, status == logic.Full || status == logic.ConnectFailed)
 		return
 	}
 	switch k {
-	case closing:
-		if m.fell(now, a, total, a.own) {
+	case closeLeased:
+		if m.detectLoss(now, a, total, a.ownLeased) {
 			break
 		}
-		a.total = total
-		m.call(a, closingBack, a.name("given", a.gen), 0)
-	case closingBack:
-		a.given = total
-		a.begin(a.gen+1, a.leased())
-	case lookBack:
-		if a.given = total; a.leased()+eps >= a.allowed(now+m.ahead) {
-			m.nothingLeft(now, a)
+		a.totalLeased = total
+		m.startCall(a, closeReturned, a.counterName("given", a.generation), 0)
+	case closeReturned:
+		a.totalReturned = total
+		a.startGeneration(a.generation+1, a.leased())
+	case readReturned:
+		if a.totalReturned = total; a.leased()+unitTolerance >= a.allowedBy(now+m.clockOffset) {
+			m.markExhausted(now, a)
 		}
-	case base:
-		m.learn(now, a, total)
-	case publish:
-		a.published = true
-		if total < baseWriter-eps { // nobody has written it
-			steps := math.Ceil(min(a.base/a.r.Units, 1) * baseSteps)
-			m.call(a, publish, a.name("base", a.gen), baseWriter+steps)
+	case readBase:
+		m.handleBase(now, a, total)
+	case writeBase:
+		a.baseWritten = true
+		if total < baseWriterUnit-unitTolerance { // nobody has written it
+			steps := math.Ceil(min(a.base/a.reservation.Units, 1) * baseSteps)
+			m.startCall(a, writeBase, a.counterName("base", a.generation), baseWriterUnit+steps)
 		}
 	default:
-		m.told(now, a, k, amount, total)
+		m.handleTotal(now, a, k, amount, total)
 	}
-	m.step(now, a)
+	m.startDueCall(now, a)
 }
 
-// learn takes the base from what others have written.
-func (m *Manager) learn(now time.Duration, a *account, total float64) {
-	writers := math.Floor(total / baseWriter)
-	if steps := total - writers*baseWriter; writers >= 1 && steps <= writers*baseSteps {
-		a.base, a.based, a.published = math.Ceil(steps/writers)/baseSteps*a.r.Units, true, true
+// handleBase takes the base from what others have written.
+func (m *Manager) handleBase(now time.Duration, a *account, total float64) {
+	writers := math.Floor(total / baseWriterUnit)
+	if steps := total - writers*baseWriterUnit; writers >= 1 && steps <= writers*baseSteps {
+		a.base, a.baseKnown, a.baseWritten = math.Ceil(steps/writers)/baseSteps*a.reservation.Units, true, true
 		return
 	}
-	a.tryAt, a.empty = now+retryAfter, true
-	m.woken = append(m.woken, a.r.Firm)
+	a.retryAt, a.exhausted = now+retryDelay, true
+	m.wokenFirms = append(m.wokenFirms, a.reservation.Firm)
 }
 
-// fell tells whether a total proves that the counter has forgotten, and adds again what was added here before. floor is
+// detectLoss tells whether a total proves that the counter has forgotten, and adds again what was added here before. floor is
 // what must be in the total at least.
-func (m *Manager) fell(now time.Duration, a *account, total, floor float64) bool {
-	if total >= max(floor, a.total)-eps {
+func (m *Manager) detectLoss(now time.Duration, a *account, total, floor float64) bool {
+	if total >= max(floor, a.totalLeased)-unitTolerance {
 		return false
 	}
-	a.floor, a.total, a.published = max(a.floor, a.total), total, false
-	a.tryAt = now + settleFor
-	if a.own > eps {
-		m.call(a, again, a.name("leased", a.gen), a.own)
+	a.minLeased, a.totalLeased, a.baseWritten = max(a.minLeased, a.totalLeased), total, false
+	a.retryAt = now + lossRecoveryDelay
+	if a.ownLeased > unitTolerance {
+		m.startCall(a, restoreOwn, a.counterName("leased", a.generation), a.ownLeased)
 	}
 	return true
 }
 
-// told takes what is leased in this generation.
-func (m *Manager) told(now time.Duration, a *account, k kind, amount, total float64) {
+// handleTotal takes what is leased in this generation.
+func (m *Manager) handleTotal(now time.Duration, a *account, k callKind, amount, total float64) {
 	switch k {
-	case again:
-		a.total = max(a.total, total)
+	case restoreOwn:
+		a.totalLeased = max(a.totalLeased, total)
 		return
-	case back, excess:
-		a.given = total
+	case returnIdle, returnExcess:
+		a.totalReturned = total
 		return
 	}
-	a.seenAt = now
-	if m.fell(now, a, total, a.own+amount) {
+	a.leasedReadAt = now
+	if m.detectLoss(now, a, total, a.ownLeased+amount) {
 		return // a lease that this call took stays unused
 	}
-	a.total = total
-	if k != lease {
+	a.totalLeased = total
+	if k != takeLease {
 		return
 	}
 	kept := amount
-	if over := a.leased() - a.allowed(now+m.ahead); over > 0 {
+	if over := a.leased() - a.allowedBy(now+m.clockOffset); over > 0 {
 		kept = max(0, amount-over)
 	}
-	a.hand, a.own, a.empty = a.hand+kept, a.own+amount, kept <= 0
-	a.joined = true
+	a.unused, a.ownLeased, a.exhausted = a.unused+kept, a.ownLeased+amount, kept <= 0
+	a.hasLeased = true
 	if kept < amount {
-		m.call(a, excess, a.name("given", a.gen), amount-kept)
+		m.startCall(a, returnExcess, a.counterName("given", a.generation), amount-kept)
 	}
 	if kept <= 0 {
-		m.nothingLeft(now, a)
+		m.markExhausted(now, a)
 		return
 	}
-	a.wants = 0
-	m.woken = append(m.woken, a.r.Firm)
+	a.wantedUnits = 0
+	m.wokenFirms = append(m.wokenFirms, a.reservation.Firm)
 }
 
-// failed takes a call without an answer. never: nothing was added.
-func (m *Manager) failed(now time.Duration, a *account, k kind, amount float64, never bool) {
-	a.tryAt = now + retryAfter
+// handleFailure takes a call without an answer. never: nothing was added.
+func (m *Manager) handleFailure(now time.Duration, a *account, k callKind, amount float64, never bool) {
+	a.retryAt = now + retryDelay
 	switch {
-	case k == back && never: // it is still out: it may be used here
-		a.hand, a.wantAt = a.hand+amount, now
-	case k == lease:
-		a.empty = true
-		m.woken = append(m.woken, a.r.Firm)
-	case k == again && never:
-		m.call(a, k, a.name("leased", a.gen), amount)
-	case k == excess && never:
-		m.call(a, k, a.name("given", a.gen), amount)
-	case k == publish:
-		a.published = amount > 0 && !never
+	case k == returnIdle && never: // it is still out: it may be used here
+		a.unused, a.lastWantedAt = a.unused+amount, now
+	case k == takeLease:
+		a.exhausted = true
+		m.wokenFirms = append(m.wokenFirms, a.reservation.Firm)
+	case k == restoreOwn && never:
+		m.startCall(a, k, a.counterName("leased", a.generation), amount)
+	case k == returnExcess && never:
+		m.startCall(a, k, a.counterName("given", a.generation), amount)
+	case k == writeBase:
+		a.baseWritten = amount > 0 && !never
 	}
 }
--- a/internal/reserve/reserve_test.go
+++ b/internal/reserve/reserve_test.go
@@ -19,20 +19,20 @@
 	step  = 10 * time.Millisecond
 )
 
-// world is some limiters on one counter, in virtual time.
-type world struct {
-	now      time.Duration
-	ahead    time.Duration // of the wall clock
-	rng      *rand.Rand
-	r        plans.Reservation
-	limiters []*Manager // nil: dead
-	counts   map[uint64]float64
-	until    map[uint64]time.Duration
-	answers  []answer
-	busy     float64 // share of the calls that are turned away, or lost with the amount added
-	taken    float64
-	drawn    []float64 // taken, by step
-	calls    int
+// fleet is some limiters on one counter, in virtual time.
+type fleet struct {
+	now          time.Duration
+	clockOffset  time.Duration // of the wall clock
+	rng          *rand.Rand
+	reservation  plans.Reservation
+	limiters     []*Manager // nil: dead
+	counts       map[uint64]float64
+	expires      map[uint64]time.Duration
+	answers      []answer
+	failureShare float64 // share of the calls that are turned away, or lost with the amount added
+	taken        float64
+	takenByStep  []float64 // taken, by step
+	calls        int
 }
 
 type answer struct {
@@ -43,9 +43,9 @@
 	total  float64
 }
 
-func newWorld(seed uint64, n int, units float64) *world {
-	w := &world{now: begin, rng: rand.New(rand.NewPCG(seed, 9)), counts: map[uint64]float64{}, until: map[uint64]time.Duration{},
-		r: plans.Reservation{ID: "r", Firm: 7, Units: units, From: begin, Until: begin + 10*time.Minute, State: plans.InUse}}
+func newFleet(seed uint64, n int, units float64) *fleet {
+	w := &fleet{now: begin, rng: rand.New(rand.NewPCG(seed, 9)), counts: map[uint64]float64{}, expires: map[uint64]time.Duration{},
+		reservation: plans.Reservation{ID: "r", Firm: 7, Units: units, From: begin, Until: begin + 10*time.Minute, State: plans.InUse}}
 	for k := range n {
 		w.limiters = append(w.limiters, nil)
 		w.start(k)
@@ -53,31 +53,31 @@
 	return w
 }
 
-func (w *world) start(k int) {
+func (w *fleet) start(k int) {
 	w.limiters[k] = New(len(w.limiters), k, 1)
-	w.limiters[k].Ahead(w.ahead)
-	w.limiters[k].Set([]plans.Reservation{w.r})
+	w.limiters[k].Ahead(w.clockOffset)
+	w.limiters[k].Set([]plans.Reservation{w.reservation})
 }
 
 // stepClock steps the wall clock, which all limiters read.
-func (w *world) stepClock(by time.Duration) {
-	w.ahead += by
+func (w *fleet) stepClock(by time.Duration) {
+	w.clockOffset += by
 	for _, m := range w.limiters {
 		if m != nil {
-			m.Ahead(w.ahead)
+			m.Ahead(w.clockOffset)
 		}
 	}
 }
 
-// turn moves time on by a step; each limiter wants what its demand says.
-func (w *world) turn(demand []float64) {
+// advance moves time on by a step; each limiter wants what its demand says.
+func (w *fleet) advance(demand []float64) {
 	w.now += step
 	for k, m := range w.limiters {
 		if m == nil {
 			continue
 		}
 		for d := demand[k] * step.Seconds(); d > 0 && w.rng.Float64() < d; d-- {
-			if m.Take(w.now, w.r.Firm, 1) {
+			if m.Take(w.now, w.reservation.Firm, 1) {
 				w.taken++
 			}
 		}
@@ -98,24 +98,24 @@
 		a.m.Counted(w.now, a.token, a.status, a.total)
 	}
 	w.answers = left
-	w.drawn = append(w.drawn, w.taken)
+	w.takenByStep = append(w.takenByStep, w.taken)
 }
 
-// near is what was drawn within Blind of a step.
-func (w *world) near(at int) float64 {
+// takenNear is what was drawn within Blind of a step.
+func (w *fleet) takenNear(at int) float64 {
 	n := int(Blind / step)
-	return w.drawn[min(at+n, len(w.drawn)-1)] - w.drawn[max(at-n, 0)]
+	return w.takenByStep[min(at+n, len(w.takenByStep)-1)] - w.takenByStep[max(at-n, 0)]
 }
 
-func (w *world) call(m *Manager, c Call) {
+func (w *fleet) call(m *Manager, c Call) {
 	w.calls++
 	a := answer{w.now + step, m, c.Token, logic.OK, 0}
-	if w.rng.Float64() < w.busy {
+	if w.rng.Float64() < w.failureShare {
 		a.status = []logic.Status{logic.Full, logic.Timeout, logic.Reset}[w.rng.IntN(3)]
 	}
 	if a.status != logic.Full {
-		if w.now >= w.until[c.Name] {
-			w.counts[c.Name], w.until[c.Name] = 0, w.now+c.Lives
+		if w.now >= w.expires[c.Name] {
+			w.counts[c.Name], w.expires[c.Name] = 0, w.now+c.Lives
 		}
 		w.counts[c.Name] += c.Amount
 		a.total = math.Round(w.counts[c.Name]*1e3) / 1e3
@@ -123,16 +123,16 @@
 	w.answers = append(w.answers, a)
 }
 
-func (w *world) run(d time.Duration, demand ...float64) {
+func (w *fleet) run(d time.Duration, demand ...float64) {
 	for until := w.now + d; w.now < until; {
-		w.turn(demand)
+		w.advance(demand)
 	}
 }
 
 // With all limiters up, uneven and moving demand draws nearly all, and never more.
-func TestAllIsDrawnAndNoMore(t *testing.T) {
+func TestReservationIsFullyUsedAndNeverExceeded(t *testing.T) {
 	for seed := range uint64(8) {
-		w := newWorld(seed, 3, 2000)
+		w := newFleet(seed, 3, 2000)
 		w.run(20*time.Second, 30, 5, 0)
 		w.run(20*time.Second, 0, 40, 3)
 		w.run(40*time.Second, 10, 10, 40)
@@ -142,9 +142,9 @@
 }
 
 // A limiter that starts late, or again, goes on from what the others have drawn.
-func TestALimiterThatStartsAgainFindsTheBase(t *testing.T) {
+func TestRestartedLimiterFindsTheBase(t *testing.T) {
 	for seed := range uint64(8) {
-		w := newWorld(seed, 3, 2000)
+		w := newFleet(seed, 3, 2000)
 		w.run(25*time.Second, 20, 20, 0)
 		w.limiters[0] = nil
 		w.run(20*time.Second, 0, 20, 0)
@@ -156,8 +156,8 @@
 }
 
 // A limiter that was not there at the begin, with nobody left who was, leases nothing rather than twice.
-func TestNothingIsLeasedWhereNobodyKnowsTheBase(t *testing.T) {
-	w := newWorld(1, 2, 2000)
+func TestNothingIsLeasedWithoutAKnownBase(t *testing.T) {
+	w := newFleet(1, 2, 2000)
 	w.run(20*time.Second, 30, 30)
 	clear(w.counts)
 	w.limiters[0], w.limiters[1] = nil, nil
@@ -168,9 +168,9 @@
 	require.Equal(t, taken, w.taken)
 }
 
-func TestARateHoldsOverAllLimiters(t *testing.T) {
-	w := newWorld(3, 3, 2000)
-	w.r.Rate = 10
+func TestRateHoldsAcrossLimiters(t *testing.T) {
+	w := newFleet(3, 3, 2000)
+	w.reservation.Rate = 10
 	for k := range w.limiters {
 		w.start(k)
 	}
@@ -179,8 +179,8 @@
 	require.GreaterOrEqual(t, w.taken, 10*28.0)
 }
 
-func TestWhatNobodyWantsIsGivenBackAndARevokedOneIsForgotten(t *testing.T) {
-	w := newWorld(5, 2, 640)
+func TestIdleUnitsAreReturnedAndRevokedReservationsForgotten(t *testing.T) {
+	w := newFleet(5, 2, 640)
 	w.run(2*time.Second, 20, 0)
 	w.run(3*time.Second, 0, 0)
 	u, ok := w.limiters[0].Use("r")
@@ -196,12 +196,12 @@
 // In any mix of demand, lost calls, deaths, restarts and losses of the counter, no more is drawn than the reservation and
 // the stated bound: for each loss what is drawn within Blind before and after, one lease of each limiter, and what limiters that
 // died had leased in the generation that was lost.
-func TestNeverMoreThanTheBound(t *testing.T) {
+func TestUseStaysWithinTheLossBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 4).Draw(t, "limiters")
 		units := rapid.SampledFrom([]float64{64, 640, 2000}).Draw(t, "units")
-		w := newWorld(rapid.Uint64().Draw(t, "seed"), n, units)
-		w.busy = rapid.SampledFrom([]float64{0, 0.02, 0.1}).Draw(t, "busy")
+		w := newFleet(rapid.Uint64().Draw(t, "seed"), n, units)
+		w.failureShare = rapid.SampledFrom([]float64{0, 0.02, 0.1}).Draw(t, "busy")
 		bound := units
 		dead := 0.0 // leased by limiters that died, in this generation
 		var lost []int
@@ -210,9 +210,9 @@
 			for k := range demand {
 				demand[k] = rapid.SampledFrom([]float64{0, 3, 40}).Draw(t, "demand")
 			}
-			gen := w.now / generation
+			gen := w.now / generationLength
 			w.run(time.Duration(rapid.IntRange(100, 9000).Draw(t, "ms")/10*10)*time.Millisecond, demand...)
-			if w.now/generation != gen {
+			if w.now/generationLength != gen {
 				dead = 0
 			}
 			who := rapid.IntRange(0, n-1).Draw(t, "who")
@@ -220,10 +220,10 @@
 			case "wipe":
 				clear(w.counts)
 				bound += float64(n)*max(units/Part, 1) + dead
-				lost = append(lost, len(w.drawn)-1)
+				lost = append(lost, len(w.takenByStep)-1)
 			case "kill":
 				if m := w.limiters[who]; m != nil {
-					dead += max(m.accounts["r"].own, 0)
+					dead += max(m.accounts["r"].ownLeased, 0)
 				}
 				w.limiters[who] = nil
 			case "start":
@@ -233,18 +233,18 @@
 			}
 		}
 		for _, at := range lost {
-			bound += w.near(at)
+			bound += w.takenNear(at)
 		}
 		require.LessOrEqual(t, w.taken, bound+1e-6)
 	})
 }
 
 // Limiters that run through steps of the wall clock grant no unit twice, whatever each has heard of the others by then.
-func TestStepsOfTheClockGrantNothingTwice(t *testing.T) {
+func TestClockStepsGrantNoUnitTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 4).Draw(t, "limiters")
 		units := rapid.SampledFrom([]float64{64, 640, 2000}).Draw(t, "units")
-		w := newWorld(rapid.Uint64().Draw(t, "seed"), n, units)
+		w := newFleet(rapid.Uint64().Draw(t, "seed"), n, units)
 		for range rapid.IntRange(1, 10).Draw(t, "phases") {
 			demand := make([]float64, n)
 			for k := range demand {
--- a/internal/sharding/options_test.go
+++ b/internal/sharding/options_test.go
@@ -20,8 +20,8 @@
 
 func (hasher) Sum64(b []byte) uint64 { return xxhash.Sum64(b) }
 
-// options are the ways to deal names out that were compared: each makes a list's deal.
-var options = map[string]func([]string) func(key string) string{
+// algorithms are the ways to deal names out that were compared: each makes a list's deal.
+var algorithms = map[string]func([]string) func(key string) string{
 	"rendezvous": func(list []string) func(string) string {
 		return rendezvous.New(list, xxhash.Sum64String).Lookup
 	},
@@ -38,13 +38,13 @@
 	},
 }
 
-// BenchmarkOptions tells of each way what a look-up costs, the share of the names on the fullest counter over the mean, and the
+// BenchmarkShardingAlgorithms tells of each way what a look-up costs, the share of the names on the fullest counter over the mean, and the
 // share that moves when the first counter goes, over that counter's own.
-func BenchmarkOptions(b *testing.B) {
+func BenchmarkShardingAlgorithms(b *testing.B) {
 	const names = 200_000
 	for _, n := range []int{4, 32, 1024} {
 		list := addresses(n)
-		for name, deal := range options {
+		for name, deal := range algorithms {
 			b.Run(fmt.Sprintf("%s/counters=%d", name, n), func(b *testing.B) {
 				of, without := deal(list), deal(list[1:])
 				var key [8]byte
--- a/internal/sharding/sharding.go
+++ b/internal/sharding/sharding.go
@@ -25,41 +25,41 @@
 const (
 	// Slack is how far apart limiters may hear of a new list.
 	Slack = 15 * time.Second
-	// Kept is how long a former list is: the longest life of a name that began while some had it.
-	Kept = Slack + time.Minute
+	// ListRetention is how long a former list is: the longest life of a name that began while some had it.
+	ListRetention = Slack + time.Minute
 
-	mostCalls   = 3       // counters that one name is added to at once: a list that changes again and again must not multiply calls
-	mostFormers = 8       // former lists; of more, names are counted nowhere until the oldest is over
-	mostTold    = 1 << 16 // names in each half of what is remembered
-	none        = -1
+	maxCountersPerName = 3       // counters that one name is added to at once: a list that changes again and again must not multiply calls
+	maxFormerLists     = 8       // former lists; of more, names are counted nowhere until the oldest is over
+	maxTotalsPerHalf   = 1 << 16 // names in each half of what is remembered
+	noCounter          = -1
 )
 
 // Ring is the list of counters and those before it.
 type Ring struct {
-	numbers map[string]int // of the addresses that are known; never used again
-	next    int
-	list    table
-	formers []former // in the order in which they were first taken up
-	blind   time.Duration
+	numbers       map[string]int // of the addresses that are known; never used again
+	nextNumber    int
+	current       counterList
+	formerLists   []formerList // in the order in which they were first taken up
+	unknownBefore time.Duration
 
-	told, older map[uint64]told
-	turned      time.Duration
+	recentTotals, olderTotals map[uint64]knownTotal
+	rotatedAt                 time.Duration
 }
 
-type table struct {
+type counterList struct {
 	addrs []string
-	ring  *rendezvous.Rendezvous
+	hash  *rendezvous.Rendezvous
 }
 
-type former struct {
-	table
-	left time.Duration // when it was left last
+type formerList struct {
+	counterList
+	replacedAt time.Duration // when it was left last
 }
 
-// told is what was last believed of a name, and what the newest counter had of it then.
-type told struct {
-	total, fresh float64
-	newest       int // that counter; none: it had nothing of the name
+// knownTotal is what was last believed of a name, and what the newest counter had of it then.
+type knownTotal struct {
+	total, newTotal float64
+	newCounter      int // that counter; none: it had nothing of the name
 }
 
 // Targets are the counters of a name: the newest list's first.
@@ -77,8 +77,8 @@
 
 // New makes a ring of a list that has been in force for long.
 func New(addrs []string) *Ring {
-	r := &Ring{numbers: map[string]int{}, told: map[uint64]told{}}
-	r.list = r.table(addrs)
+	r := &Ring{numbers: map[string]int{}, recentTotals: map[uint64]knownTotal{}}
+	r.current = r.newList(addrs)
 	return r
 }
 
@@ -86,55 +86,55 @@
 // added to under another list are counted nowhere.
 func Start(now time.Duration, addrs []string) *Ring {
 	r := New(addrs)
-	r.blind = now + Slack
+	r.unknownBefore = now + Slack
 	return r
 }
 
-func (r *Ring) table(addrs []string) table {
+func (r *Ring) newList(addrs []string) counterList {
 	addrs = slices.Compact(slices.Sorted(slices.Values(addrs))) // the order in a file says nothing
 	for _, a := range addrs {
 		if _, ok := r.numbers[a]; !ok {
-			r.numbers[a] = r.next
-			r.next++
+			r.numbers[a] = r.nextNumber
+			r.nextNumber++
 		}
 	}
-	return table{addrs, rendezvous.New(addrs, xxhash.Sum64String)}
+	return counterList{addrs, rendezvous.New(addrs, xxhash.Sum64String)}
 }
 
-func (r *Ring) of(t table, name uint64) int {
+func (r *Ring) lookup(t counterList, name uint64) int {
 	var key [8]byte
 	binary.BigEndian.PutUint64(key[:], name)
-	return r.numbers[t.ring.Lookup(string(key[:]))]
+	return r.numbers[t.hash.Lookup(string(key[:]))]
 }
 
 // Set takes a new list. It tells whether it is another one.
 func (r *Ring) Set(now time.Duration, addrs []string) bool {
-	next := r.table(addrs)
-	if slices.Equal(next.addrs, r.list.addrs) {
+	next := r.newList(addrs)
+	if slices.Equal(next.addrs, r.current.addrs) {
 		return false
 	}
 	r.Advance(now)
-	same := func(f former) bool { return slices.Equal(f.addrs, r.list.addrs) }
-	if k := slices.IndexFunc(r.formers, same); k >= 0 { // a list that comes and goes is one former list
-		r.formers[k].left = now
-	} else if len(r.formers) < mostFormers {
-		r.formers = append(r.formers, former{r.list, now})
+	same := func(f formerList) bool { return slices.Equal(f.addrs, r.current.addrs) }
+	if k := slices.IndexFunc(r.formerLists, same); k >= 0 { // a list that comes and goes is one former list
+		r.formerLists[k].replacedAt = now
+	} else if len(r.formerLists) < maxFormerLists {
+		r.formerLists = append(r.formerLists, formerList{r.current, now})
 	} else {
-		r.blind = max(r.blind, now+Slack)
+		r.unknownBefore = max(r.unknownBefore, now+Slack)
 	}
-	r.list = next
+	r.current = next
 	return true
 }
 
 // Advance forgets lists whose time is over, and tells whether there were any.
 func (r *Ring) Advance(now time.Duration) bool {
-	before := len(r.formers)
-	r.formers = slices.DeleteFunc(r.formers, func(f former) bool { return now >= f.left+Kept })
-	if len(r.formers) == before {
+	before := len(r.formerLists)
+	r.formerLists = slices.DeleteFunc(r.formerLists, func(f formerList) bool { return now >= f.replacedAt+ListRetention })
+	if len(r.formerLists) == before {
 		return false
 	}
 	kept := map[string]int{}
-	for _, t := range r.tables() {
+	for _, t := range r.lists() {
 		for _, a := range t.addrs {
 			kept[a] = r.numbers[a]
 		}
@@ -145,18 +145,18 @@
 
 // Next is when a former list's time is over; false: there is none.
 func (r *Ring) Next() (at time.Duration, due bool) {
-	for _, f := range r.formers {
-		if !due || f.left+Kept < at {
-			at, due = f.left+Kept, true
+	for _, f := range r.formerLists {
+		if !due || f.replacedAt+ListRetention < at {
+			at, due = f.replacedAt+ListRetention, true
 		}
 	}
 	return at, due
 }
 
-func (r *Ring) tables() []table {
-	all := []table{r.list}
-	for _, f := range r.formers {
-		all = append(all, f.table)
+func (r *Ring) lists() []counterList {
+	all := []counterList{r.current}
+	for _, f := range r.formerLists {
+		all = append(all, f.counterList)
 	}
 	return all
 }
@@ -168,15 +168,15 @@
 }
 
 // Fingerprint is the newest list's.
-func (r *Ring) Fingerprint() string { return Fingerprint(r.list.addrs) }
+func (r *Ring) Fingerprint() string { return Fingerprint(r.current.addrs) }
 
 // Len is how many counters the newest list has.
-func (r *Ring) Len() int { return len(r.list.addrs) }
+func (r *Ring) Len() int { return len(r.current.addrs) }
 
 // Addresses is every counter that may be called, by its number.
 func (r *Ring) Addresses() map[int]string {
 	all := map[int]string{}
-	for _, t := range r.tables() {
+	for _, t := range r.lists() {
 		for _, a := range t.addrs {
 			all[r.numbers[a]] = a
 		}
@@ -186,22 +186,22 @@
 
 // Of finds the counters of a name that limiters may have added to from a time on.
 func (r *Ring) Of(now time.Duration, name uint64, began time.Duration) Targets {
-	if began < r.blind {
+	if began < r.unknownBefore {
 		return Targets{}
 	}
-	t := Targets{To: []int{r.of(r.list, name)}}
+	t := Targets{To: []int{r.lookup(r.current, name)}}
 	t.Oldest = t.To[0]
-	for k := len(r.formers) - 1; k >= 0; k-- {
-		f := r.formers[k]
-		if began >= f.left+Slack || now >= f.left+Kept {
+	for k := len(r.formerLists) - 1; k >= 0; k-- {
+		f := r.formerLists[k]
+		if began >= f.replacedAt+Slack || now >= f.replacedAt+ListRetention {
 			continue
 		}
-		t.Oldest = r.of(f.table, name)
+		t.Oldest = r.lookup(f.counterList, name)
 		if !slices.Contains(t.To, t.Oldest) {
 			t.To = append(t.To, t.Oldest)
 		}
 	}
-	if len(t.To) > mostCalls {
+	if len(t.To) > maxCountersPerName {
 		return Targets{}
 	}
 	return t
@@ -230,43 +230,43 @@
 	}
 	if t.To[0] == t.Oldest { // as with one counter; a list that came back is among them
 		if known {
-			r.remember(now, name, told{total: total, newest: none})
+			r.remember(now, name, knownTotal{total: total, newCounter: noCounter})
 		}
 		return total, known
 	}
-	last, seen := r.last(name)
-	if last.newest != t.To[0] { // nothing had come to it then
-		last.fresh = 0
+	last, seen := r.lastTotal(name)
+	if last.newCounter != t.To[0] { // nothing had come to it then
+		last.newTotal = 0
 	}
 	switch { // guards against a former counter that is lost or wiped
 	case seen && fresh != nil:
-		total, known = max(total, last.total+fresh.Total-last.fresh), true
+		total, known = max(total, last.total+fresh.Total-last.newTotal), true
 	case seen && known:
 		total = max(total, last.total+amount)
 	}
 	switch {
 	case known && fresh != nil:
-		r.remember(now, name, told{total, fresh.Total, t.To[0]})
+		r.remember(now, name, knownTotal{total, fresh.Total, t.To[0]})
 	case known && seen: // the new one has not told what came to it: only the own part is known to be missing there
-		r.remember(now, name, told{last.total + amount, last.fresh, last.newest})
+		r.remember(now, name, knownTotal{last.total + amount, last.newTotal, last.newCounter})
 	}
 	return total, known
 }
 
-func (r *Ring) last(name uint64) (told, bool) {
-	t, ok := r.told[name]
+func (r *Ring) lastTotal(name uint64) (knownTotal, bool) {
+	t, ok := r.recentTotals[name]
 	if !ok {
-		t, ok = r.older[name]
+		t, ok = r.olderTotals[name]
 	}
 	return t, ok
 }
 
 // remember keeps what was told for one to two minutes.
-func (r *Ring) remember(now time.Duration, name uint64, t told) {
-	if now-r.turned >= time.Minute || len(r.told) >= mostTold {
-		r.turned, r.older, r.told = now, r.told, map[uint64]told{}
+func (r *Ring) remember(now time.Duration, name uint64, t knownTotal) {
+	if now-r.rotatedAt >= time.Minute || len(r.recentTotals) >= maxTotalsPerHalf {
+		r.rotatedAt, r.olderTotals, r.recentTotals = now, r.recentTotals, map[uint64]knownTotal{}
 	}
-	r.told[name] = t
+	r.recentTotals[name] = t
 }
 
 var _ logic.Counters = (*Ring)(nil)
--- a/internal/sharding/sharding_test.go
+++ b/internal/sharding/sharding_test.go
@@ -17,13 +17,13 @@
 	return all
 }
 
-// home is the address that a list deals a name to.
-func home(r *Ring, now time.Duration, name uint64) string {
-	return r.list.addrs[r.Of(now, name, now).To[0]] // numbered in the order of the list
+// assignedAddress is the address that a list deals a name to.
+func assignedAddress(r *Ring, now time.Duration, name uint64) string {
+	return r.current.addrs[r.Of(now, name, now).To[0]] // numbered in the order of the list
 }
 
 // Guards against a library that deals otherwise after an upgrade: limiters of two builds would count apart.
-func TestNamesAreDealtAsBefore(t *testing.T) {
+func TestNameAssignmentIsStable(t *testing.T) {
 	r := New(addresses(5))
 	var got []int
 	for name := range uint64(24) {
@@ -32,14 +32,14 @@
 	require.Equal(t, []int{0, 2, 1, 3, 4, 4, 4, 3, 2, 0, 0, 2, 4, 2, 4, 2, 3, 4, 3, 0, 0, 2, 2, 4}, got)
 }
 
-func TestACounterThatComesOrGoesMovesOnlyItsShare(t *testing.T) {
+func TestListChangeMovesOnlyTheChangedCountersShare(t *testing.T) {
 	const names = 20_000
 	for _, n := range []int{2, 5, 16, 32, 1024} {
 		all := addresses(n + 1)
 		fewer, more := New(all[:n]), New(all)
 		moved, most := 0, map[string]int{}
 		for name := range uint64(names) {
-			a, b := home(fewer, 0, name<<32|name), home(more, 0, name<<32|name)
+			a, b := assignedAddress(fewer, 0, name<<32|name), assignedAddress(more, 0, name<<32|name)
 			if most[b]++; a != b {
 				moved++
 				require.Equal(t, all[n], b, "a name goes to the counter that came, or stays")
@@ -52,7 +52,7 @@
 }
 
 // The order in a file and an address that stands twice change nothing.
-func TestTheOrderOfAListSaysNothing(t *testing.T) {
+func TestListOrderAndDuplicatesAreIgnored(t *testing.T) {
 	a := addresses(4)
 	r := New(a)
 	require.False(t, r.Set(time.Second, []string{a[2], a[0], a[3], a[1], a[0]}))
@@ -61,7 +61,7 @@
 }
 
 // A name that has moved is added to on both counters while anybody may have added to it on the former, and no longer.
-func TestAMovedNameIsOnBothUntilItsLifeIsOver(t *testing.T) {
+func TestMovedNameUsesBothCountersUntilItExpires(t *testing.T) {
 	r := New(addresses(4))
 	const at = 100 * time.Second
 	require.True(t, r.Set(at, addresses(5)))
@@ -75,43 +75,43 @@
 		} else {
 			require.Equal(t, []int{after[0], before}, got.To)
 		}
-		require.Len(t, r.Of(at+Kept, name, at).To, 1, "its life is over")
+		require.Len(t, r.Of(at+ListRetention, name, at).To, 1, "its life is over")
 	}
 	end, due := r.Next()
 	require.True(t, due)
-	require.Equal(t, at+Kept, end)
+	require.Equal(t, at+ListRetention, end)
 	require.False(t, r.Advance(end-1))
 	require.True(t, r.Advance(end))
 	require.Len(t, r.Addresses(), 5)
 	r.Set(end, addresses(3))
-	require.True(t, r.Advance(end+Kept))
+	require.True(t, r.Advance(end+ListRetention))
 	require.Len(t, r.Addresses(), 3, "counters that left are forgotten")
 }
 
 // A list that changes every second, or comes and goes, must not multiply calls. What is given up is said: names without a
 // counter. Once it rests they are counted again.
-func TestAListThatChangesEverySecond(t *testing.T) {
+func TestFrequentListChangesAreBounded(t *testing.T) {
 	r := New(addresses(3))
 	now := time.Hour
 	all := addresses(400)
 	for k := range 200 {
 		now += time.Second
 		r.Set(now, all[3*k%300:3*k%300+3]) // nothing of the list before is on it
-		require.LessOrEqual(t, len(r.formers), 8)
+		require.LessOrEqual(t, len(r.formerLists), 8)
 		for name := range uint64(50) {
 			require.LessOrEqual(t, len(r.Of(now, name, now).To), 3)
 		}
 	}
 	require.Empty(t, r.Of(now, 1, now).To)
 	require.Len(t, r.Of(now+Slack, 1, now+Slack).To, 1)
-	r.Advance(now + Kept)
+	r.Advance(now + ListRetention)
 	require.Len(t, r.Addresses(), 3)
 
 	r = New(addresses(3))
 	for k := range 100 {
 		now += time.Second
 		r.Set(now, addresses(4-k%2))
-		require.LessOrEqual(t, len(r.formers), 2)
+		require.LessOrEqual(t, len(r.formerLists), 2)
 		for name := range uint64(50) {
 			require.Contains(t, []int{1, 2}, len(r.Of(now, name, now).To), "a list that comes and goes")
 		}
@@ -119,7 +119,7 @@
 }
 
 // A process that starts cannot know whether the list has just changed.
-func TestAStartCountsNothingThatBeganBefore(t *testing.T) {
+func TestUnsyncedStartSkipsEarlierNames(t *testing.T) {
 	r := Start(time.Hour, addresses(3))
 	require.Empty(t, r.Of(time.Hour, 1, time.Hour+Slack-1).To)
 	require.Len(t, r.Of(time.Hour, 1, time.Hour+Slack).To, 1)
@@ -128,11 +128,11 @@
 // Limiters hear of a change at different times and add to one name all the while; at some moment the former counter is lost.
 // What any of them believes is never under what was added, but for what others added to the former counter alone
 // after both had told it last.
-func TestNothingThatWasToldIsForgottenAtAMove(t *testing.T) {
+func TestMergedTotalsKeepKnownAdditionsDuringMove(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		old, list := addresses(3), addresses(4)
 		name := uint64(0)
-		for one := New(list); home(one, 0, name) != list[3]; name++ {
+		for one := New(list); assignedAddress(one, 0, name) != list[3]; name++ {
 			continue
 		}
 		seed := rapid.Uint64().Draw(t, "seed")
@@ -193,7 +193,7 @@
 }
 
 // A former counter that is wiped, or silent for one who never heard of the name.
-func TestWhatIsBelievedWithoutTheFormerCounter(t *testing.T) {
+func TestMergeWithoutFormerCounter(t *testing.T) {
 	r := New(addresses(3))
 	one := r.Of(0, 0, 0)
 	_, known := r.Join(0, 0, 1, one, []Answer{{one.To[0], true, 40}})
@@ -217,7 +217,7 @@
 	require.Equal(t, 3.0, total, "a slot given back that the new one never had")
 }
 
-func TestNothingIsRememberedForLong(t *testing.T) {
+func TestRememberedTotalsExpire(t *testing.T) {
 	r := New(addresses(2))
 	for k := range 10 {
 		now := time.Duration(k) * time.Minute
@@ -226,6 +226,6 @@
 			targets := r.Of(now, n, now)
 			r.Join(now, n, 1, targets, []Answer{{targets.To[0], true, 1}})
 		}
-		require.LessOrEqual(t, len(r.told)+len(r.older), 2000)
+		require.LessOrEqual(t, len(r.recentTotals)+len(r.olderTotals), 2000)
 	}
 }
