--- a/internal/lease/ballot.go
+++ b/internal/lease/advisory.go
@@ -40,7 +40,7 @@
 	rules           Rules
 	rank, fleetSize int64
 	lastCalledRound int64 // newest round in which this limiter has called the counter; -1: none
-	heldRound       int64
+	heldRound       int64 // newest round in which this limiter held the duty; -1: none
 }
 
 // NewAdvisoryHolder creates the view of the limiter with this rank in a fleet of the given size.
@@ -50,32 +50,32 @@
 
 // NextRound returns the round whose counter entry this limiter should add one to now, if any. Only the previous holder
 // may call in the first tenth of a round.
-func (b *AdvisoryHolder) NextRound(now time.Duration) (round int64, ok bool) {
-	round = int64(now / b.rules.Duration)
-	into := now % b.rules.Duration
-	if b.lastCalledRound >= round || into < b.rules.MaxClockDrift || into >= b.rules.Duration-b.rules.MaxClockDrift {
+func (h *AdvisoryHolder) NextRound(now time.Duration) (round int64, ok bool) {
+	round = int64(now / h.rules.Duration)
+	elapsed := now % h.rules.Duration
+	if h.lastCalledRound >= round || elapsed < h.rules.MaxClockDrift || elapsed >= h.rules.Duration-h.rules.MaxClockDrift {
 		return 0, false
 	}
-	if again := b.heldRound >= 0 && b.heldRound == round-1; !again {
-		place := ((b.rank-round*candidatesPerRound)%b.fleetSize + b.fleetSize) % b.fleetSize // candidates rotate through the fleet
-		if place >= candidatesPerRound || into < b.rules.MaxClockDrift+b.rules.Duration/10*time.Duration(1+place) {
+	if renewing := h.heldRound >= 0 && h.heldRound == round-1; !renewing {
+		place := ((h.rank-round*candidatesPerRound)%h.fleetSize + h.fleetSize) % h.fleetSize // candidates rotate through the fleet
+		if place >= candidatesPerRound || elapsed < h.rules.MaxClockDrift+h.rules.Duration/10*time.Duration(1+place) {
 			return 0, false
 		}
 	}
-	b.lastCalledRound = round
+	h.lastCalledRound = round
 	return round, true
 }
 
 // HandleTotal processes the counter's answer, the total after the addition. It is not called for calls that got no
 // answer.
-func (b *AdvisoryHolder) HandleTotal(round int64, total float64) {
-	if round == b.lastCalledRound && total == 1 {
-		b.heldRound = round
+func (h *AdvisoryHolder) HandleTotal(round int64, total float64) {
+	if round == h.lastCalledRound && total == 1 {
+		h.heldRound = round
 	}
 }
 
 // MayAct reports whether the limiter may act now, and under which term.
-func (b *AdvisoryHolder) MayAct(now time.Duration) (Term, bool) {
-	round, into := int64(now/b.rules.Duration), now%b.rules.Duration
-	return Term(round + 1), b.heldRound >= 0 && b.heldRound == round && into >= b.rules.MaxClockDrift && into < b.rules.Duration-b.rules.MaxClockDrift
+func (h *AdvisoryHolder) MayAct(now time.Duration) (Term, bool) {
+	round, elapsed := int64(now/h.rules.Duration), now%h.rules.Duration
+	return Term(round + 1), h.heldRound >= 0 && h.heldRound == round && elapsed >= h.rules.MaxClockDrift && elapsed < h.rules.Duration-h.rules.MaxClockDrift
 }
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -17,15 +17,15 @@
 	self  Instance
 	rules Rules
 
-	term       Term          // the current term, or the last one held
-	heldUntil  time.Duration // the limiter may act before this time; 0: the duty is not held
-	askedAt    time.Duration // when the pending request was made
-	pendingAsk uint64        // number of the pending request; 0: none is pending
-	lastAsk    uint64
-	notBefore  time.Duration // earliest time of the next attempt to acquire
-	releasing  bool          // releasing: no further effects, and only Release is sent
-	lagging    bool          // the event loop is late: no duty is acquired
-	draining   bool          // the limiter is about to stop: no duty is acquired
+	term           Term          // the current term, or the last one held
+	heldUntil      time.Duration // the limiter may act before this time; 0: the duty is not held
+	requestedAt    time.Duration // when the pending request was made
+	pendingRequest uint64        // number of the pending request; 0: none is pending
+	lastRequest    uint64        // number of the last request sent
+	notBefore      time.Duration // earliest time of the next attempt to acquire
+	releasing      bool          // releasing: no further effects, and only Release is sent
+	lagging        bool          // the event loop is late: no duty is acquired
+	draining       bool          // the limiter is about to stop: no duty is acquired
 }
 
 // NewHolder creates the view of one instance of a limiter. It may send its first request at once.
@@ -42,7 +42,7 @@
 // NextCommand returns the command to send to the register now, if any, and its number. Pass the answer to HandleGrant
 // with that number. One request is pending at a time; the answer to a request that was given up is ignored.
 func (h *Holder) NextCommand(now time.Duration) (Command, uint64, bool) {
-	if h.pendingAsk != 0 && now < h.askedAt+h.rules.AnswerTimeout {
+	if h.pendingRequest != 0 && now < h.requestedAt+h.rules.AnswerTimeout {
 		return Command{}, 0, false
 	}
 	c := Command{Kind: Renew, Duty: h.duty, By: h.self, Term: h.term}
@@ -58,21 +58,21 @@
 		if c.Kind, c.Term, h.heldUntil = Acquire, 0, 0; h.lagging || h.draining || now < h.notBefore {
 			return Command{}, 0, false
 		}
-	case h.pendingAsk == 0 && now < h.heldUntil-2*(h.rules.Duration-h.rules.MaxClockDrift)/3: // renew once a third of the usable time has passed
+	case h.pendingRequest == 0 && now < h.heldUntil-2*(h.rules.Duration-h.rules.MaxClockDrift)/3: // renew once a third of the usable time has passed
 		return Command{}, 0, false
 	}
-	h.lastAsk++
-	h.pendingAsk, h.askedAt = h.lastAsk, now // taken before sending: the lease duration counts from here
-	return c, h.pendingAsk, true
+	h.lastRequest++
+	h.pendingRequest, h.requestedAt = h.lastRequest, now // taken before sending: the lease duration counts from here
+	return c, h.pendingRequest, true
 }
 
 // HandleGrant processes the register's answer to the request with this number. spread, from 0 to 1, is a random number
 // drawn by the owner; it scales the jitter that keeps the attempts of many limiters apart.
 func (h *Holder) HandleGrant(now time.Duration, number uint64, g Grant, err error, spread float64) {
-	if number == 0 || number != h.pendingAsk {
+	if number == 0 || number != h.pendingRequest {
 		return
 	}
-	h.pendingAsk = 0
+	h.pendingRequest = 0
 	switch {
 	case h.releasing: // the answer to Release: released now, or no longer held before
 		h.heldUntil, h.releasing = 0, false
@@ -80,7 +80,7 @@
 		h.heldUntil = 0
 		h.notBefore = now + h.rules.RetryDelay + time.Duration(spread*float64(h.rules.RetryDelay))
 	default:
-		h.term, h.heldUntil = g.Term, h.askedAt+h.rules.Duration-h.rules.MaxClockDrift
+		h.term, h.heldUntil = g.Term, h.requestedAt+h.rules.Duration-h.rules.MaxClockDrift
 	}
 }
 
@@ -95,7 +95,7 @@
 // duration, so that others come first.
 func (h *Holder) Resign(now time.Duration) {
 	h.releasing = h.heldUntil != 0
-	h.pendingAsk = 0 // the answer to a pending renewal would come too late
+	h.pendingRequest = 0 // the answer to a pending renewal would come too late
 	h.notBefore = now + h.rules.Duration
 }
 
@@ -103,7 +103,7 @@
 // lease expires.
 func (h *Holder) Transfer(to Instance, now time.Duration) (Command, bool) {
 	term, may := h.MayAct(now)
-	h.heldUntil, h.pendingAsk = 0, 0
+	h.heldUntil, h.pendingRequest = 0, 0
 	h.notBefore = now + h.rules.Duration // do not compete with the successor
 	return Command{Kind: Transfer, Duty: h.duty, By: h.self, To: to, Term: term}, may
 }
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -58,7 +58,7 @@
 	By       Instance
 	To       Instance // the successor; set for Transfer only
 	Term     Term     // the term under which the duty is held; zero for Acquire
-	Renewals uint64
+	Renewals uint64   // set for Expire only: the renewals that the watch had observed
 }
 
 // Grant is the current state of one duty.
@@ -149,8 +149,8 @@
 
 // NewExpiryWatch starts the timers of a new leader at now. Each held lease gets a whole lease duration from here,
 // because the time of its last renewal is not known.
-func NewExpiryWatch(life time.Duration, r *Register, now time.Duration) *ExpiryWatch {
-	w := &ExpiryWatch{duration: life, renewals: map[Duty]lastRenewal{}}
+func NewExpiryWatch(duration time.Duration, r *Register, now time.Duration) *ExpiryWatch {
+	w := &ExpiryWatch{duration: duration, renewals: map[Duty]lastRenewal{}}
 	for d := range r.grants {
 		w.Observe(d, r.grants[d], now)
 	}
@@ -170,16 +170,16 @@
 
 // DueExpirations returns Expire commands for the leases that have run out. The owner puts them to the register like
 // any other command; each is returned again until it has been applied.
-func (w *ExpiryWatch) DueExpirations(now time.Duration) (ends []Command) {
+func (w *ExpiryWatch) DueExpirations(now time.Duration) (due []Command) {
 	for d, m := range w.renewals {
 		if expired(m, w.duration, now) {
-			ends = append(ends, Command{Kind: Expire, Duty: d, Term: m.term, Renewals: m.renewals})
+			due = append(due, Command{Kind: Expire, Duty: d, Term: m.term, Renewals: m.renewals})
 		}
 	}
-	return ends
+	return due
 }
 
-func expired(m lastRenewal, life, now time.Duration) bool { return now-m.seenAt >= life }
+func expired(m lastRenewal, duration, now time.Duration) bool { return now-m.seenAt >= duration }
 
 // Fence rejects late effects. It runs wherever effects are accepted, and must be as durable as the state that they
 // change.
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -21,42 +21,42 @@
 	rules := Rules{Duration: 3 * time.Second, MaxClockDrift: 100 * time.Millisecond}
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 40).Draw(t, "limiters")
-		lost := rapid.Float64Range(0, 0.5).Draw(t, "lost")
-		luck := rapid.Float64Range(0, 1)
+		lossRate := rapid.Float64Range(0, 0.5).Draw(t, "lost")
+		fate := rapid.Float64Range(0, 1)
 		var fleet []AdvisoryHolder
 		var skew []time.Duration
 		for k := range n {
 			fleet = append(fleet, NewAdvisoryHolder(rules, k, n))
 			skew = append(skew, time.Duration(rapid.IntRange(0, 99).Draw(t, "skew"))*time.Millisecond)
 		}
-		names, calls := map[int64]float64{}, map[int64]int{}
+		totals, calls := map[int64]float64{}, map[int64]int{}
 		held := 0
 		for now := 100 * rules.Duration; now < 112*rules.Duration; now += tick {
-			believe, term := 0, Term(0)
+			believers, term := 0, Term(0)
 			for k := range fleet {
 				b := &fleet[k]
 				if round, ok := b.NextRound(now + skew[k]); ok {
-					names[round]++
+					totals[round]++
 					calls[round]++
-					if luck.Draw(t, "fate") >= lost {
-						b.HandleTotal(round, names[round])
+					if fate.Draw(t, "fate") >= lossRate {
+						b.HandleTotal(round, totals[round])
 					}
 				}
 				if at, may := b.MayAct(now + skew[k]); may {
-					believe, term = believe+1, at
+					believers, term = believers+1, at
 				}
 			}
-			if believe > 1 {
-				t.Fatalf("%d limiters believe that they hold term %d, want at most 1", believe, term)
+			if believers > 1 {
+				t.Fatalf("%d limiters believe that they hold term %d, want at most 1", believers, term)
 			}
-			held += believe
+			held += believers
 		}
 		for round, c := range calls {
 			if c > candidatesPerRound+1 {
 				t.Fatalf("%d calls in round %d, want at most %d", c, round, candidatesPerRound+1)
 			}
 		}
-		if lost == 0 && held == 0 {
+		if lossRate == 0 && held == 0 {
 			t.Fatal("no limiter ever held the duty, though no answer was lost")
 		}
 	})
@@ -96,8 +96,8 @@
 	require.NoError(t, err)
 	w := NewExpiryWatch(leaseDuration, r, 0)
 	require.Empty(t, w.DueExpirations(leaseDuration-1))
-	for _, end := range w.DueExpirations(leaseDuration) {
-		g, err = r.Apply(end)
+	for _, expiry := range w.DueExpirations(leaseDuration) {
+		g, err = r.Apply(expiry)
 		require.NoError(t, err)
 		w.Observe("cleanup", g, leaseDuration)
 	}
--- a/internal/lease/model_test.go
+++ b/internal/lease/model_test.go
@@ -72,12 +72,14 @@
 
 type bug string
 
-func self(k int, epoch uint64) Instance { return Instance{Name: string(rune('a' + k)), Epoch: epoch} }
+func instanceOf(k int, epoch uint64) Instance {
+	return Instance{Name: string(rune('a' + k)), Epoch: epoch}
+}
 
 func initialState(b bounds) state {
 	w := state{remaining: b}
 	for k := range w.peers {
-		w.peers[k].holder = NewHolder("cleanup", self(k, 1), modelRules)
+		w.peers[k].holder = NewHolder("cleanup", instanceOf(k, 1), modelRules)
 	}
 	return w
 }
@@ -103,24 +105,24 @@
 				h.heldUntil = max(h.heldUntil, 0)
 			}
 		}
-		if h.askedAt = max(h.askedAt-w.now, -leaseDuration); h.pendingAsk == 0 {
-			h.askedAt = 0
+		if h.requestedAt = max(h.requestedAt-w.now, -leaseDuration); h.pendingRequest == 0 {
+			h.requestedAt = 0
 		}
 		for s := range w.requests {
-			if m := &w.requests[s]; int(m.from) == k+1 && (m.command.By != h.self || m.number != h.pendingAsk) {
+			if m := &w.requests[s]; int(m.from) == k+1 && (m.command.By != h.self || m.number != h.pendingRequest) {
 				m.number = 0 // its answer will be ignored
 			} else if int(m.from) == k+1 {
 				m.number = 1
 			}
 		}
 		for s := range w.answers {
-			if m := &w.answers[s]; int(m.to) == k+1 && (m.instance != h.self || m.number != h.pendingAsk) && injected != "stale answer accepted" {
+			if m := &w.answers[s]; int(m.to) == k+1 && (m.instance != h.self || m.number != h.pendingRequest) && injected != "stale answer accepted" {
 				*m = answer{}
 			} else if int(m.to) == k+1 {
 				m.number = 1
 			}
 		}
-		h.pendingAsk, h.lastAsk = min(h.pendingAsk, 1), 1
+		h.pendingRequest, h.lastRequest = min(h.pendingRequest, 1), 1
 	}
 	if w.requests[0].from == 0 || w.requests[1].from != 0 && w.requests[1].from < w.requests[0].from {
 		w.requests[0], w.requests[1] = w.requests[1], w.requests[0]
@@ -214,14 +216,14 @@
 		if w.remaining.restarts > 0 {
 			n := w
 			n.remaining.restarts--
-			n.peers[k].holder = NewHolder("cleanup", self(k, p.holder.self.Epoch+1), modelRules) // messages sent before the restart may still arrive
+			n.peers[k].holder = NewHolder("cleanup", instanceOf(k, p.holder.self.Epoch+1), modelRules) // messages sent before the restart may still arrive
 			visit(n, "")
 		}
 		if w.remaining.clockDelays > 0 && p.holder.heldUntil > 0 {
 			n := w
 			n.remaining.clockDelays--
 			n.peers[k].holder.heldUntil += clockDelay
-			n.peers[k].holder.askedAt += clockDelay
+			n.peers[k].holder.requestedAt += clockDelay
 			visit(n, "")
 		}
 		if w.remaining.transfers > 0 && may {
@@ -268,9 +270,9 @@
 			num := m.number
 			switch injected {
 			case "lease counted from the answer":
-				h.askedAt = n.now
+				h.requestedAt = n.now
 			case "stale answer accepted":
-				num = h.pendingAsk
+				num = h.pendingRequest
 			}
 			h.HandleGrant(n.now, num, m.grant, err, 0)
 			visit(n, "")
--- a/internal/plans/board.go
+++ b/internal/plans/board.go
@@ -6,20 +6,21 @@
 	"bramblefall/logic"
 )
 
-// Board shows the fronts the tiers in force. The reducer's owner writes it, any goroutine may read it.
+// Board publishes the tiers in force to the front ends. Only the reducer's owner writes it; any goroutine may read
+// it.
 type Board struct{ snapshot atomic.Pointer[Sheet] }
 
-// Sheet is what the board shows. It is never changed.
+// Sheet is a snapshot of the tiers in force. It is immutable.
 type Sheet struct {
 	Version uint64
-	Tiers   map[string]int // numbers by name
-	Plans   []logic.Plan   // by number
+	Tiers   map[string]int // tier numbers by name
+	Plans   []logic.Plan   // plans by tier number
 }
 
-// Show puts up a sheet.
+// Show replaces the published snapshot.
 func (b *Board) Show(s Sheet) { b.snapshot.Store(&s) }
 
-// Sheet is the one that is up; empty before the first.
+// Sheet returns the published snapshot, or an empty one before the first call of Show.
 func (b *Board) Sheet() Sheet {
 	if s := b.snapshot.Load(); s != nil {
 		return *s
--- a/internal/plans/book.go
+++ b/internal/plans/book.go
@@ -1,5 +1,5 @@
-// Package plans holds the plan book: the numbered versions of the tiers' figures, the firms that are held to others,
-// and the reservations. It is pure: no I/O and no clock. The reducer owns it and tells it the time.
+// Package plans holds the plan book: the numbered versions of the tiers' plans, the overrides for single firms, and
+// the reservations. It does no I/O and reads no clock. The reducer owns the book and passes in the time.
 package plans
 
 import (
@@ -13,17 +13,18 @@
 	"bramblefall/logic"
 )
 
-// Source is where a version or a reservation comes from.
+// Source is where a version or a reservation was defined.
 type Source string
 
-// The sources. A later reading of the platform's configuration or of the operators' file replaces what came from it.
+// The sources. When the platform's configuration or the operators' file is read again, its contents replace what was
+// read from it before.
 const (
 	Platform Source = "platform"
 	File     Source = "file"
 	Admin    Source = "admin"
 )
 
-// Version is the whole set of figures from an instant on.
+// Version is a complete set of plans that applies from an instant on.
 type Version struct {
 	Number    uint64        `json:"number"`
 	Effective time.Duration `json:"effective"` // Unix time, nanoseconds; 0: on receipt
@@ -31,28 +32,29 @@
 	Author    string        `json:"author,omitempty"`
 	Source    Source        `json:"source"`
 	Tiers     []logic.Plan  `json:"tiers"`
-	Firms     []Firm        `json:"firms,omitempty"` // that are held to other figures than their tier's
+	Firms     []Firm        `json:"firms,omitempty"` // firms with other limits than their tier's
 }
 
-// Firm is an override for one firm: moved to a tier, or on figures of its own.
+// Firm is an override for one firm: another tier, or a plan of its own.
 type Firm struct {
 	Firm uint64      `json:"firm"`
 	Tier string      `json:"tier,omitempty"`
 	Own  *logic.Plan `json:"own,omitempty"`
 }
 
-// Limits bound what the book takes.
+// Limits bound the versions and reservations that the book accepts.
 type Limits struct {
-	Late          time.Duration // an effective instant may lie so far in the past
-	MostUnits     float64       // of one request: no burst is smaller
-	FleetRate     float64       // units a second that the fleet can take; 0: not known
-	ReservedShare float64       // of it that reservations may promise together
+	Late          time.Duration // how far in the past an effective instant may lie
+	MostUnits     float64       // units of the largest request; no burst may be smaller
+	FleetRate     float64       // units per second that the fleet can serve; 0: not known
+	ReservedShare float64       // share of FleetRate that all reservations together may promise
 }
 
-// DefaultLimits are used where the operators' file names none.
+// DefaultLimits apply where the operators' file sets none.
 var DefaultLimits = Limits{Late: 5 * time.Second, MostUnits: 1, ReservedShare: 0.5}
 
-// Sizes of what is kept: versions ended, to come, and reservations.
+// Upper bounds on what a book holds: ended versions (MaxHistory), versions not yet in force (MaxPending), tiers and
+// firm overrides of one version, and reservations.
 const (
 	MaxHistory      = 32
 	MaxPending      = 64
@@ -61,57 +63,58 @@
 	MaxReservations = 4096
 )
 
-// Book holds the versions and reservations. The zero value is not usable; New makes one.
+// Book holds the versions and reservations. The zero value is not usable; call New.
 type Book struct {
-	limits        Limits
-	tierNames     []string // tiers ever, a tier's number is its place: requests in hand hold it
+	limits Limits
+	// All tiers ever defined. The index is the tier's number and never changes, because requests in flight refer to it.
+	tierNames     []string
 	current       Version
-	pending       []Version      // by instant, then number
+	pending       []Version      // ordered by instant, then number
 	history       []EndedVersion // oldest first
-	tiers         []tierEntry    // of the tiers in force, by number
+	tiers         []tierEntry    // the tiers in force, by number
 	firmOverrides map[uint64]override
 	highestNumber uint64
 
-	platformTiers []logic.Plan // as last read
+	platformTiers []logic.Plan // the platform's tiers as last read
 
 	reservations map[string]Reservation
 }
 
-// EndedVersion is a version that is no longer in force, and until when it was.
+// EndedVersion is a version that is no longer in force or was withdrawn, and when it began and ended.
 type EndedVersion struct {
 	Version
 	Began     time.Duration `json:"began"`
 	Until     time.Duration `json:"until"`
-	Withdrawn bool          `json:"withdrawn,omitempty"` // before its time
+	Withdrawn bool          `json:"withdrawn,omitempty"` // before it came into force
 }
 
 type tierEntry struct {
 	plan    logic.Plan
-	inForce bool // there is such a tier in the version in force
+	inForce bool // the version in force has this tier
 }
 
-// override is a Firm, looked up: figures of its own, or a tier's number.
+// override is a resolved Firm: a plan of its own, or the number of a tier.
 type override struct {
 	own  *logic.Plan
 	tier int
 }
 
-// New makes a book whose first version, number 0, is the platform's. It is taken as it is: the platform has been
-// running on these figures.
+// New creates a book whose first version, number 0, holds the platform's tiers. They are not checked, because the
+// platform has been running on them.
 func New(tiers []logic.Plan, limits Limits) *Book {
 	b := &Book{limits: limits, platformTiers: tiers, reservations: map[string]Reservation{}}
 	b.activate(Version{Source: Platform, Note: "the platform's settings at the start", Tiers: tiers})
 	return b
 }
 
-// Clone copies the book, to try a change on.
+// Clone returns a copy of the book on which a change can be tried.
 func (b *Book) Clone() *Book {
 	c := *b
 	c.tierNames = slices.Clone(b.tierNames)
 	c.pending, c.history = slices.Clone(b.pending), slices.Clone(b.history)
 	c.tiers = slices.Clone(b.tiers)
 	c.reservations = maps.Clone(b.reservations)
-	return &c // versions are never changed in place, so their tiers and firms may be shared
+	return &c // versions are never changed in place, so the copies share their tiers and firms
 }
 
 // Plan implements logic.Book.
@@ -128,16 +131,16 @@
 	return b.tiers[tier].plan, true
 }
 
-// Current is the version in force.
+// Current returns the version in force.
 func (b *Book) Current() Version { return b.current }
 
-// Pending is the versions to come, in the order in which they come into force.
+// Pending returns the versions not yet in force, in the order in which they take effect.
 func (b *Book) Pending() []Version { return slices.Clone(b.pending) }
 
-// History is the versions that have ended, oldest first.
+// History returns the versions that have ended, oldest first.
 func (b *Book) History() []EndedVersion { return slices.Clone(b.history) }
 
-// Tiers is the tiers in force by name, with their numbers, which stay the same for as long as the program runs.
+// Tiers returns the numbers of the tiers in force by name. A number stays the same for as long as the process runs.
 func (b *Book) Tiers() map[string]int {
 	all := map[string]int{}
 	for n, f := range b.tiers {
@@ -148,7 +151,7 @@
 	return all
 }
 
-// Plans is the tiers' figures by number. Those of tiers that are gone are zero.
+// Plans returns the plans by tier number. Tiers that are not in force have zero plans.
 func (b *Book) Plans() []logic.Plan {
 	all := make([]logic.Plan, len(b.tiers))
 	for n, f := range b.tiers {
@@ -159,7 +162,7 @@
 	return all
 }
 
-// Next is when Advance is due; false: at no time.
+// Next returns when Advance is due; false if no version is pending.
 func (b *Book) Next() (time.Duration, bool) {
 	if len(b.pending) == 0 {
 		return 0, false
@@ -167,8 +170,8 @@
 	return b.pending[0].Effective, true
 }
 
-// Advance brings into force what is due. It tells whether the figures are others now. Of versions with one instant the
-// one with the highest number is the last, and so the one in force.
+// Advance brings the due versions into force and reports whether the plans changed. Of several versions with the same
+// instant, the one with the highest number is applied last and so stays in force.
 func (b *Book) Advance(now time.Duration) (changed bool) {
 	for len(b.pending) > 0 && b.pending[0].Effective <= now {
 		v := b.pending[0]
@@ -187,7 +190,7 @@
 	}
 }
 
-// activate makes a version the one in force.
+// activate makes v the version in force.
 func (b *Book) activate(v Version) {
 	b.current = v
 	b.highestNumber = max(b.highestNumber, v.Number)
@@ -205,7 +208,7 @@
 	}
 }
 
-// tierNumber is a tier's, a new one for a name not seen before; -1 for none.
+// tierNumber returns the number of a tier, assigning one to a name not seen before; -1 for the empty name.
 func (b *Book) tierNumber(name string) int {
 	if name == "" {
 		return -1
@@ -217,8 +220,9 @@
 	return len(b.tierNames) - 1
 }
 
-// Reread takes the tiers that the platform's configuration names when it is read again. They are a change, effective on
-// receipt, if they differ from those read before. Such versions have no number: each limiter reads for itself.
+// Reread installs the tiers of the platform's configuration when it is read again. If they differ from those read
+// before, they form a version that is effective on receipt. Such versions have no number, because each limiter reads
+// the configuration by itself.
 func (b *Book) Reread(tiers []logic.Plan, now time.Duration, inUse func(string) int) error {
 	if slices.Equal(tiers, b.platformTiers) {
 		return nil
@@ -233,9 +237,9 @@
 	return nil
 }
 
-// Propose takes a version. The same one again changes nothing; a number that was passed, or that another version has,
-// is refused. inUse tells how many firms known here name a tier; nil: not known. What is due comes into force with the
-// next Advance.
+// Propose adds a version. Proposing the same version again changes nothing; a number that has been passed, or that
+// belongs to another version, is rejected. inUse returns how many firms known to this limiter use a tier; nil means
+// not known. A version that is already due takes effect at the next Advance.
 func (b *Book) Propose(v Version, now time.Duration, inUse func(tier string) int) error {
 	if known, ok := b.findVersion(v.Number); ok {
 		if sameVersion(known, v) {
@@ -247,7 +251,7 @@
 		v.Number = b.highestNumber + 1
 	}
 	problems := b.Check(v)
-	if v.Number <= b.highestNumber && v.Source == Admin { // a file names all its versions each time, in any order
+	if v.Number <= b.highestNumber && v.Source == Admin { // a file lists all its versions each time, in any order
 		problems = append(problems, Problem{"number", fmt.Sprintf("%d is not above %d, the newest", v.Number, b.highestNumber)})
 	}
 	if v.Effective == 0 {
@@ -276,7 +280,7 @@
 	})
 }
 
-// Withdraw takes back a version before its time.
+// Withdraw removes a version before it comes into force.
 func (b *Book) Withdraw(number uint64, now time.Duration) error {
 	at := slices.IndexFunc(b.pending, func(v Version) bool { return v.Number == number })
 	if at < 0 {
@@ -287,31 +291,31 @@
 	return nil
 }
 
-// Replace takes all that a source names now: its versions to come that it no longer names are withdrawn, and so are its
-// reservations. Nothing changes if one of them cannot be used.
+// Replace installs everything that a source now lists. Pending versions of this source that it no longer lists are
+// withdrawn, and its reservations that it no longer lists are revoked. If any of it cannot be used, nothing changes.
 func (b *Book) Replace(source Source, versions []Version, reservations []Reservation, now time.Duration, inUse func(string) int) error {
 	next := b.Clone()
 	var problems Problems
 	for k, v := range versions {
 		v.Source = source
-		problems = append(problems, prefixed(fmt.Sprintf("plans[%d]", k), next.Propose(v, now, inUse))...)
+		problems = append(problems, prefixFields(fmt.Sprintf("plans[%d]", k), next.Propose(v, now, inUse))...)
 	}
 	for _, v := range b.pending {
-		named := slices.ContainsFunc(versions, func(n Version) bool { return n.Number == v.Number })
-		if v.Source == source && !named {
-			problems = append(problems, prefixed("plans", next.Withdraw(v.Number, now))...)
+		listed := slices.ContainsFunc(versions, func(n Version) bool { return n.Number == v.Number })
+		if v.Source == source && !listed {
+			problems = append(problems, prefixFields("plans", next.Withdraw(v.Number, now))...)
 		}
 	}
 	for k, r := range reservations {
 		if r.Source = source; r.Until <= now {
-			continue // a source may name it for longer than it lasts
+			continue // a source may keep listing a reservation that has ended
 		}
-		problems = append(problems, prefixed(fmt.Sprintf("reservations[%d]", k), next.Grant(r, now))...)
+		problems = append(problems, prefixFields(fmt.Sprintf("reservations[%d]", k), next.Grant(r, now))...)
 	}
 	for _, r := range b.reservations {
-		named := slices.ContainsFunc(reservations, func(n Reservation) bool { return n.ID == r.ID })
-		if r.Source == source && !named && !r.State.Over() {
-			problems = append(problems, prefixed("reservations", next.Revoke(r.ID, now))...)
+		listed := slices.ContainsFunc(reservations, func(n Reservation) bool { return n.ID == r.ID })
+		if r.Source == source && !listed && !r.State.Over() {
+			problems = append(problems, prefixFields("reservations", next.Revoke(r.ID, now))...)
 		}
 	}
 	if len(problems) > 0 {
@@ -321,9 +325,9 @@
 	return nil
 }
 
-// findVersion finds a findVersion by its number wherever it stands.
+// findVersion returns the version with this number, whether it is in force, pending or ended.
 func (b *Book) findVersion(number uint64) (Version, bool) {
-	if number == 0 { // the platform's, of which there may be many
+	if number == 0 { // versions of the platform, of which there may be many
 		return Version{}, false
 	}
 	if b.current.Number == number {
@@ -342,7 +346,8 @@
 	return Version{}, false
 }
 
-// sameVersion tells whether two versions say the sameVersion. One that comes into force on receipt is the sameVersion whenever it came.
+// sameVersion reports whether two versions have the same content. If b takes effect on receipt, its instant is not
+// compared.
 func sameVersion(a, b Version) bool {
 	if b.Effective == 0 {
 		b.Effective = a.Effective
@@ -352,16 +357,16 @@
 		slices.Equal(a.Tiers, b.Tiers) && reflect.DeepEqual(append([]Firm{}, a.Firms...), append([]Firm{}, b.Firms...))
 }
 
-// Effect is what a version would change for a tier.
+// Effect is the change that a version would make to one tier.
 type Effect struct {
 	Tier  string     `json:"tier"`
 	From  logic.Plan `json:"from"`
 	To    logic.Plan `json:"to"`
 	Kind  string     `json:"kind"`  // added, removed, changed
-	Firms int        `json:"firms"` // known here that name it
+	Firms int        `json:"firms"` // firms known to this limiter that use the tier
 }
 
-// Diff tells what would change from one set of tiers to another.
+// Diff returns the changes from one set of tiers to another.
 func Diff(from, to []logic.Plan, inUse func(string) int) (effects []Effect) {
 	if inUse == nil {
 		inUse = func(string) int { return 0 }
@@ -373,18 +378,18 @@
 		}
 		return list[at], true
 	}
-	for _, old := range from {
-		now, still := find(to, old.Name)
+	for _, previous := range from {
+		next, kept := find(to, previous.Name)
 		switch {
-		case !still:
-			effects = append(effects, Effect{old.Name, old, logic.Plan{}, "removed", inUse(old.Name)})
-		case now != old:
-			effects = append(effects, Effect{old.Name, old, now, "changed", inUse(old.Name)})
+		case !kept:
+			effects = append(effects, Effect{previous.Name, previous, logic.Plan{}, "removed", inUse(previous.Name)})
+		case next != previous:
+			effects = append(effects, Effect{previous.Name, previous, next, "changed", inUse(previous.Name)})
 		}
 	}
-	for _, now := range to {
-		if _, was := find(from, now.Name); !was {
-			effects = append(effects, Effect{now.Name, logic.Plan{}, now, "added", 0})
+	for _, next := range to {
+		if _, existed := find(from, next.Name); !existed {
+			effects = append(effects, Effect{next.Name, logic.Plan{}, next, "added", 0})
 		}
 	}
 	return effects
--- a/internal/plans/book_test.go
+++ b/internal/plans/book_test.go
@@ -22,7 +22,7 @@
 func platform() []logic.Plan { return []logic.Plan{tier("associate", 1), tier("full", 10)} }
 
 func TestInvalidFieldsAreReportedByName(t *testing.T) {
-	for field, spoil := range map[string]func(*Version){
+	for field, corrupt := range map[string]func(*Version){
 		"tiers":                  func(v *Version) { v.Tiers = nil },
 		"tiers[0].name":          func(v *Version) { v.Tiers[0].Name = "a b" },
 		"tiers[1].name":          func(v *Version) { v.Tiers[1].Name = "associate" },
@@ -46,7 +46,7 @@
 		b := New(platform(), DefaultLimits)
 		require.NoError(t, b.Propose(Version{Number: 3, Effective: start, Source: Admin, Tiers: platform()}, start, nil))
 		v := Version{Number: 4, Effective: start, Source: Admin, Tiers: platform()}
-		spoil(&v)
+		corrupt(&v)
 		err := b.Propose(v, start, func(string) int { return 1 })
 		var all Problems
 		require.ErrorAs(t, err, &all, field)
@@ -61,7 +61,7 @@
 	for n, rate := range map[uint64]float64{2: 3, 1: 2} {
 		v := Version{Number: n, Effective: start + time.Second, Source: File, Tiers: []logic.Plan{tier("associate", rate), tier("full", 10)}}
 		require.NoError(t, b.Propose(v, start, nil))
-		require.NoError(t, b.Propose(v, start, nil), "the same again is no change")
+		require.NoError(t, b.Propose(v, start, nil), "proposing the same version again changes nothing")
 	}
 	require.False(t, b.Advance(start))
 	require.True(t, b.Advance(start+time.Second))
@@ -88,10 +88,10 @@
 	r := Reservation{ID: "r", Firm: 7, Units: 10, From: start - 1, Until: start + time.Hour}
 	require.NoError(t, b.Replace(File, []Version{v}, []Reservation{r}, start, nil))
 	require.NoError(t, b.Grant(Reservation{ID: "by-hand", Firm: 7, Units: 10, From: start, Until: start + time.Hour, Source: Admin}, start))
-	bad := v
-	bad.Number, bad.Tiers = 2, nil
-	require.Error(t, b.Replace(File, []Version{bad}, nil, start, nil))
-	require.Len(t, b.Pending(), 1, "nothing changes where a part cannot be used")
+	invalid := v
+	invalid.Number, invalid.Tiers = 2, nil
+	require.Error(t, b.Replace(File, []Version{invalid}, nil, start, nil))
+	require.Len(t, b.Pending(), 1, "nothing changes if any part is invalid")
 	require.NoError(t, b.Replace(File, nil, nil, start, nil))
 	require.Empty(t, b.Pending())
 	gone, _ := b.Reservation("r")
@@ -104,21 +104,21 @@
 	b := New(platform(), Limits{MostUnits: 1, FleetRate: 100, ReservedShare: 0.5})
 	hour := Reservation{ID: "a", Firm: 7, Units: 100 * 3600 * 0.4, From: start, Until: start + time.Hour}
 	require.NoError(t, b.Grant(hour, start))
-	require.NoError(t, b.Grant(hour, start), "twice the same is one grant")
+	require.NoError(t, b.Grant(hour, start), "granting the same reservation again changes nothing")
 	other := hour
 	other.Units++
 	require.ErrorContains(t, b.Grant(other, start), "id: ")
 	other.ID, other.Units = "b", 100*3600*0.2
 	require.ErrorContains(t, b.Grant(other, start), "units: ")
 	other.From, other.Until = hour.Until, hour.Until+time.Hour
-	require.NoError(t, b.Grant(other, start), "another hour")
+	require.NoError(t, b.Grant(other, start), "reservations that do not overlap do not add up")
 	require.NoError(t, b.Revoke("a", start))
-	require.NoError(t, b.Revoke("a", start), "twice is once")
+	require.NoError(t, b.Revoke("a", start), "revoking again changes nothing")
 	require.Error(t, b.Revoke("none", start))
 }
 
-// Whatever comes in whatever order: what is in force is valid and was proposed, sizes stay bounded, a stale number never
-// governs, and a book restored from its snapshot says the same.
+// Checks that after any sequence of operations the version in force is valid and was proposed, sizes stay bounded, a
+// version with a stale number never comes into force, and a book restored from its snapshot has the same content.
 func TestBookInvariantsUnderRandomOperations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := New(platform(), DefaultLimits)
@@ -130,7 +130,7 @@
 					Tiers:     []logic.Plan{tier("associate", rapid.SampledFrom([]float64{0.01, 1, 2, math.NaN(), -1}).Draw(t, "rate")), tier("full", 10)}}
 				before := b.Snapshot()
 				if b.Propose(v, now, nil) != nil {
-					require.Equal(t, before, b.Snapshot(), "what is refused changes nothing")
+					require.Equal(t, before, b.Snapshot(), "a rejected version changes nothing")
 				}
 			},
 			"withdraw": func(t *rapid.T) { _ = b.Withdraw(rapid.Uint64Range(0, 40).Draw(t, "number"), now) },
@@ -167,10 +167,10 @@
 				require.NoError(t, err)
 				var s Snapshot
 				require.NoError(t, json.Unmarshal(raw, &s))
-				again := New(platform(), DefaultLimits)
-				again.Restore(s)
-				require.Equal(t, cur.Number, again.Current().Number)
-				require.Equal(t, len(b.Reservations()), len(again.Reservations()))
+				restored := New(platform(), DefaultLimits)
+				restored.Restore(s)
+				require.Equal(t, cur.Number, restored.Current().Number)
+				require.Equal(t, len(b.Reservations()), len(restored.Reservations()))
 			},
 		})
 	})
--- a/internal/plans/reservation.go
+++ b/internal/plans/reservation.go
@@ -7,28 +7,28 @@
 	"time"
 )
 
-// State is where a reservation stands.
+// State is the state of a reservation.
 type State string
 
 // The states. The last three are final.
 const (
-	Granted State = "granted" // its time has not come
+	Granted State = "granted" // has not begun
 	InUse   State = "in use"
 	Spent   State = "spent"
 	Expired State = "expired"
 	Revoked State = "revoked"
 )
 
-// Over tells whether nothing more can be drawn.
+// Over reports whether the state is final: nothing more can be drawn.
 func (s State) Over() bool { return s == Spent || s == Expired || s == Revoked }
 
-// Reservation is allowance that a firm is granted beside its plan, for a time. It counts as inside the quota. The
-// ceiling stays as it is.
+// Reservation is an allowance that a firm is granted in addition to its plan, for a limited time. Its units count as
+// within the quota. The ceiling stays as it is.
 type Reservation struct {
 	ID     string        `json:"id"`
 	Firm   uint64        `json:"firm"`
 	Units  float64       `json:"units"`
-	Rate   float64       `json:"rate,omitempty"` // units a second at most; 0: any
+	Rate   float64       `json:"rate,omitempty"` // maximum units per second; 0: no limit
 	From   time.Duration `json:"from"`           // Unix time, nanoseconds
 	Until  time.Duration `json:"until"`
 	Note   string        `json:"note,omitempty"`
@@ -37,13 +37,13 @@
 	Ended  time.Duration `json:"ended,omitempty"`
 }
 
-// sameGrant tells whether two grants say the sameGrant.
+// sameGrant reports whether two reservations were granted with the same content.
 func (r Reservation) sameGrant(o Reservation) bool {
 	return r.ID == o.ID && r.Firm == o.Firm && r.Units == o.Units && r.Rate == o.Rate && r.From == o.From &&
 		r.Until == o.Until && r.Note == o.Note
 }
 
-// Grant takes a reservation. Twice the same is one; the same id with other content is refused.
+// Grant adds a reservation. Granting the same one again changes nothing; the same id with other content is rejected.
 func (b *Book) Grant(r Reservation, now time.Duration) error {
 	if known, ok := b.reservations[r.ID]; ok {
 		if known.sameGrant(r) {
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// Revoke ends a reservation. Twice is once.
+// Revoke ends a reservation. Revoking it again changes nothing.
 func (b *Book) Revoke(id string, now time.Duration) error {
 	r, ok := b.reservations[id]
 	if !ok {
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// Spend notes that a reservation is used up.
+// Spend records that a reservation is used up.
 func (b *Book) Spend(id string, now time.Duration) {
 	if r, ok := b.reservations[id]; ok && !r.State.Over() {
 		b.setState(r, Spent, now)
@@ -94,7 +94,7 @@
 	b.reservations[r.ID] = r
 }
 
-// Turn moves reservations on with time. It tells whether one has begun or ended.
+// Turn updates the states of the reservations to now and reports whether any has begun or ended.
 func (b *Book) Turn(now time.Duration) (changed bool) {
 	for _, r := range b.reservations {
 		switch {
@@ -110,7 +110,7 @@
 	return changed
 }
 
-// NextTurn is when Turn is due; false: at no time.
+// NextTurn returns when Turn is due; false if no reservation will change.
 func (b *Book) NextTurn() (at time.Duration, ok bool) {
 	for _, r := range b.reservations {
 		due := r.Until
@@ -124,7 +124,7 @@
 	return at, ok
 }
 
-// Reservations is all that are known, by begin and id.
+// Reservations returns all known reservations, ordered by start and id.
 func (b *Book) Reservations() []Reservation {
 	all := make([]Reservation, 0, len(b.reservations))
 	for _, r := range b.reservations {
@@ -136,13 +136,13 @@
 	return all
 }
 
-// Reservation finds one.
+// Reservation returns the reservation with this id.
 func (b *Book) Reservation(id string) (Reservation, bool) {
 	r, ok := b.reservations[id]
 	return r, ok
 }
 
-// evictOldestEnded makes room: the one that ended first goes. It tells whether there was one.
+// evictOldestEnded makes room by deleting the reservation that ended first. It reports whether there was one.
 func (b *Book) evictOldestEnded() bool {
 	var oldest *Reservation
 	for _, r := range b.reservations {
@@ -156,7 +156,7 @@
 	return oldest != nil
 }
 
-// Snapshot is the book as it is kept on disk.
+// Snapshot is the content of the book as stored on disk.
 type Snapshot struct {
 	Current      Version        `json:"current"`
 	Pending      []Version      `json:"pending"`
@@ -164,13 +164,13 @@
 	Reservations []Reservation  `json:"reservations"`
 }
 
-// Snapshot copies what must survive a restart.
+// Snapshot returns what must survive a restart.
 func (b *Book) Snapshot() Snapshot {
 	return Snapshot{b.current, b.Pending(), b.History(), b.Reservations()}
 }
 
-// Restore takes up a snapshot: its versions and reservations stand beside the platform's own. A current version that
-// the platform had set is not taken up: the platform's settings of today go before it.
+// Restore adds the versions and reservations of a snapshot to a new book that holds the platform's tiers. A current
+// version that came from the platform is not restored: the platform's present configuration takes precedence.
 func (b *Book) Restore(s Snapshot) {
 	for _, v := range append([]Version{s.Current}, s.Pending...) {
 		b.highestNumber = max(b.highestNumber, v.Number)
--- a/internal/reserve/reserve.go
+++ b/internal/reserve/reserve.go
@@ -1,21 +1,24 @@
-// Package reserve draws firms' reservations in leases that all limiters take from the shared counter. It is pure: no
-// I/O and no clock; the reducer owns it, tells it the time and makes the calls that it asks for.
+// Package reserve draws on firms' reservations in leases that all limiters take from the shared counter. It does no
+// I/O and reads no clock: the reducer owns the Manager, passes in the time and makes the calls that the Manager
+// returns.
 //
-// The counter forgets a name after a minute at most, so a reservation is counted in generations of fifteen seconds.
-// What was leased in a generation stands under one name of its own, and what was given back under another: both only
-// grow, so that a total that falls is a loss and nothing else. When a generation is over every limiter reads both and
-// adds the difference to the base, the sum of the generations before. One of them writes the base under a name of the
-// new generation, where a limiter that has just started finds it.
+// The counter drops a name after at most a minute, so a reservation is counted in generations of fifteen seconds. The
+// units leased in a generation are counted under one name, the units returned under another. Both totals only grow, so
+// a total that falls always means that the counter lost data. After a generation has ended, every limiter reads both
+// totals and adds the difference to the base, which is the sum over the earlier generations. One limiter writes the
+// base under a name of the new generation, where a limiter that has just started reads it.
 //
-// What can go wrong, and what it costs:
+// Faults and what they cost:
 //
-//   - A limiter dies: the lease in its hand is lost, a sixty-fourth of the reservation at most.
-//   - A call's fate is unknown: a lease is taken as added and not used, a give-back as made. The units are lost.
-//   - The counter forgets: a limiter that sees the total fall adds all its own of the generation again, waits until the
-//     others have, and takes the total that it knew for the least that is leased. Those that lease look every second.
-//     What can be spent twice is what the firm draws within Blind before and after, a lease of each limiter, and what a
-//     limiter that died had leased in the generation.
-//   - Nobody knows the base (all have restarted and the counter is empty): nothing more is leased.
+//   - A limiter dies: the unused part of its lease is lost, at most one sixty-fourth of the reservation.
+//   - The outcome of a call is unknown: a lease is counted as added but not used, a return as made. The units are
+//     lost.
+//   - The counter loses data: a limiter that sees the total fall adds its own leases of the generation again,
+//     waits until the others have done so, and treats the total that it knew before as the minimum leased.
+//     Limiters that have leased read the total every second. What can be used twice is what the firm draws within
+//     Blind before and after the loss, one lease of each limiter, and what a limiter that died had leased in the
+//     generation.
+//   - No limiter knows the base (all have restarted and the counter is empty): nothing more is leased.
 package reserve
 
 import (
@@ -30,122 +33,141 @@
 )
 
 const (
+	// Well under counterTTL: the counter drops a name after at most a minute.
 	generationLength = 15 * time.Second
-	boundaryMargin   = 300 * time.Millisecond // round a generation's end: calls on their way must have arrived
-	counterTTL       = 60 * time.Second       // of a name, the most that the counter knows
-	callTimeout      = 250 * time.Millisecond
-	Part             = 64 // a lease is at most this part of the reservation, or one request
-
-	idleReturnDelay   = time.Second             // what nobody wants for so long is given back
-	finalReadWindow   = 1500 * time.Millisecond // before a generation's end, who has not leased looks, too: it must know a loss
-	readInterval      = time.Second             // between two looks at the total: a loss must show
-	retryDelay        = 300 * time.Millisecond  // after a call without an answer
-	exhaustedDelay    = 500 * time.Millisecond  // when nothing was left: others may give back
-	lossRecoveryDelay = 600 * time.Millisecond  // after a loss: the others add theirs again
-	baseWriteStagger  = 100 * time.Millisecond  // between the limiters that may write the base
-	baseSteps         = 4096                    // in which the base is written
-	baseWriterUnit    = 1 << 16                 // added by each that writes it
-	unitTolerance     = 1e-3                    // totals are exact to seven digits
+	// No call is made this close to the end of a generation, and its final totals are read no sooner than this after
+	// the end: calls in flight must have arrived.
+	boundaryMargin = 300 * time.Millisecond
+	// The longest lifetime that the counter accepts for a name.
+	counterTTL = 60 * time.Second
+	// Time to wait for the answer to a call.
+	callTimeout = 250 * time.Millisecond
+	// A lease is at most 1/Part of the reservation, or one request if that is more.
+	Part = 64
+
+	// Leased units that no request has asked for during this time are returned.
+	idleReturnDelay = time.Second
+	// A limiter that has not leased also reads the total this long before the end of a generation: it must notice a
+	// loss.
+	finalReadWindow = 1500 * time.Millisecond
+	// Interval between reads of the total, short enough to notice a loss of data.
+	readInterval = time.Second
+	// Delay after a call that got no answer.
+	retryDelay = 300 * time.Millisecond
+	// Delay after a lease found nothing left: other limiters may return units.
+	exhaustedDelay = 500 * time.Millisecond
+	// Wait after a loss of data, during which the other limiters add their leases again.
+	lossRecoveryDelay = 600 * time.Millisecond
+	// Delay between successive limiters, by rank, before they write the base: usually one of them writes it.
+	baseWriteStagger = 100 * time.Millisecond
+	// The base is written as a number of steps, each 1/baseSteps of the reservation.
+	baseSteps = 4096
+	// Each limiter that writes the base adds this much to its steps, so the total shows how many have written.
+	baseWriterUnit = 1 << 16
+	// Tolerance in comparisons of units: totals are exact to seven digits.
+	unitTolerance = 1e-3
 )
 
-// Blind is how long before a loss of the counter's names a limiter may have looked last, and how long after it may not
-// have seen it.
+// Blind bounds the time around a loss of the counter's data in which a limiter may not notice it: its last read may be
+// this long before the loss, and it may notice the loss this long after.
 const Blind = readInterval + lossRecoveryDelay + 2*boundaryMargin
 
-// Call asks for an addition to a name of the counter. Its answer goes to Counted with the token.
+// Call is an addition to a name on the counter, to be made by the owner. The answer goes to Counted with the token.
 type Call struct {
 	Token       uint64
 	Name        uint64
 	Amount      float64
 	Lives, Wait time.Duration
-	Began       time.Duration // from when on limiters may have added to the name
+	Began       time.Duration // earliest time at which a limiter may have added to the name
 }
 
-// Manager leases for all firms of one limiter.
+// Manager leases units of reservations for all firms of one limiter.
 type Manager struct {
 	limiterCount, rank int
-	clockOffset        time.Duration // of the wall clock
-	maxRequestUnits    float64       // request
+	clockOffset        time.Duration // how far the wall clock is ahead of the time passed in
+	maxRequestUnits    float64       // size of the largest request
 	accounts           map[string]*account
-	accountsByFirm     map[uint64][]*account // those not over, by end
-	endedUse           map[string]Use        // of those that are over and still listed
-	inFlight           map[uint64]*account   // by the token of the call that is out
+	accountsByFirm     map[uint64][]*account // reservations in use, ordered by their end
+	endedUse           map[string]Use        // use of the reservations that have ended and are still listed
+	inFlight           map[uint64]*account   // by the token of the call in flight
 	lastToken          uint64
 	calls              []Call
-	wokenFirms         []uint64
-	spentIDs           []string
+	wokenFirms         []uint64 // firms whose held requests must be checked again
+	spentIDs           []string // reservations of which nothing is left
 }
 
+// callKind is the purpose of a call to the counter.
 type callKind uint8
 
 const (
 	noCall        callKind = iota
-	takeLease              // adds
-	returnIdle             // gives back what is not wanted
-	returnExcess           // gives back what a lease added over what may be drawn
-	readLeased             // reads what was leased
-	readReturned           // reads what was given back
-	restoreOwn             // adds its own after a loss
-	closeLeased            // reads what was leased in the generation before
-	closeReturned          // and what was given back
-	readBase               // reads the base
-	writeBase              // writes it
+	takeLease              // adds a lease to the units leased
+	returnIdle             // returns leased units that nobody asks for
+	returnExcess           // returns what a lease added beyond the units that may be drawn
+	readLeased             // reads the units leased in this generation
+	readReturned           // reads the units returned in this generation
+	restoreOwn             // adds this limiter's leases of the generation again after a loss of data
+	closeLeased            // reads the units leased in the generation that is over
+	closeReturned          // reads the units returned in the generation that is over
+	readBase               // reads the base that other limiters wrote
+	writeBase              // reads whether the base was written, then writes it if it was not
 )
 
-// account is what this limiter knows of one reservation.
+// account holds what this limiter knows of one reservation.
 type account struct {
 	reservation   plans.Reservation
-	clockOffset   time.Duration // of the wall clock when it came into use: generations go on evenly from there
-	generation    int64         // that the figures below are of
-	base          float64       // units leased in the generations before
-	baseKnown     bool          // it is known
-	baseWritten   bool
-	hasLeased     bool    // something was ever leased here
-	ownLeased     float64 // leased here in this generation
-	totalLeased   float64 // leased by all, as last told
-	minLeased     float64 // at least so much was leased in this generation: the total before a loss
-	totalReturned float64 // given back in this generation by all, as last told
-	unused        float64 // leased and not used
-	used          float64 // ever, here
-
-	wantedUnits   float64 // units of a request that waits; 0: none
-	lastWantedAt  time.Duration
-	useRate       float64 // units a second used here, smoothed
+	clockOffset   time.Duration // offset of the wall clock when the reservation came into use: its generations continue evenly from there
+	generation    int64         // the generation that the counts below belong to
+	base          float64       // units leased in earlier generations
+	baseKnown     bool
+	baseWritten   bool    // the base of this generation has been written, or needs no writing here
+	hasLeased     bool    // this limiter has leased units of the reservation at some time
+	ownLeased     float64 // units leased by this limiter in this generation
+	totalLeased   float64 // units leased by all limiters in this generation, as last read
+	minLeased     float64 // lower bound of the units leased in this generation: the total before a loss of data
+	totalReturned float64 // units returned by all limiters in this generation, as last read
+	unused        float64 // units leased by this limiter and not used
+	used          float64 // units used through this limiter since it started
+
+	wantedUnits   float64       // largest request that is waiting; 0: none
+	lastWantedAt  time.Duration // when a request last asked for units
+	useRate       float64       // units per second used through this limiter, smoothed
 	useRateAt     time.Duration
-	pendingCall   callKind // the call that is out
-	pendingAmount float64
-	retryAt       time.Duration // no lease before
-	leasedReadAt  time.Duration // last told a total
-	exhausted     bool          // nothing was left at the last try
+	pendingCall   callKind      // kind of the call in flight; noCall: none
+	pendingAmount float64       // amount of the call in flight
+	retryAt       time.Duration // no due call is started before this time
+	leasedReadAt  time.Duration // when the leased total was last read
+	exhausted     bool          // the last attempt to lease got no units
 }
 
-// New makes a manager for one of so many limiters.
-func New(gateways, rank int, largest float64) *Manager {
-	return &Manager{limiterCount: max(gateways, 1), rank: rank, maxRequestUnits: max(largest, 1), accounts: map[string]*account{},
+// New creates the Manager of the limiter with this rank among limiterCount limiters.
+func New(limiterCount, rank int, maxRequestUnits float64) *Manager {
+	return &Manager{limiterCount: max(limiterCount, 1), rank: rank, maxRequestUnits: max(maxRequestUnits, 1), accounts: map[string]*account{},
 		accountsByFirm: map[uint64][]*account{}, endedUse: map[string]Use{}, inFlight: map[uint64]*account{}}
 }
 
-// Ahead sets how far the wall clock is ahead of the time that is told. Reservations go by it; the generations of one that is in
-// use go on as before. Guards against one that is left in a step before what others leased in it is known.
+// Ahead sets how far the wall clock is ahead of the time passed in. Reservations begin and end by the wall clock, but
+// the generations of a reservation in use continue without a jump. Guards against leaving a generation at a clock step
+// before the units that other limiters leased in it are known.
 func (m *Manager) Ahead(by time.Duration) { m.clockOffset = by }
 
-// Set takes the reservations that may be drawn now. Those that are gone are forgotten with what is in hand; the firms
-// that it held something for are woken.
+// Set installs the reservations. Those that may no longer be drawn on are dropped together with the units leased and
+// not used, and their firms are woken.
 func (m *Manager) Set(list []plans.Reservation) {
-	gone := map[string]*account{}
+	removed := map[string]*account{}
 	for id, a := range m.accounts {
-		gone[id] = a
+		removed[id] = a
 	}
-	past := map[string]Use{}
+	endedUse := map[string]Use{}
 	for _, r := range list {
 		if r.State != plans.InUse {
 			if u, ok := m.Use(r.ID); ok {
-				past[r.ID] = u
+				endedUse[r.ID] = u
 			}
 			continue
 		}
 		if a := m.accounts[r.ID]; a != nil {
-			delete(gone, r.ID)
+			delete(removed, r.ID)
 			continue
 		}
 		a := &account{reservation: r, clockOffset: m.clockOffset}
@@ -158,11 +180,11 @@
 			return slices.Compare([]byte(a.reservation.ID), []byte(b.reservation.ID))
 		})
 	}
-	m.endedUse = past
-	for id, a := range gone {
+	m.endedUse = endedUse
+	for id, a := range removed {
 		delete(m.accounts, id)
-		left := slices.DeleteFunc(m.accountsByFirm[a.reservation.Firm], func(x *account) bool { return x == a })
-		if m.accountsByFirm[a.reservation.Firm] = left; len(left) == 0 {
+		remaining := slices.DeleteFunc(m.accountsByFirm[a.reservation.Firm], func(x *account) bool { return x == a })
+		if m.accountsByFirm[a.reservation.Firm] = remaining; len(remaining) == 0 {
 			delete(m.accountsByFirm, a.reservation.Firm)
 		}
 		m.wokenFirms = append(m.wokenFirms, a.reservation.Firm)
@@ -207,51 +229,52 @@
 func (a *account) recordUse(now time.Duration, units float64) {
 	dt := max((now - a.useRateAt).Seconds(), 1e-3)
 	a.useRateAt = now
-	keep := math.Exp(-dt)
-	a.useRate = keep*a.useRate + (1-keep)*units/dt
+	decay := math.Exp(-dt)
+	a.useRate = decay*a.useRate + (1-decay)*units/dt
 }
 
-// Active tells whether there is anything to tend.
+// Active reports whether any reservation is in use.
 func (m *Manager) Active() bool { return len(m.accounts) > 0 }
 
-// Tick looks after every reservation in use. It is due some ten times a second while there are any.
+// Tick makes the calls that are due for each reservation in use. Call it about ten times a second while Active reports
+// true.
 func (m *Manager) Tick(now time.Duration) {
 	ids := make([]string, 0, len(m.accounts))
 	for id := range m.accounts {
 		ids = append(ids, id)
 	}
-	slices.Sort(ids) // a map's order must not reach a call
+	slices.Sort(ids) // the random order of a map must not decide the order of calls
 	for _, id := range ids {
 		m.startDueCall(now, m.accounts[id])
 	}
 }
 
-// Calls hands over the calls that are asked for.
+// Calls returns the calls to be made and clears the list.
 func (m *Manager) Calls() (calls []Call) {
 	calls, m.calls = m.calls, nil
 	return calls
 }
 
-// Woken hands over the firms whose held requests are to be looked at again.
+// Woken returns the firms whose held requests must be checked again, and clears the list.
 func (m *Manager) Woken() (firms []uint64) {
 	firms, m.wokenFirms = m.wokenFirms, nil
 	return firms
 }
 
-// Spent hands over the reservations of which nothing is left.
+// Spent returns the reservations of which nothing is left, and clears the list.
 func (m *Manager) Spent() (ids []string) {
 	ids, m.spentIDs = m.spentIDs, nil
 	return ids
 }
 
-// Use is what is known here of a reservation.
+// Use is what this limiter knows of the use of a reservation.
 type Use struct {
-	Used   float64 `json:"used"`   // by this limiter
-	Hand   float64 `json:"hand"`   // leased by it and not used
-	Leased float64 `json:"leased"` // by all, as last told
+	Used   float64 `json:"used"`   // units used through this limiter
+	Hand   float64 `json:"hand"`   // units leased by this limiter and not used
+	Leased float64 `json:"leased"` // units leased by all limiters, as last read
 }
 
-// Use tells of a reservation; false: it has not been in use here.
+// Use returns the use of a reservation; false if it has not been in use here.
 func (m *Manager) Use(id string) (Use, bool) {
 	a := m.accounts[id]
 	if a == nil {
@@ -265,7 +288,7 @@
 	return a.base + max(0, max(a.totalLeased, a.minLeased)-a.totalReturned)
 }
 
-// allowedBy is how much may have been drawn by a time of the wall clock.
+// allowedBy returns how many units may have been drawn in total by a wall-clock time.
 func (a *account) allowedBy(wall time.Duration) float64 {
 	if a.reservation.Rate <= 0 {
 		return a.reservation.Units
@@ -273,13 +296,13 @@
 	return min(a.reservation.Units, a.reservation.Rate*(1+(wall-a.reservation.From).Seconds()))
 }
 
-// leaseSize is what a lease takes: what a second needs, up to the part.
+// leaseSize returns the units of the next lease: what one second needs, limited to the largest lease.
 func (m *Manager) leaseSize(a *account) float64 {
-	most := max(a.reservation.Units/Part, m.maxRequestUnits)
-	return min(max(a.wantedUnits, math.Ceil(a.useRate), m.maxRequestUnits), max(most, a.wantedUnits))
+	maxLease := max(a.reservation.Units/Part, m.maxRequestUnits)
+	return min(max(a.wantedUnits, math.Ceil(a.useRate), m.maxRequestUnits), max(maxLease, a.wantedUnits))
 }
 
-// startDueCall makes the next call that is due, one at a time.
+// startDueCall starts the next call that is due for a reservation. Only one call is in flight at a time.
 func (m *Manager) startDueCall(now time.Duration, a *account) {
 	wall := now + m.clockOffset
 	if a.pendingCall != noCall || wall >= a.reservation.Until {
@@ -287,10 +310,10 @@
 	}
 	clock := now + a.clockOffset
 	gen, first := int64(clock/generationLength), int64(a.reservation.From/generationLength)
-	into := clock - time.Duration(gen)*generationLength
+	elapsed := clock - time.Duration(gen)*generationLength
 	switch {
 	case !a.baseKnown && gen == first:
-		a.generation, a.baseKnown, a.baseWritten = gen, true, true // nothing was drawn before
+		a.generation, a.baseKnown, a.baseWritten = gen, true, true // first generation: nothing was drawn before
 	case !a.baseKnown:
 		if now >= a.retryAt {
 			a.generation = gen
@@ -299,45 +322,45 @@
 		return
 	}
 	if gen > a.generation {
-		m.closeGeneration(now, a, gen, into)
+		m.closeGeneration(now, a, gen, elapsed)
 		return
 	}
 	size := m.leaseSize(a)
 	wanted := a.wantedUnits > 0 || a.unused < size/2 && now-a.lastWantedAt < idleReturnDelay/2
 	switch {
-	case !a.baseWritten && into >= boundaryMargin+time.Duration(m.rank)*baseWriteStagger && now >= a.retryAt:
+	case !a.baseWritten && elapsed >= boundaryMargin+time.Duration(m.rank)*baseWriteStagger && now >= a.retryAt:
 		m.startCall(a, writeBase, a.counterName("base", gen), 0)
-	case into >= generationLength-boundaryMargin || now < a.retryAt:
+	case elapsed >= generationLength-boundaryMargin || now < a.retryAt:
 	case wanted && a.leased()+unitTolerance < a.allowedBy(now+m.clockOffset):
 		m.startCall(a, takeLease, a.counterName("leased", gen), size)
 	case a.unused > 0 && now-a.lastWantedAt >= idleReturnDelay:
-		give := a.unused
+		returned := a.unused
 		a.unused = 0
-		m.startCall(a, returnIdle, a.counterName("given", gen), give)
-	case now-a.leasedReadAt >= readInterval && (a.hasLeased || into >= generationLength-boundaryMargin-finalReadWindow && now-a.leasedReadAt >= finalReadWindow):
+		m.startCall(a, returnIdle, a.counterName("given", gen), returned)
+	case now-a.leasedReadAt >= readInterval && (a.hasLeased || elapsed >= generationLength-boundaryMargin-finalReadWindow && now-a.leasedReadAt >= finalReadWindow):
 		m.startCall(a, readLeased, a.counterName("leased", gen), 0)
-	case wanted && a.unused == 0: // all that may be drawn by now is leased, but some may be given back
+	case wanted && a.unused == 0: // all that may be drawn by now is leased, but some may have been returned
 		m.startCall(a, readReturned, a.counterName("given", gen), 0)
 	}
 }
 
-// closeGeneration ends the figures of a generation that is over. Those that leased in it go first: they add theirs again if they
-// have been lost, and the others read after them.
-func (m *Manager) closeGeneration(now time.Duration, a *account, gen int64, into time.Duration) {
-	if gen-a.generation > 2 { // the counter was away for longer than its names live
+// closeGeneration starts reading the final totals of a generation that is over. Limiters that leased in it read first,
+// so that they add their leases again if the counter lost them; the others read after them.
+func (m *Manager) closeGeneration(now time.Duration, a *account, gen int64, elapsed time.Duration) {
+	if gen-a.generation > 2 { // the counter was unreachable for longer than its names live
 		a.startGeneration(gen, a.leased())
 		return
 	}
-	after := boundaryMargin
+	earliest := boundaryMargin
 	if a.ownLeased <= 0 {
-		after += lossRecoveryDelay
+		earliest += lossRecoveryDelay
 	}
-	if now >= a.retryAt && (into >= after || gen-a.generation > 1) {
+	if now >= a.retryAt && (elapsed >= earliest || gen-a.generation > 1) {
 		m.startCall(a, closeLeased, a.counterName("leased", a.generation), 0)
 	}
 }
 
-// startGeneration starts the figures of a generation.
+// startGeneration resets the counts for a new generation.
 func (a *account) startGeneration(gen int64, base float64) {
 	a.generation, a.base, a.baseWritten = gen, base, false
 	a.ownLeased, a.totalLeased, a.minLeased, a.totalReturned = 0, 0, 0, 0
@@ -346,7 +369,7 @@
 func (m *Manager) markExhausted(now time.Duration, a *account) {
 	a.exhausted, a.wantedUnits, a.retryAt = true, 0, now+exhaustedDelay
 	m.wokenFirms = append(m.wokenFirms, a.reservation.Firm)
-	if a.unused == 0 && a.base+unitTolerance >= a.reservation.Units { // all generations that count are over: nobody can give back
+	if a.unused == 0 && a.base+unitTolerance >= a.reservation.Units { // all generations with leases are over: no limiter can return units
 		m.spentIDs = append(m.spentIDs, a.reservation.ID)
 	}
 }
@@ -358,14 +381,15 @@
 	m.calls = append(m.calls, Call{m.lastToken, name, amount, counterTTL, callTimeout, time.Duration(a.generation)*generationLength - a.clockOffset})
 }
 
-// counterName is that of a count of one generation: limiters agree on it without talk.
+// counterName returns the counter's name for one count of one generation. It is a hash of the reservation, so limiters
+// agree on it without communicating.
 func (a *account) counterName(what string, gen int64) uint64 {
 	h := fnv.New64a()
 	fmt.Fprintf(h, "reservation %s of %x from %d: %s %d", a.reservation.ID, a.reservation.Firm, a.reservation.From, what, gen)
 	return h.Sum64()
 }
 
-// Counted takes the answer to a call.
+// Counted processes the answer to a call.
 func (m *Manager) Counted(now time.Duration, token uint64, status logic.Status, total float64) {
 	a := m.inFlight[token]
 	if a == nil {
@@ -375,7 +399,7 @@
 	k, amount := a.pendingCall, a.pendingAmount
 	a.pendingCall = noCall
 	if m.accounts[a.reservation.ID] != a {
-		return // over meanwhile
+		return // the reservation was dropped while the call was in flight
 	}
 	if status != logic.OK {
 		m.handleFailure(now, a, k, amount, status == logic.Full || status == logic.ConnectFailed)
@@ -399,7 +423,7 @@
 		m.handleBase(now, a, total)
 	case writeBase:
 		a.baseWritten = true
-		if total < baseWriterUnit-unitTolerance { // nobody has written it
+		if total < baseWriterUnit-unitTolerance { // no limiter has written the base
 			steps := math.Ceil(min(a.base/a.reservation.Units, 1) * baseSteps)
 			m.startCall(a, writeBase, a.counterName("base", a.generation), baseWriterUnit+steps)
 		}
@@ -409,7 +433,7 @@
 	m.startDueCall(now, a)
 }
 
-// handleBase takes the base from what others have written.
+// handleBase reads the base that other limiters have written.
 func (m *Manager) handleBase(now time.Duration, a *account, total float64) {
 	writers := math.Floor(total / baseWriterUnit)
 	if steps := total - writers*baseWriterUnit; writers >= 1 && steps <= writers*baseSteps {
@@ -420,10 +444,10 @@
 	m.wokenFirms = append(m.wokenFirms, a.reservation.Firm)
 }
 
-// detectLoss tells whether a total proves that the counter has forgotten, and adds again what was added here before. floor is
-// what must be in the total at least.
-func (m *Manager) detectLoss(now time.Duration, a *account, total, floor float64) bool {
-	if total >= max(floor, a.totalLeased)-unitTolerance {
+// detectLoss reports whether a total proves that the counter lost data, and if so adds this limiter's own leases
+// again. minTotal is the least that the total must be.
+func (m *Manager) detectLoss(now time.Duration, a *account, total, minTotal float64) bool {
+	if total >= max(minTotal, a.totalLeased)-unitTolerance {
 		return false
 	}
 	a.minLeased, a.totalLeased, a.baseWritten = max(a.minLeased, a.totalLeased), total, false
@@ -434,7 +458,7 @@
 	return true
 }
 
-// handleTotal takes what is leased in this generation.
+// handleTotal processes the total of the current generation that a call returned.
 func (m *Manager) handleTotal(now time.Duration, a *account, k callKind, amount, total float64) {
 	switch k {
 	case restoreOwn:
@@ -446,7 +470,7 @@
 	}
 	a.leasedReadAt = now
 	if m.detectLoss(now, a, total, a.ownLeased+amount) {
-		return // a lease that this call took stays unused
+		return // the units of a lease that this call took stay unused
 	}
 	a.totalLeased = total
 	if k != takeLease {
@@ -469,20 +493,20 @@
 	m.wokenFirms = append(m.wokenFirms, a.reservation.Firm)
 }
 
-// handleFailure takes a call without an answer. never: nothing was added.
-func (m *Manager) handleFailure(now time.Duration, a *account, k callKind, amount float64, never bool) {
+// handleFailure processes a call that got no answer. notAdded means that the counter certainly did not add the amount.
+func (m *Manager) handleFailure(now time.Duration, a *account, k callKind, amount float64, notAdded bool) {
 	a.retryAt = now + retryDelay
 	switch {
-	case k == returnIdle && never: // it is still out: it may be used here
+	case k == returnIdle && notAdded: // the units were not returned and can be used here
 		a.unused, a.lastWantedAt = a.unused+amount, now
 	case k == takeLease:
 		a.exhausted = true
 		m.wokenFirms = append(m.wokenFirms, a.reservation.Firm)
-	case k == restoreOwn && never:
+	case k == restoreOwn && notAdded:
 		m.startCall(a, k, a.counterName("leased", a.generation), amount)
-	case k == returnExcess && never:
+	case k == returnExcess && notAdded:
 		m.startCall(a, k, a.counterName("given", a.generation), amount)
 	case k == writeBase:
-		a.baseWritten = amount > 0 && !never
+		a.baseWritten = amount > 0 && !notAdded
 	}
 }
--- a/internal/reserve/reserve_test.go
+++ b/internal/reserve/reserve_test.go
@@ -19,19 +19,19 @@
 	step  = 10 * time.Millisecond
 )
 
-// fleet is some limiters on one counter, in virtual time.
+// fleet is a group of limiters that share one counter, in virtual time.
 type fleet struct {
 	now          time.Duration
-	clockOffset  time.Duration // of the wall clock
+	clockOffset  time.Duration // how far the wall clock is ahead of virtual time
 	rng          *rand.Rand
 	reservation  plans.Reservation
-	limiters     []*Manager // nil: dead
+	limiters     []*Manager // nil: the limiter has died
 	counts       map[uint64]float64
 	expires      map[uint64]time.Duration
 	answers      []answer
-	failureShare float64 // share of the calls that are turned away, or lost with the amount added
+	failureShare float64 // share of the calls that are rejected, or that are added while their answer is lost
 	taken        float64
-	takenByStep  []float64 // taken, by step
+	takenByStep  []float64 // units taken up to each step
 	calls        int
 }
 
@@ -44,215 +44,217 @@
 }
 
 func newFleet(seed uint64, n int, units float64) *fleet {
-	w := &fleet{now: begin, rng: rand.New(rand.NewPCG(seed, 9)), counts: map[uint64]float64{}, expires: map[uint64]time.Duration{},
+	f := &fleet{now: begin, rng: rand.New(rand.NewPCG(seed, 9)), counts: map[uint64]float64{}, expires: map[uint64]time.Duration{},
 		reservation: plans.Reservation{ID: "r", Firm: 7, Units: units, From: begin, Until: begin + 10*time.Minute, State: plans.InUse}}
 	for k := range n {
-		w.limiters = append(w.limiters, nil)
-		w.start(k)
+		f.limiters = append(f.limiters, nil)
+		f.start(k)
 	}
-	return w
+	return f
 }
 
-func (w *fleet) start(k int) {
-	w.limiters[k] = New(len(w.limiters), k, 1)
-	w.limiters[k].Ahead(w.clockOffset)
-	w.limiters[k].Set([]plans.Reservation{w.reservation})
+func (f *fleet) start(k int) {
+	f.limiters[k] = New(len(f.limiters), k, 1)
+	f.limiters[k].Ahead(f.clockOffset)
+	f.limiters[k].Set([]plans.Reservation{f.reservation})
 }
 
-// stepClock steps the wall clock, which all limiters read.
-func (w *fleet) stepClock(by time.Duration) {
-	w.clockOffset += by
-	for _, m := range w.limiters {
+// stepClock steps the wall clock that all limiters read.
+func (f *fleet) stepClock(by time.Duration) {
+	f.clockOffset += by
+	for _, m := range f.limiters {
 		if m != nil {
-			m.Ahead(w.clockOffset)
+			m.Ahead(f.clockOffset)
 		}
 	}
 }
 
-// advance moves time on by a step; each limiter wants what its demand says.
-func (w *fleet) advance(demand []float64) {
-	w.now += step
-	for k, m := range w.limiters {
+// advance moves time forward by one step; each limiter requests units at its rate in demand.
+func (f *fleet) advance(demand []float64) {
+	f.now += step
+	for k, m := range f.limiters {
 		if m == nil {
 			continue
 		}
-		for d := demand[k] * step.Seconds(); d > 0 && w.rng.Float64() < d; d-- {
-			if m.Take(w.now, w.reservation.Firm, 1) {
-				w.taken++
+		for d := demand[k] * step.Seconds(); d > 0 && f.rng.Float64() < d; d-- {
+			if m.Take(f.now, f.reservation.Firm, 1) {
+				f.taken++
 			}
 		}
-		if w.now%(50*time.Millisecond) == 0 {
-			m.Tick(w.now)
+		if f.now%(50*time.Millisecond) == 0 {
+			m.Tick(f.now)
 		}
 		m.Woken()
 		for _, c := range m.Calls() {
-			w.call(m, c)
+			f.call(m, c)
 		}
 	}
-	left := w.answers[:0]
-	for _, a := range w.answers {
-		if a.at > w.now {
-			left = append(left, a)
+	pending := f.answers[:0]
+	for _, a := range f.answers {
+		if a.at > f.now {
+			pending = append(pending, a)
 			continue
 		}
-		a.m.Counted(w.now, a.token, a.status, a.total)
+		a.m.Counted(f.now, a.token, a.status, a.total)
 	}
-	w.answers = left
-	w.takenByStep = append(w.takenByStep, w.taken)
+	f.answers = pending
+	f.takenByStep = append(f.takenByStep, f.taken)
 }
 
-// takenNear is what was drawn within Blind of a step.
-func (w *fleet) takenNear(at int) float64 {
+// takenNear returns the units taken within Blind before and after a step.
+func (f *fleet) takenNear(at int) float64 {
 	n := int(Blind / step)
-	return w.takenByStep[min(at+n, len(w.takenByStep)-1)] - w.takenByStep[max(at-n, 0)]
+	return f.takenByStep[min(at+n, len(f.takenByStep)-1)] - f.takenByStep[max(at-n, 0)]
 }
 
-func (w *fleet) call(m *Manager, c Call) {
-	w.calls++
-	a := answer{w.now + step, m, c.Token, logic.OK, 0}
-	if w.rng.Float64() < w.failureShare {
-		a.status = []logic.Status{logic.Full, logic.Timeout, logic.Reset}[w.rng.IntN(3)]
+func (f *fleet) call(m *Manager, c Call) {
+	f.calls++
+	a := answer{f.now + step, m, c.Token, logic.OK, 0}
+	if f.rng.Float64() < f.failureShare {
+		a.status = []logic.Status{logic.Full, logic.Timeout, logic.Reset}[f.rng.IntN(3)]
 	}
 	if a.status != logic.Full {
-		if w.now >= w.expires[c.Name] {
-			w.counts[c.Name], w.expires[c.Name] = 0, w.now+c.Lives
+		if f.now >= f.expires[c.Name] {
+			f.counts[c.Name], f.expires[c.Name] = 0, f.now+c.Lives
 		}
-		w.counts[c.Name] += c.Amount
-		a.total = math.Round(w.counts[c.Name]*1e3) / 1e3
+		f.counts[c.Name] += c.Amount
+		a.total = math.Round(f.counts[c.Name]*1e3) / 1e3
 	}
-	w.answers = append(w.answers, a)
+	f.answers = append(f.answers, a)
 }
 
-func (w *fleet) run(d time.Duration, demand ...float64) {
-	for until := w.now + d; w.now < until; {
-		w.advance(demand)
+func (f *fleet) run(d time.Duration, demand ...float64) {
+	for until := f.now + d; f.now < until; {
+		f.advance(demand)
 	}
 }
 
-// With all limiters up, uneven and moving demand draws nearly all, and never more.
+// Checks that uneven and changing demand uses nearly the whole reservation and never more, with all limiters running.
 func TestReservationIsFullyUsedAndNeverExceeded(t *testing.T) {
 	for seed := range uint64(8) {
-		w := newFleet(seed, 3, 2000)
-		w.run(20*time.Second, 30, 5, 0)
-		w.run(20*time.Second, 0, 40, 3)
-		w.run(40*time.Second, 10, 10, 40)
-		require.LessOrEqual(t, w.taken, 2000.0, "seed %d", seed)
-		require.GreaterOrEqual(t, w.taken, 0.97*2000, "seed %d", seed)
+		f := newFleet(seed, 3, 2000)
+		f.run(20*time.Second, 30, 5, 0)
+		f.run(20*time.Second, 0, 40, 3)
+		f.run(40*time.Second, 10, 10, 40)
+		require.LessOrEqual(t, f.taken, 2000.0, "seed %d", seed)
+		require.GreaterOrEqual(t, f.taken, 0.97*2000, "seed %d", seed)
 	}
 }
 
-// A limiter that starts late, or again, goes on from what the others have drawn.
+// Checks that a limiter that starts late, or restarts, continues from what the others have drawn.
 func TestRestartedLimiterFindsTheBase(t *testing.T) {
 	for seed := range uint64(8) {
-		w := newFleet(seed, 3, 2000)
-		w.run(25*time.Second, 20, 20, 0)
-		w.limiters[0] = nil
-		w.run(20*time.Second, 0, 20, 0)
-		w.start(0)
-		w.run(60*time.Second, 40, 10, 0)
-		require.LessOrEqual(t, w.taken, 2000.0, "seed %d", seed)
-		require.GreaterOrEqual(t, w.taken, (0.97-1.0/Part)*2000, "seed %d: a lease is lost with the limiter", seed)
+		f := newFleet(seed, 3, 2000)
+		f.run(25*time.Second, 20, 20, 0)
+		f.limiters[0] = nil
+		f.run(20*time.Second, 0, 20, 0)
+		f.start(0)
+		f.run(60*time.Second, 40, 10, 0)
+		require.LessOrEqual(t, f.taken, 2000.0, "seed %d", seed)
+		require.GreaterOrEqual(t, f.taken, (0.97-1.0/Part)*2000, "seed %d: a lease is lost with the limiter", seed)
 	}
 }
 
-// A limiter that was not there at the begin, with nobody left who was, leases nothing rather than twice.
+// Checks that limiters which all started after the reservation began lease nothing, because none of them knows what
+// was drawn before: leasing could grant units twice.
 func TestNothingIsLeasedWithoutAKnownBase(t *testing.T) {
-	w := newFleet(1, 2, 2000)
-	w.run(20*time.Second, 30, 30)
-	clear(w.counts)
-	w.limiters[0], w.limiters[1] = nil, nil
-	taken := w.taken
-	w.start(0)
-	w.start(1)
-	w.run(30*time.Second, 30, 30)
-	require.Equal(t, taken, w.taken)
+	f := newFleet(1, 2, 2000)
+	f.run(20*time.Second, 30, 30)
+	clear(f.counts)
+	f.limiters[0], f.limiters[1] = nil, nil
+	taken := f.taken
+	f.start(0)
+	f.start(1)
+	f.run(30*time.Second, 30, 30)
+	require.Equal(t, taken, f.taken)
 }
 
 func TestRateHoldsAcrossLimiters(t *testing.T) {
-	w := newFleet(3, 3, 2000)
-	w.reservation.Rate = 10
-	for k := range w.limiters {
-		w.start(k)
+	f := newFleet(3, 3, 2000)
+	f.reservation.Rate = 10
+	for k := range f.limiters {
+		f.start(k)
 	}
-	w.run(30*time.Second, 30, 30, 30)
-	require.LessOrEqual(t, w.taken, 10*31.0)
-	require.GreaterOrEqual(t, w.taken, 10*28.0)
+	f.run(30*time.Second, 30, 30, 30)
+	require.LessOrEqual(t, f.taken, 10*31.0)
+	require.GreaterOrEqual(t, f.taken, 10*28.0)
 }
 
 func TestIdleUnitsAreReturnedAndRevokedReservationsForgotten(t *testing.T) {
-	w := newFleet(5, 2, 640)
-	w.run(2*time.Second, 20, 0)
-	w.run(3*time.Second, 0, 0)
-	u, ok := w.limiters[0].Use("r")
+	f := newFleet(5, 2, 640)
+	f.run(2*time.Second, 20, 0)
+	f.run(3*time.Second, 0, 0)
+	u, ok := f.limiters[0].Use("r")
 	require.True(t, ok)
 	require.Zero(t, u.Hand)
-	require.InDelta(t, w.taken, u.Leased, 1e-6)
-	w.limiters[0].Set(nil)
-	require.Equal(t, []uint64{7}, w.limiters[0].Woken())
-	require.False(t, w.limiters[0].Take(w.now, 7, 1))
-	require.False(t, w.limiters[0].Coming(w.now, 7))
+	require.InDelta(t, f.taken, u.Leased, 1e-6)
+	f.limiters[0].Set(nil)
+	require.Equal(t, []uint64{7}, f.limiters[0].Woken())
+	require.False(t, f.limiters[0].Take(f.now, 7, 1))
+	require.False(t, f.limiters[0].Coming(f.now, 7))
 }
 
-// In any mix of demand, lost calls, deaths, restarts and losses of the counter, no more is drawn than the reservation and
-// the stated bound: for each loss what is drawn within Blind before and after, one lease of each limiter, and what limiters that
-// died had leased in the generation that was lost.
+// Checks that under any mix of demand, lost calls, deaths, restarts and losses of the counter's data, the units drawn
+// stay within the reservation and the documented bound: for each loss, what is drawn within Blind before and after,
+// one lease of each limiter, and what limiters that died had leased in the generation of the loss.
 func TestUseStaysWithinTheLossBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 4).Draw(t, "limiters")
 		units := rapid.SampledFrom([]float64{64, 640, 2000}).Draw(t, "units")
-		w := newFleet(rapid.Uint64().Draw(t, "seed"), n, units)
-		w.failureShare = rapid.SampledFrom([]float64{0, 0.02, 0.1}).Draw(t, "busy")
+		f := newFleet(rapid.Uint64().Draw(t, "seed"), n, units)
+		f.failureShare = rapid.SampledFrom([]float64{0, 0.02, 0.1}).Draw(t, "busy")
 		bound := units
-		dead := 0.0 // leased by limiters that died, in this generation
-		var lost []int
+		lostLeases := 0.0 // units leased in this generation by limiters that died
+		var lossSteps []int
 		for k := range rapid.IntRange(1, 10).Draw(t, "phases") {
 			demand := make([]float64, n)
 			for k := range demand {
 				demand[k] = rapid.SampledFrom([]float64{0, 3, 40}).Draw(t, "demand")
 			}
-			gen := w.now / generationLength
-			w.run(time.Duration(rapid.IntRange(100, 9000).Draw(t, "ms")/10*10)*time.Millisecond, demand...)
-			if w.now/generationLength != gen {
-				dead = 0
+			gen := f.now / generationLength
+			f.run(time.Duration(rapid.IntRange(100, 9000).Draw(t, "ms")/10*10)*time.Millisecond, demand...)
+			if f.now/generationLength != gen {
+				lostLeases = 0
 			}
-			who := rapid.IntRange(0, n-1).Draw(t, "who")
+			victim := rapid.IntRange(0, n-1).Draw(t, "who")
 			switch rapid.SampledFrom([]string{"", "wipe", "kill", "start"}).Draw(t, fmt.Sprint("then", k)) {
 			case "wipe":
-				clear(w.counts)
-				bound += float64(n)*max(units/Part, 1) + dead
-				lost = append(lost, len(w.takenByStep)-1)
+				clear(f.counts)
+				bound += float64(n)*max(units/Part, 1) + lostLeases
+				lossSteps = append(lossSteps, len(f.takenByStep)-1)
 			case "kill":
-				if m := w.limiters[who]; m != nil {
-					dead += max(m.accounts["r"].ownLeased, 0)
+				if m := f.limiters[victim]; m != nil {
+					lostLeases += max(m.accounts["r"].ownLeased, 0)
 				}
-				w.limiters[who] = nil
+				f.limiters[victim] = nil
 			case "start":
-				if w.limiters[who] == nil {
-					w.start(who)
+				if f.limiters[victim] == nil {
+					f.start(victim)
 				}
 			}
 		}
-		for _, at := range lost {
-			bound += w.takenNear(at)
+		for _, at := range lossSteps {
+			bound += f.takenNear(at)
 		}
-		require.LessOrEqual(t, w.taken, bound+1e-6)
+		require.LessOrEqual(t, f.taken, bound+1e-6)
 	})
 }
 
-// Limiters that run through steps of the wall clock grant no unit twice, whatever each has heard of the others by then.
+// Checks that limiters which run through steps of the wall clock grant no unit twice, whatever each knows of the
+// others at that time.
 func TestClockStepsGrantNoUnitTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 4).Draw(t, "limiters")
 		units := rapid.SampledFrom([]float64{64, 640, 2000}).Draw(t, "units")
-		w := newFleet(rapid.Uint64().Draw(t, "seed"), n, units)
+		f := newFleet(rapid.Uint64().Draw(t, "seed"), n, units)
 		for range rapid.IntRange(1, 10).Draw(t, "phases") {
 			demand := make([]float64, n)
 			for k := range demand {
 				demand[k] = rapid.SampledFrom([]float64{0, 3, 40}).Draw(t, "demand")
 			}
-			w.run(time.Duration(rapid.IntRange(100, 9000).Draw(t, "ms")/10*10)*time.Millisecond, demand...)
-			w.stepClock(rapid.SampledFrom([]time.Duration{0, -3 * time.Minute, -7 * time.Second, 7 * time.Second, 3 * time.Minute}).Draw(t, "step"))
+			f.run(time.Duration(rapid.IntRange(100, 9000).Draw(t, "ms")/10*10)*time.Millisecond, demand...)
+			f.stepClock(rapid.SampledFrom([]time.Duration{0, -3 * time.Minute, -7 * time.Second, 7 * time.Second, 3 * time.Minute}).Draw(t, "step"))
 		}
-		require.LessOrEqual(t, w.taken, units+1e-6)
+		require.LessOrEqual(t, f.taken, units+1e-6)
 	})
 }
--- a/internal/sharding/options_test.go
+++ b/internal/sharding/algorithms_test.go
@@ -20,7 +20,8 @@
 
 func (hasher) Sum64(b []byte) uint64 { return xxhash.Sum64(b) }
 
-// algorithms are the ways to deal names out that were compared: each makes a list's deal.
+// algorithms are the hashing algorithms that were compared. Each takes a list of counters and returns the function
+// that assigns a name to one of them.
 var algorithms = map[string]func([]string) func(key string) string{
 	"rendezvous": func(list []string) func(string) string {
 		return rendezvous.New(list, xxhash.Sum64String).Lookup
@@ -38,35 +39,36 @@
 	},
 }
 
-// BenchmarkShardingAlgorithms tells of each way what a look-up costs, the share of the names on the fullest counter over the mean, and the
-// share that moves when the first counter goes, over that counter's own.
+// BenchmarkShardingAlgorithms reports for each algorithm the cost of a lookup, the number of names on the fullest
+// counter relative to the mean (fullest/mean), and the number of names that move when the first counter is removed
+// relative to the names on that counter (moved/own).
 func BenchmarkShardingAlgorithms(b *testing.B) {
 	const names = 200_000
 	for _, n := range []int{4, 32, 1024} {
 		list := addresses(n)
-		for name, deal := range algorithms {
+		for name, assign := range algorithms {
 			b.Run(fmt.Sprintf("%s/counters=%d", name, n), func(b *testing.B) {
-				of, without := deal(list), deal(list[1:])
+				with, without := assign(list), assign(list[1:])
 				var key [8]byte
-				per, moved := map[string]float64{}, 0.0
+				namesPerCounter, moved := map[string]float64{}, 0.0
 				for k := range uint64(names) {
 					binary.BigEndian.PutUint64(key[:], k*0x9e3779b97f4a7c15)
-					home := of(string(key[:]))
-					if per[home]++; home != without(string(key[:])) {
+					home := with(string(key[:]))
+					if namesPerCounter[home]++; home != without(string(key[:])) {
 						moved++
 					}
 				}
-				most := 0.0
-				for _, v := range per {
-					most = math.Max(most, v)
+				largest := 0.0
+				for _, v := range namesPerCounter {
+					largest = math.Max(largest, v)
 				}
 				b.ResetTimer()
 				for k := range b.N {
 					binary.BigEndian.PutUint64(key[:], uint64(k))
-					of(string(key[:]))
+					with(string(key[:]))
 				}
-				b.ReportMetric(most*float64(n)/names, "fullest/mean")
-				b.ReportMetric(moved/per[list[0]], "moved/own")
+				b.ReportMetric(largest*float64(n)/names, "fullest/mean")
+				b.ReportMetric(moved/namesPerCounter[list[0]], "moved/own")
 			})
 		}
 	}
--- a/internal/sharding/sharding.go
+++ b/internal/sharding/sharding.go
@@ -1,12 +1,13 @@
-// Package sharding deals the names of counts out to several quota counters, and hands them over when the list of counters changes.
-// It is pure: no I/O and no clock.
+// Package sharding assigns the names of counts to several quota counters, and moves them when the list of counters
+// changes. It does no I/O and reads no clock.
 //
-// A name stands on the counter that rendezvous hashing finds for it, so one that comes or goes moves only its share. Limiters
-// hear of a new list at different times, and what was added before stands on the former counter. So a name that may have been
-// added to under a former list is added to on both: limiters with the former list and those with the new one all add there, so
-// the former counter's total is the whole truth, and the larger of both is believed. Where the former counter is lost, what it
-// told last is believed, and what has come to the new one since. A limiter that knows neither counts nothing under that name,
-// and its firm falls back to the even part. Names that begin later than Slack after the change stand on the new counter alone.
+// A name is assigned to one counter by rendezvous hashing, so a counter that is added or removed moves only its own
+// share of the names. Limiters learn of a new list at different times, and what was added before is on the former
+// counter. So a name that may have been added to under a former list is added to on both counters: limiters with the
+// former list and those with the new one all add there, so the former counter's total is complete, and the larger of
+// the two totals is used. If the former counter is lost, the total is the last one known from it plus what has been
+// added to the new counter since. A limiter that knows neither does not count under that name, and its firm falls back
+// to an even share of the quota. Names that begin later than Slack after the change are on the new counter only.
 package sharding
 
 import (
@@ -23,27 +24,33 @@
 )
 
 const (
-	// Slack is how far apart limiters may hear of a new list.
+	// Slack is the longest time that may pass between two limiters learning of a new list.
 	Slack = 15 * time.Second
-	// ListRetention is how long a former list is: the longest life of a name that began while some had it.
+	// ListRetention is how long a former list is kept: the longest life of a name that began while some limiters still
+	// had that list.
 	ListRetention = Slack + time.Minute
 
-	maxCountersPerName = 3       // counters that one name is added to at once: a list that changes again and again must not multiply calls
-	maxFormerLists     = 8       // former lists; of more, names are counted nowhere until the oldest is over
-	maxTotalsPerHalf   = 1 << 16 // names in each half of what is remembered
-	noCounter          = -1
+	// Counters that one name is added to at once. Bounded so that a list that changes again and again does not
+	// multiply calls.
+	maxCountersPerName = 3
+	// Former lists that are kept. A list change beyond this leaves the names that begin before all limiters have the
+	// new list uncounted, until the oldest former list expires.
+	maxFormerLists = 8
+	// Remembered totals in each of recentTotals and olderTotals; bounds memory.
+	maxTotalsPerHalf = 1 << 16
+	noCounter        = -1 // not a counter number
 )
 
-// Ring is the list of counters and those before it.
+// Ring holds the current list of counters and the former ones.
 type Ring struct {
-	numbers       map[string]int // of the addresses that are known; never used again
-	nextNumber    int
+	numbers       map[string]int // counter numbers by address; a number is never reused
+	nextNumber    int            // number of the next new address
 	current       counterList
-	formerLists   []formerList // in the order in which they were first taken up
-	unknownBefore time.Duration
+	formerLists   []formerList  // in the order in which they were first replaced
+	unknownBefore time.Duration // names that began before this time are not counted
 
 	recentTotals, olderTotals map[uint64]knownTotal
-	rotatedAt                 time.Duration
+	rotatedAt                 time.Duration // when recentTotals last became olderTotals
 }
 
 type counterList struct {
@@ -53,37 +60,37 @@
 
 type formerList struct {
 	counterList
-	replacedAt time.Duration // when it was left last
+	replacedAt time.Duration // when it was last replaced
 }
 
-// knownTotal is what was last believed of a name, and what the newest counter had of it then.
+// knownTotal is the last known total of a name, and how much of it the new counter had reported by then.
 type knownTotal struct {
 	total, newTotal float64
-	newCounter      int // that counter; none: it had nothing of the name
+	newCounter      int // the counter that reported newTotal; noCounter: it had nothing of the name
 }
 
-// Targets are the counters of a name: the newest list's first.
+// Targets are the counters to which a name is added.
 type Targets struct {
-	To     []int // none: what stands under the name is not known, and cannot be
-	Oldest int   // holds all that was added, as far as it has not been lost
+	To     []int // the one of the newest list first; empty: the total of the name is not known and cannot be learnt
+	Oldest int   // the counter that holds everything that was added, unless it has lost it
 }
 
-// Answer is a counter's.
+// Answer is the answer of one counter to an addition.
 type Answer struct {
 	Counter int
 	OK      bool
 	Total   float64
 }
 
-// New makes a ring of a list that has been in force for long.
+// New creates a ring for a list that has been in force for a long time.
 func New(addrs []string) *Ring {
 	r := &Ring{numbers: map[string]int{}, recentTotals: map[uint64]knownTotal{}}
 	r.current = r.newList(addrs)
 	return r
 }
 
-// Start makes a ring of a process that starts now and cannot know whether the list has just changed: names that may have been
-// added to under another list are counted nowhere.
+// Start creates a ring for a process that starts now and cannot know whether the list has just changed. Names that may
+// have been added to under another list are not counted.
 func Start(now time.Duration, addrs []string) *Ring {
 	r := New(addrs)
 	r.unknownBefore = now + Slack
@@ -91,7 +98,7 @@
 }
 
 func (r *Ring) newList(addrs []string) counterList {
-	addrs = slices.Compact(slices.Sorted(slices.Values(addrs))) // the order in a file says nothing
+	addrs = slices.Compact(slices.Sorted(slices.Values(addrs))) // the order of the configuration file does not matter
 	for _, a := range addrs {
 		if _, ok := r.numbers[a]; !ok {
 			r.numbers[a] = r.nextNumber
@@ -107,7 +114,7 @@
 	return r.numbers[t.hash.Lookup(string(key[:]))]
 }
 
-// Set takes a new list. It tells whether it is another one.
+// Set installs a new list. It reports whether it differs from the current one.
 func (r *Ring) Set(now time.Duration, addrs []string) bool {
 	next := r.newList(addrs)
 	if slices.Equal(next.addrs, r.current.addrs) {
@@ -115,7 +122,7 @@
 	}
 	r.Advance(now)
 	same := func(f formerList) bool { return slices.Equal(f.addrs, r.current.addrs) }
-	if k := slices.IndexFunc(r.formerLists, same); k >= 0 { // a list that comes and goes is one former list
+	if k := slices.IndexFunc(r.formerLists, same); k >= 0 { // a list that is installed repeatedly takes one entry
 		r.formerLists[k].replacedAt = now
 	} else if len(r.formerLists) < maxFormerLists {
 		r.formerLists = append(r.formerLists, formerList{r.current, now})
@@ -126,7 +133,7 @@
 	return true
 }
 
-// Advance forgets lists whose time is over, and tells whether there were any.
+// Advance drops former lists whose retention has ended, and reports whether there were any.
 func (r *Ring) Advance(now time.Duration) bool {
 	before := len(r.formerLists)
 	r.formerLists = slices.DeleteFunc(r.formerLists, func(f formerList) bool { return now >= f.replacedAt+ListRetention })
@@ -143,7 +150,7 @@
 	return true
 }
 
-// Next is when a former list's time is over; false: there is none.
+// Next returns when the retention of a former list ends next; due is false if there is none.
 func (r *Ring) Next() (at time.Duration, due bool) {
 	for _, f := range r.formerLists {
 		if !due || f.replacedAt+ListRetention < at {
@@ -161,19 +168,19 @@
 	return all
 }
 
-// Fingerprint tells two lists apart: limiters of one fleet must show the same.
+// Fingerprint returns a hash that identifies a list: all limiters of a fleet must show the same one.
 func Fingerprint(addrs []string) string {
 	addrs = slices.Compact(slices.Sorted(slices.Values(addrs)))
 	return fmt.Sprintf("%016x", xxhash.Sum64String(strings.Join(addrs, ",")))
 }
 
-// Fingerprint is the newest list's.
+// Fingerprint returns the fingerprint of the current list.
 func (r *Ring) Fingerprint() string { return Fingerprint(r.current.addrs) }
 
-// Len is how many counters the newest list has.
+// Len returns the number of counters in the current list.
 func (r *Ring) Len() int { return len(r.current.addrs) }
 
-// Addresses is every counter that may be called, by its number.
+// Addresses returns the address of every counter that may be called, by its number.
 func (r *Ring) Addresses() map[int]string {
 	all := map[int]string{}
 	for _, t := range r.lists() {
@@ -184,7 +191,7 @@
 	return all
 }
 
-// Of finds the counters of a name that limiters may have added to from a time on.
+// Of returns the counters of a name that limiters may have added to since began.
 func (r *Ring) Of(now time.Duration, name uint64, began time.Duration) Targets {
 	if began < r.unknownBefore {
 		return Targets{}
@@ -212,7 +219,7 @@
 	return r.Of(now, name, began).To
 }
 
-// Join takes the answers to one call and tells the total that is believed; false: it is not known.
+// Join combines the answers to one addition into the total to use; known is false if the total is not known.
 func (r *Ring) Join(now time.Duration, name uint64, amount float64, t Targets, answers []Answer) (total float64, known bool) {
 	var fresh *Answer
 	heard := false
@@ -228,17 +235,17 @@
 		}
 		heard, known = true, known || a.Counter == t.Oldest
 	}
-	if t.To[0] == t.Oldest { // as with one counter; a list that came back is among them
+	if t.To[0] == t.Oldest { // as with a single counter; includes a list that was reinstalled
 		if known {
 			r.remember(now, name, knownTotal{total: total, newCounter: noCounter})
 		}
 		return total, known
 	}
 	last, seen := r.lastTotal(name)
-	if last.newCounter != t.To[0] { // nothing had come to it then
+	if last.newCounter != t.To[0] { // this counter had received nothing at that time
 		last.newTotal = 0
 	}
-	switch { // guards against a former counter that is lost or wiped
+	switch { // guards against a former counter that is unreachable or has lost its data
 	case seen && fresh != nil:
 		total, known = max(total, last.total+fresh.Total-last.newTotal), true
 	case seen && known:
@@ -247,7 +254,8 @@
 	switch {
 	case known && fresh != nil:
 		r.remember(now, name, knownTotal{total, fresh.Total, t.To[0]})
-	case known && seen: // the new one has not told what came to it: only the own part is known to be missing there
+	// The new counter has not reported its total. Of what is missing there, only this limiter's own addition is known.
+	case known && seen:
 		r.remember(now, name, knownTotal{last.total + amount, last.newTotal, last.newCounter})
 	}
 	return total, known
@@ -261,7 +269,7 @@
 	return t, ok
 }
 
-// remember keeps what was told for one to two minutes.
+// remember stores a total for one to two minutes.
 func (r *Ring) remember(now time.Duration, name uint64, t knownTotal) {
 	if now-r.rotatedAt >= time.Minute || len(r.recentTotals) >= maxTotalsPerHalf {
 		r.rotatedAt, r.olderTotals, r.recentTotals = now, r.recentTotals, map[uint64]knownTotal{}
--- a/internal/sharding/sharding_test.go
+++ b/internal/sharding/sharding_test.go
@@ -17,12 +17,13 @@
 	return all
 }
 
-// assignedAddress is the address that a list deals a name to.
+// assignedAddress returns the address to which the current list assigns a name.
 func assignedAddress(r *Ring, now time.Duration, name uint64) string {
-	return r.current.addrs[r.Of(now, name, now).To[0]] // numbered in the order of the list
+	return r.current.addrs[r.Of(now, name, now).To[0]] // counters are numbered in the order of the list
 }
 
-// Guards against a library that deals otherwise after an upgrade: limiters of two builds would count apart.
+// Guards against a hashing library that assigns names differently after an upgrade: limiters of two builds would count
+// the same name on different counters.
 func TestNameAssignmentIsStable(t *testing.T) {
 	r := New(addresses(5))
 	var got []int
@@ -37,21 +38,21 @@
 	for _, n := range []int{2, 5, 16, 32, 1024} {
 		all := addresses(n + 1)
 		fewer, more := New(all[:n]), New(all)
-		moved, most := 0, map[string]int{}
+		moved, perAddress := 0, map[string]int{}
 		for name := range uint64(names) {
 			a, b := assignedAddress(fewer, 0, name<<32|name), assignedAddress(more, 0, name<<32|name)
-			if most[b]++; a != b {
+			if perAddress[b]++; a != b {
 				moved++
-				require.Equal(t, all[n], b, "a name goes to the counter that came, or stays")
+				require.Equal(t, all[n], b, "a name moves to the added counter or stays where it was")
 			}
 		}
 		share := 1 / float64(n+1)
 		require.InDelta(t, share, float64(moved)/names, 5*share/10+0.001, "%d counters", n)
-		require.Len(t, most, n+1)
+		require.Len(t, perAddress, n+1)
 	}
 }
 
-// The order in a file and an address that stands twice change nothing.
+// Checks that the order of addresses in the configuration file and a duplicate address change nothing.
 func TestListOrderAndDuplicatesAreIgnored(t *testing.T) {
 	a := addresses(4)
 	r := New(a)
@@ -60,14 +61,15 @@
 	require.Equal(t, Targets{To: r.Of(0, 7, 0).To, Oldest: r.Of(0, 7, 0).To[0]}, r.Of(time.Minute, 7, time.Second))
 }
 
-// A name that has moved is added to on both counters while anybody may have added to it on the former, and no longer.
+// Checks that a name that has moved is added to on both counters as long as any limiter may have added to it on the
+// former one, and no longer.
 func TestMovedNameUsesBothCountersUntilItExpires(t *testing.T) {
 	r := New(addresses(4))
 	const at = 100 * time.Second
 	require.True(t, r.Set(at, addresses(5)))
 	for name := range uint64(2000) {
 		before, after := New(addresses(4)).Of(0, name, 0).To[0], r.Of(at, name, at+Slack).To
-		require.Len(t, after, 1, "it began when all have the list")
+		require.Len(t, after, 1, "a name that begins once all limiters have the list is on one counter")
 		got := r.Of(at+time.Second, name, at+Slack-1)
 		require.Equal(t, before, got.Oldest)
 		if before == after[0] {
@@ -75,7 +77,7 @@
 		} else {
 			require.Equal(t, []int{after[0], before}, got.To)
 		}
-		require.Len(t, r.Of(at+ListRetention, name, at).To, 1, "its life is over")
+		require.Len(t, r.Of(at+ListRetention, name, at).To, 1, "the retention of the former list has ended")
 	}
 	end, due := r.Next()
 	require.True(t, due)
@@ -85,18 +87,18 @@
 	require.Len(t, r.Addresses(), 5)
 	r.Set(end, addresses(3))
 	require.True(t, r.Advance(end+ListRetention))
-	require.Len(t, r.Addresses(), 3, "counters that left are forgotten")
+	require.Len(t, r.Addresses(), 3, "removed counters are dropped")
 }
 
-// A list that changes every second, or comes and goes, must not multiply calls. What is given up is said: names without a
-// counter. Once it rests they are counted again.
+// Checks that a list that changes every second, or alternates between two, does not multiply calls. What is given up
+// shows as names without a counter; they are counted again once the list is stable.
 func TestFrequentListChangesAreBounded(t *testing.T) {
 	r := New(addresses(3))
 	now := time.Hour
 	all := addresses(400)
 	for k := range 200 {
 		now += time.Second
-		r.Set(now, all[3*k%300:3*k%300+3]) // nothing of the list before is on it
+		r.Set(now, all[3*k%300:3*k%300+3]) // shares no counter with the list before
 		require.LessOrEqual(t, len(r.formerLists), 8)
 		for name := range uint64(50) {
 			require.LessOrEqual(t, len(r.Of(now, name, now).To), 3)
@@ -113,43 +115,43 @@
 		r.Set(now, addresses(4-k%2))
 		require.LessOrEqual(t, len(r.formerLists), 2)
 		for name := range uint64(50) {
-			require.Contains(t, []int{1, 2}, len(r.Of(now, name, now).To), "a list that comes and goes")
+			require.Contains(t, []int{1, 2}, len(r.Of(now, name, now).To), "a list that alternates takes at most one former counter")
 		}
 	}
 }
 
-// A process that starts cannot know whether the list has just changed.
+// A process that starts cannot know whether the list has just changed, so it must not count names that began before.
 func TestUnsyncedStartSkipsEarlierNames(t *testing.T) {
 	r := Start(time.Hour, addresses(3))
 	require.Empty(t, r.Of(time.Hour, 1, time.Hour+Slack-1).To)
 	require.Len(t, r.Of(time.Hour, 1, time.Hour+Slack).To, 1)
 }
 
-// Limiters hear of a change at different times and add to one name all the while; at some moment the former counter is lost.
-// What any of them believes is never under what was added, but for what others added to the former counter alone
-// after both had told it last.
+// Limiters learn of a list change at different times and add to one name all the while; at some moment the former
+// counter is lost. The total that each uses is never below what was added, except for what other limiters added to the
+// former counter alone after both counters had last answered this limiter.
 func TestMergedTotalsKeepKnownAdditionsDuringMove(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		old, list := addresses(3), addresses(4)
 		name := uint64(0)
-		for one := New(list); assignedAddress(one, 0, name) != list[3]; name++ {
+		for ring := New(list); assignedAddress(ring, 0, name) != list[3]; name++ {
 			continue
 		}
 		seed := rapid.Uint64().Draw(t, "seed")
 		rng := rand.New(rand.NewPCG(seed, 1))
 		n := 1 + rng.IntN(5)
-		rings, heard := make([]*Ring, n), make([]time.Duration, n)
-		alone := make([]float64, n) // came to the former counter alone since this limiter was last told
+		rings, heardAt := make([]*Ring, n), make([]time.Duration, n)
+		missed := make([]float64, n) // added to the former counter alone since this limiter last got both totals
 		for k := range rings {
-			rings[k], heard[k] = New(old), time.Minute+time.Duration(rng.Int64N(int64(Slack)))
+			rings[k], heardAt[k] = New(old), time.Minute+time.Duration(rng.Int64N(int64(Slack)))
 		}
-		lost := time.Minute + time.Duration(rng.Int64N(int64(2*Slack)))
+		lostAt := time.Minute + time.Duration(rng.Int64N(int64(2*Slack)))
 		totals, truth := map[string]float64{}, 0.0
 		for now := time.Minute - 5*time.Second; now < time.Minute+3*Slack; now += time.Duration(rng.Int64N(int64(300 * time.Millisecond))) {
 			k := rng.IntN(n)
 			r := rings[k]
-			if now >= heard[k] && r.Len() == len(old) {
-				r.Set(heard[k], list)
+			if now >= heardAt[k] && r.Len() == len(old) {
+				r.Set(heardAt[k], list)
 			}
 			at := r.Addresses()
 			amount := float64(1 + rng.IntN(3))
@@ -158,7 +160,7 @@
 			added := false
 			for _, c := range targets.To {
 				addr := at[c]
-				if addr != list[3] && now >= lost || rng.IntN(20) == 0 && addr == list[3] { // the new one fails now and then
+				if addr != list[3] && now >= lostAt || rng.IntN(20) == 0 && addr == list[3] { // the new counter fails now and then
 					answers = append(answers, Answer{Counter: c})
 					continue
 				}
@@ -171,9 +173,9 @@
 			}
 			truth += amount
 			if !answers[0].OK || len(targets.To) == 1 {
-				for m := range alone {
+				for m := range missed {
 					if m != k {
-						alone[m] += amount
+						missed[m] += amount
 					}
 				}
 			}
@@ -183,38 +185,39 @@
 			}
 			if answers[len(answers)-1].OK {
 				if len(targets.To) == 1 || answers[0].OK {
-					alone[k] = 0
+					missed[k] = 0
 				}
 				require.GreaterOrEqual(t, total, truth-1e-9)
 			}
-			require.GreaterOrEqual(t, total, truth-alone[k]-1e-9, "limiter %d at %v", k, now)
+			require.GreaterOrEqual(t, total, truth-missed[k]-1e-9, "limiter %d at %v", k, now)
 		}
 	})
 }
 
-// A former counter that is wiped, or silent for one who never heard of the name.
+// Checks the total without a usable former counter: one that has lost its data, one that does not answer, and one that
+// does not answer a limiter without an earlier total for the name.
 func TestMergeWithoutFormerCounter(t *testing.T) {
 	r := New(addresses(3))
-	one := r.Of(0, 0, 0)
-	_, known := r.Join(0, 0, 1, one, []Answer{{one.To[0], true, 40}})
+	single := r.Of(0, 0, 0)
+	_, known := r.Join(0, 0, 1, single, []Answer{{single.To[0], true, 40}})
 	require.True(t, known)
-	both := Targets{To: []int{9, one.To[0]}, Oldest: one.To[0]}
-	total, known := r.Join(0, 0, 1, both, []Answer{{9, true, 3}, {one.To[0], true, 5}})
+	both := Targets{To: []int{9, single.To[0]}, Oldest: single.To[0]}
+	total, known := r.Join(0, 0, 1, both, []Answer{{9, true, 3}, {single.To[0], true, 5}})
 	require.True(t, known)
-	require.Equal(t, 43.0, total, "wiped: what it told, and what has come to the new one")
-	total, known = r.Join(0, 0, 1, both, []Answer{{9, true, 5}, {one.To[0], false, 0}})
+	require.Equal(t, 43.0, total, "former counter lost its data: its last known total plus what the new counter received")
+	total, known = r.Join(0, 0, 1, both, []Answer{{9, true, 5}, {single.To[0], false, 0}})
 	require.True(t, known)
-	require.Equal(t, 45.0, total, "lost")
-	total, known = r.Join(0, 0, 2, both, []Answer{{9, false, 0}, {one.To[0], true, 44}})
+	require.Equal(t, 45.0, total, "former counter does not answer")
+	total, known = r.Join(0, 0, 2, both, []Answer{{9, false, 0}, {single.To[0], true, 44}})
 	require.True(t, known)
-	require.Equal(t, 47.0, total, "the new one is lost")
-	_, known = r.Join(0, 0, 1, both, []Answer{{9, false, 0}, {one.To[0], false, 0}})
+	require.Equal(t, 47.0, total, "new counter does not answer")
+	_, known = r.Join(0, 0, 1, both, []Answer{{9, false, 0}, {single.To[0], false, 0}})
 	require.False(t, known)
-	_, known = r.Join(0, 5, 1, both, []Answer{{9, true, 1}, {one.To[0], false, 0}})
-	require.False(t, known, "one that never heard of the name cannot know what was added before")
-	total, known = r.Join(0, 6, -1, both, []Answer{{9, true, -1}, {one.To[0], true, 3}})
+	_, known = r.Join(0, 5, 1, both, []Answer{{9, true, 1}, {single.To[0], false, 0}})
+	require.False(t, known, "a limiter without an earlier total cannot know what was added before")
+	total, known = r.Join(0, 6, -1, both, []Answer{{9, true, -1}, {single.To[0], true, 3}})
 	require.True(t, known)
-	require.Equal(t, 3.0, total, "a slot given back that the new one never had")
+	require.Equal(t, 3.0, total, "a returned slot that the new counter never counted")
 }
 
 func TestRememberedTotalsExpire(t *testing.T) {
