--- a/internal/plans/book_test.go
+++ b/internal/plans/book_test.go
@@ -94,9 +94,9 @@
 	require.Len(t, b.Pending(), 1, "nothing changes if any part is invalid")
 	require.NoError(t, b.Replace(File, nil, nil, start, nil))
 	require.Empty(t, b.Pending())
-	gone, _ := b.Reservation("r")
+	dropped, _ := b.Reservation("r")
 	kept, _ := b.Reservation("by-hand")
-	require.Equal(t, Revoked, gone.State)
+	require.Equal(t, Revoked, dropped.State)
 	require.Equal(t, InUse, kept.State)
 }
 
--- a/internal/plans/check.go
+++ b/internal/plans/check.go
@@ -206,9 +206,9 @@
 
 // meanRate returns the average units per second that a reservation promises.
 func (r Reservation) meanRate() float64 {
-	mean := math.Inf(1)
+	rate := math.Inf(1)
 	if s := (r.Until - r.From).Seconds(); s > 0 {
-		mean = r.Units / s
+		rate = r.Units / s
 	}
-	return mean
+	return rate
 }
--- a/internal/sharding/sharding.go
+++ b/internal/sharding/sharding.go
@@ -108,10 +108,10 @@
 	return counterList{addrs, rendezvous.New(addrs, xxhash.Sum64String)}
 }
 
-func (r *Ring) lookup(t counterList, name uint64) int {
+func (r *Ring) lookup(list counterList, name uint64) int {
 	var key [8]byte
 	binary.BigEndian.PutUint64(key[:], name)
-	return r.numbers[t.hash.Lookup(string(key[:]))]
+	return r.numbers[list.hash.Lookup(string(key[:]))]
 }
 
 // Set installs a new list. It reports whether it differs from the current one.
@@ -221,19 +221,19 @@
 
 // Join combines the answers to one addition into the total to use; known is false if the total is not known.
 func (r *Ring) Join(now time.Duration, name uint64, amount float64, t Targets, answers []Answer) (total float64, known bool) {
-	var fresh *Answer
-	heard := false
+	var newAnswer *Answer
+	answered := false
 	for k, a := range answers {
 		if !a.OK {
 			continue
 		}
 		if a.Counter == t.To[0] {
-			fresh = &answers[k]
+			newAnswer = &answers[k]
 		}
-		if !heard || a.Total > total {
+		if !answered || a.Total > total {
 			total = a.Total
 		}
-		heard, known = true, known || a.Counter == t.Oldest
+		answered, known = true, known || a.Counter == t.Oldest
 	}
 	if t.To[0] == t.Oldest { // as with a single counter; includes a list that was reinstalled
 		if known {
@@ -246,14 +246,14 @@
 		last.newTotal = 0
 	}
 	switch { // guards against a former counter that is unreachable or has lost its data
-	case seen && fresh != nil:
-		total, known = max(total, last.total+fresh.Total-last.newTotal), true
+	case seen && newAnswer != nil:
+		total, known = max(total, last.total+newAnswer.Total-last.newTotal), true
 	case seen && known:
 		total = max(total, last.total+amount)
 	}
 	switch {
-	case known && fresh != nil:
-		r.remember(now, name, knownTotal{total, fresh.Total, t.To[0]})
+	case known && newAnswer != nil:
+		r.remember(now, name, knownTotal{total, newAnswer.Total, t.To[0]})
 	// The new counter has not reported its total. Of what is missing there, only this limiter's own addition is known.
 	case known && seen:
 		r.remember(now, name, knownTotal{last.total + amount, last.newTotal, last.newCounter})
