--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -12,8 +12,8 @@
 //   - Holder is a limiter's own view of its lease. It counts the lease duration from before it sent the request,
 //     less the maximum clock drift, so it stops before the watch may expire its lease, whatever happened to the
 //     messages.
-//   - Fence runs wherever effects are accepted. A holder that was paused between its check and its effect still
-//     believes it holds the lease and is late; the fence rejects its effect by its term.
+//   - Fence runs wherever effects are accepted. A holder that was paused between its check and its effect was right
+//     when it checked, and is late all the same; the fence rejects its effect by its term.
 //
 // Bounds: a holder stops in time as long as two clocks differ by less than Rules.MaxClockDrift over one lease
 // duration. With more drift, two limiters may both believe that they hold a duty; the fence still keeps effects in the
--- a/internal/reserve/reserve.go
+++ b/internal/reserve/reserve.go
@@ -10,7 +10,8 @@
 //
 // Faults and what they cost:
 //
-//   - A limiter dies: the unused part of its lease is lost, at most one sixty-fourth of the reservation.
+//   - A limiter dies: the unused part of its lease is lost, at most one sixty-fourth of the reservation (or one
+//     request, if that is more).
 //   - The outcome of a call is unknown: a lease is counted as added but not used, a return as made. The units are
 //     lost.
 //   - The counter loses data: a limiter that sees the total fall adds its own leases of the generation again,
@@ -35,8 +36,8 @@
 const (
 	// Well under counterTTL: the counter drops a name after at most a minute.
 	generationLength = 15 * time.Second
-	// No call is made this close to the end of a generation, and its final totals are read no sooner than this after
-	// the end: calls in flight must have arrived.
+	// No units are leased and no idle units returned this close to the end of a generation, and its final totals are
+	// read no sooner than this after the end: calls in flight must have arrived.
 	boundaryMargin = 300 * time.Millisecond
 	// The longest lifetime that the counter accepts for a name.
 	counterTTL = 60 * time.Second
--- a/internal/sharding/sharding.go
+++ b/internal/sharding/sharding.go
@@ -33,8 +33,9 @@
 	// Counters that one name is added to at once. Bounded so that a list that changes again and again does not
 	// multiply calls.
 	maxCountersPerName = 3
-	// Former lists that are kept. A list change beyond this leaves the names that begin before all limiters have the
-	// new list uncounted, until the oldest former list expires.
+	// Former lists that are kept. While there are so many, a further change does not keep the list that it replaces:
+	// names that begin before all limiters have the new list (Slack) are then counted nowhere. This lasts until the
+	// oldest former list expires.
 	maxFormerLists = 8
 	// Remembered totals in each of recentTotals and olderTotals; bounds memory.
 	maxTotalsPerHalf = 1 << 16
--- a/internal/sharding/sharding_test.go
+++ b/internal/sharding/sharding_test.go
@@ -121,7 +121,7 @@
 }
 
 // A process that starts cannot know whether the list has just changed, so it must not count names that began before.
-func TestUnsyncedStartSkipsEarlierNames(t *testing.T) {
+func TestStartSkipsEarlierNames(t *testing.T) {
 	r := Start(time.Hour, addresses(3))
 	require.Empty(t, r.Of(time.Hour, 1, time.Hour+Slack-1).To)
 	require.Len(t, r.Of(time.Hour, 1, time.Hour+Slack).To, 1)
