--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -1,4 +1,4 @@
-// Package resp reads and writes RESP2.
+// Package resp encodes and decodes RESP2, the Redis serialization protocol, version 2.
 package resp
 
 import (
@@ -7,52 +7,53 @@
 	"strconv"
 )
 
-// Limits on what a peer may send. A value holds 64 KiB at most.
+// Limits on what a peer may send. A value is 64 KiB at most.
 const (
-	MaxBulk  = 64 << 10
-	maxWhole = MaxBulk + MaxBulk/2 // of a message: one value and what goes with it
-	maxArgs  = 64
-	maxLine  = 4 << 10
-	maxDepth = 4
+	MaxBulkBytes    = 64 << 10
+	maxMessageBytes = MaxBulkBytes + MaxBulkBytes/2 // bytes of a message: one value and its surroundings
+	maxArgs         = 64                            // elements of one array
+	maxLineBytes    = 4 << 10                       // of a line that ends with CRLF
+	maxDepth        = 4                             // nested arrays in a reply
 
-	mostKept = 16 << 10 // bytes that a parser without a message holds on to for the next
+	maxIdleBufferBytes = 16 << 10 // buffer capacity that a parser keeps between messages
 )
 
-// ErrProtocol says that the bytes are no RESP2: where the next message begins is not known any more.
+// ErrProtocol reports bytes that are not valid RESP2. The start of the next message is unknown after it.
 var ErrProtocol = errors.New("Protocol error")
 
-var errShort = errors.New("resp: more bytes are needed")
+var errIncomplete = errors.New("resp: incomplete message: more bytes are needed")
 
-// Reply is a message from a server.
+// Reply is a decoded RESP2 message: a server's reply, one of its elements, or a client's command.
 type Reply struct {
-	Kind  byte // one of + - : $ *
+	Kind  byte // type byte: one of + - : $ *
 	Null  bool
-	Text  []byte // of + - : $
+	Text  []byte // content of types + - : $
 	Elems []Reply
 }
 
-// Parser takes bytes as they come and gives whole messages. It keeps what it is given until it is read.
+// Parser decodes messages from a byte stream that arrives in pieces. It buffers bytes until the message that they
+// belong to is complete.
 type Parser struct {
 	buf []byte
-	at  int
+	pos int
 }
 
-// Feed appends bytes, which are copied.
+// Feed appends a copy of b to the buffer.
 func (p *Parser) Feed(b []byte) {
-	if p.at > 0 {
-		p.buf = append(p.buf[:0], p.buf[p.at:]...)
-		p.at = 0
+	if p.pos > 0 {
+		p.buf = append(p.buf[:0], p.buf[p.pos:]...)
+		p.pos = 0
 	}
 	p.buf = append(p.buf, b...)
 }
 
-// Buffered is how many bytes are not read yet.
-func (p *Parser) Buffered() int { return len(p.buf) - p.at }
+// Buffered returns the number of buffered bytes that no returned message has consumed.
+func (p *Parser) Buffered() int { return len(p.buf) - p.pos }
 
-// Command reads a command, an array of bulk strings. ok is false when more bytes are needed.
+// Command decodes a command, an array of bulk strings. ok is false when more bytes are needed.
 func (p *Parser) Command() (args [][]byte, ok bool, err error) {
-	r, ok, err := p.next(func(c *cursor) (Reply, error) {
-		if c.at < len(c.buf) && c.buf[c.at] != '*' {
+	r, ok, err := p.nextMessage(func(c *cursor) (Reply, error) {
+		if c.pos < len(c.buf) && c.buf[c.pos] != '*' {
 			return Reply{}, ErrProtocol
 		}
 		return c.reply(1)
@@ -69,82 +70,83 @@
 	return args, true, nil
 }
 
-// Skip reads over a command and keeps nothing of it but how many words it has. ok is false when more bytes are needed.
-func (p *Parser) Skip() (words int, ok bool, err error) {
-	c := cursor{buf: p.buf, at: p.at}
-	words, err = c.skip()
-	if ok, err := p.whole(err); !ok {
+// Skip consumes a command without keeping its arguments and returns their number. ok is false when more bytes are needed.
+func (p *Parser) Skip() (argCount int, ok bool, err error) {
+	c := cursor{buf: p.buf, pos: p.pos}
+	argCount, err = c.skip()
+	if ok, err := p.complete(err); !ok {
 		return 0, false, err
 	}
-	p.advance(c.at)
-	return words, true, nil
+	p.advance(c.pos)
+	return argCount, true, nil
 }
 
-// Reply reads a server's answer. ok is false when more bytes are needed.
+// Reply decodes a server's reply. ok is false when more bytes are needed.
 func (p *Parser) Reply() (r Reply, ok bool, err error) {
-	return p.next(func(c *cursor) (Reply, error) { return c.reply(maxDepth) })
+	return p.nextMessage(func(c *cursor) (Reply, error) { return c.reply(maxDepth) })
 }
 
-func (p *Parser) next(read func(*cursor) (Reply, error)) (Reply, bool, error) {
-	c := cursor{buf: p.buf, at: p.at}
+func (p *Parser) nextMessage(read func(*cursor) (Reply, error)) (Reply, bool, error) {
+	c := cursor{buf: p.buf, pos: p.pos}
 	r, err := read(&c)
-	if ok, err := p.whole(err); !ok {
+	if ok, err := p.complete(err); !ok {
 		return Reply{}, false, err
 	}
-	own := bytes.Clone(p.buf[p.at:c.at]) // the buffer is used again, the message lives on
-	p.advance(c.at)
-	c = cursor{buf: own}
+	message := bytes.Clone(p.buf[p.pos:c.pos]) // the buffer is reused while the caller keeps the message
+	p.advance(c.pos)
+	c = cursor{buf: message}
 	r, _ = read(&c)
 	return r, true, nil
 }
 
-// whole tells by what reading a message came to whether it is there.
-func (p *Parser) whole(err error) (bool, error) {
-	if errors.Is(err, errShort) && p.Buffered() > maxWhole {
-		return false, ErrProtocol // a message without an end must not fill the memory
+// complete reports whether a read that returned err has found a whole message. An incomplete message that already exceeds
+// maxMessageBytes is a protocol error.
+func (p *Parser) complete(err error) (bool, error) {
+	if errors.Is(err, errIncomplete) && p.Buffered() > maxMessageBytes {
+		return false, ErrProtocol // an endless message must not exhaust memory
 	}
-	if errors.Is(err, errShort) {
+	if errors.Is(err, errIncomplete) {
 		return false, nil
 	}
 	return err == nil, err
 }
 
-// advance goes on behind a message.
-func (p *Parser) advance(to int) {
-	if p.at = to; p.at < len(p.buf) {
+// advance moves the read position to the end of a message.
+func (p *Parser) advance(end int) {
+	if p.pos = end; p.pos < len(p.buf) {
 		return
 	}
-	p.buf, p.at = p.buf[:0], 0
-	if cap(p.buf) > mostKept { // a flood that is over must not fill the memory for as long as its connection lives
+	p.buf, p.pos = p.buf[:0], 0
+	if cap(p.buf) > maxIdleBufferBytes { // a burst must not pin its memory for the connection's lifetime
 		p.buf = nil
 	}
 }
 
 type cursor struct {
 	buf []byte
-	at  int
+	pos int
 }
 
 func (c *cursor) line() ([]byte, error) {
-	end := bytes.IndexByte(c.buf[c.at:], '\n')
-	if end < 0 && len(c.buf)-c.at > maxLine || end > maxLine {
-		return nil, ErrProtocol // a line without an end must not fill the memory
+	end := bytes.IndexByte(c.buf[c.pos:], '\n')
+	if end < 0 && len(c.buf)-c.pos > maxLineBytes || end > maxLineBytes {
+		return nil, ErrProtocol // an endless line must not exhaust memory
 	}
 	if end < 0 {
-		return nil, errShort
+		return nil, errIncomplete
 	}
-	if end < 1 || c.buf[c.at+end-1] != '\r' {
+	if end < 1 || c.buf[c.pos+end-1] != '\r' {
 		return nil, ErrProtocol
 	}
-	line := c.buf[c.at : c.at+end-1]
-	c.at += end + 1
+	line := c.buf[c.pos : c.pos+end-1]
+	c.pos += end + 1
 	return line, nil
 }
 
-// length reads a count of at least -1 and at most most.
-func length(line []byte, most int) (int, error) {
+// length parses a length or count from -1, which stands for null, to limit.
+func length(line []byte, limit int) (int, error) {
 	n, err := strconv.Atoi(string(line))
-	if err != nil || n < -1 || n > most {
+	if err != nil || n < -1 || n > limit {
 		return 0, ErrProtocol
 	}
 	return n, nil
@@ -170,19 +172,19 @@
 	return Reply{}, ErrProtocol
 }
 
-// skip goes over a command, an array of bulk strings.
-func (c *cursor) skip() (words int, err error) {
-	if c.at < len(c.buf) && c.buf[c.at] != '*' {
+// skip consumes a command, an array of bulk strings, and returns the number of its arguments.
+func (c *cursor) skip() (argCount int, err error) {
+	if c.pos < len(c.buf) && c.buf[c.pos] != '*' {
 		return 0, ErrProtocol
 	}
 	line, err := c.line()
 	if err != nil {
 		return 0, err
 	}
-	if words, err = length(line[1:], maxArgs); err != nil {
+	if argCount, err = length(line[1:], maxArgs); err != nil {
 		return 0, ErrProtocol
 	}
-	for range words {
+	for range argCount {
 		e, err := c.reply(0)
 		if err != nil {
 			return 0, err
@@ -191,11 +193,11 @@
 			return 0, ErrProtocol
 		}
 	}
-	return max(words, 0), nil
+	return max(argCount, 0), nil
 }
 
 func (c *cursor) bulk(r Reply) (Reply, error) {
-	n, err := length(r.Text, MaxBulk)
+	n, err := length(r.Text, MaxBulkBytes)
 	if err != nil {
 		return Reply{}, err
 	}
@@ -203,14 +205,14 @@
 		r.Null = true
 		return r, nil
 	}
-	if len(c.buf)-c.at < n+2 {
-		return Reply{}, errShort
+	if len(c.buf)-c.pos < n+2 {
+		return Reply{}, errIncomplete
 	}
-	if c.buf[c.at+n] != '\r' || c.buf[c.at+n+1] != '\n' {
+	if c.buf[c.pos+n] != '\r' || c.buf[c.pos+n+1] != '\n' {
 		return Reply{}, ErrProtocol
 	}
-	r.Text = c.buf[c.at : c.at+n : c.at+n]
-	c.at += n + 2
+	r.Text = c.buf[c.pos : c.pos+n : c.pos+n]
+	c.pos += n + 2
 	return r, nil
 }
 
@@ -233,7 +235,7 @@
 	return r, nil
 }
 
-// AppendCommand appends a command.
+// AppendCommand appends args to b as a command, an array of bulk strings.
 func AppendCommand(b []byte, args ...[]byte) []byte {
 	b = append(strconv.AppendInt(append(b, '*'), int64(len(args)), 10), "\r\n"...)
 	for _, a := range args {
@@ -242,7 +244,7 @@
 	return b
 }
 
-// AppendBulk appends a bulk string.
+// AppendBulk appends value to b as a bulk string.
 func AppendBulk(b, value []byte) []byte {
 	b = append(strconv.AppendInt(append(b, '$'), int64(len(value)), 10), "\r\n"...)
 	return append(append(b, value...), "\r\n"...)
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -9,8 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// What a flood needed is not kept for as long as its connection lives, and what came behind it is read all the same.
-func TestAFloodThatIsOverHoldsNoMemory(t *testing.T) {
+// A parser that has buffered a large burst releases that memory once it has read it, rather than holding it for the
+// connection's lifetime, and reads what follows correctly.
+func TestParserReleasesMemoryAfterBurst(t *testing.T) {
 	var p Parser
 	ping := AppendCommand(nil, []byte("PING"))
 	p.Feed(bytes.Repeat(ping, 1<<16))
@@ -18,23 +19,24 @@
 		_, ok, err := p.Command()
 		assert.True(t, ok && err == nil)
 	}
-	assert.LessOrEqual(t, cap(p.buf), mostKept)
+	assert.LessOrEqual(t, cap(p.buf), maxIdleBufferBytes)
 	p.Feed(ping[:5])
 	p.Feed(ping[5:])
 	args, ok, err := p.Command()
 	assert.True(t, ok && err == nil && string(args[0]) == "PING")
 }
 
-// Skip goes over exactly what Command reads: whole, cut and spoilt commands alike.
-func TestSkipGoesOverWhatCommandReads(t *testing.T) {
+// Skip consumes exactly the bytes that Command consumes, and fails where it fails, for complete, truncated and corrupted
+// commands.
+func TestSkipConsumesSameBytesAsCommand(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
-	words := [][]byte{nil, []byte("PING"), []byte("Q.ASK"), bytes.Repeat([]byte("x"), 200), []byte("*2\r\n$1\r\n")}
+	candidates := [][]byte{nil, []byte("PING"), []byte("Q.ASK"), bytes.Repeat([]byte("x"), 200), []byte("*2\r\n$1\r\n")}
 	for range 20000 {
 		var text []byte
 		for range 1 + random.IntN(3) {
 			args := make([][]byte, random.IntN(5))
 			for k := range args {
-				args[k] = words[random.IntN(len(words))]
+				args[k] = candidates[random.IntN(len(candidates))]
 			}
 			text = AppendCommand(text, args...)
 		}
@@ -42,19 +44,19 @@
 			text[random.IntN(len(text))] = "*$0123456789-\r\nx"[random.IntN(16)]
 		}
 		text = text[:random.IntN(len(text)+1)]
-		var reads, skips Parser
-		reads.Feed(text)
-		skips.Feed(text)
+		var reader, skipper Parser
+		reader.Feed(text)
+		skipper.Feed(text)
 		for {
-			args, ok, err := reads.Command()
-			n, skipped, failed := skips.Skip()
+			args, ok, err := reader.Command()
+			n, skipped, failed := skipper.Skip()
 			require.Equal(t, ok, skipped, "%q", text)
 			require.Equal(t, err, failed, "%q", text)
 			if !ok {
 				break
 			}
 			require.Equal(t, len(args), n, "%q", text)
-			require.Equal(t, reads.Buffered(), skips.Buffered(), "%q", text)
+			require.Equal(t, reader.Buffered(), skipper.Buffered(), "%q", text)
 		}
 	}
 }
