--- a/internal/ratelimit/caller.go
+++ b/internal/ratelimit/caller.go
@@ -23,53 +23,53 @@
 )
 
 const (
-	mostAnswer   = 64 << 10
-	firstRetry   = 100 * time.Millisecond // of a connection; the library's own goes up to two minutes
-	lastRetry    = 2 * time.Second
-	connectLimit = time.Second
+	maxAnswerBytes          = 64 << 10               // of an endpoint
+	initialReconnectBackoff = 100 * time.Millisecond // of a connection; the library's default backoff goes up to two minutes
+	maxReconnectBackoff     = 2 * time.Second
+	connectTimeout          = time.Second
 )
 
-// Caller makes the tries of the group of others' rate limit services: each is one call to the endpoint that the
+// Caller makes the tries of the upstream group of external rate limit services: each try is one call to the endpoint that the
 // module chose.
 //
-// Any number of endpoints may be listed. One is connected when its first call comes; past so many connections the one
-// that has been unused longest is given up, since descriptors are few.
+// Any number of endpoints may be listed. An endpoint is connected on its first call. Beyond maxConnections the connection that has
+// been idle longest is closed, since descriptors are scarce.
 type Caller struct {
-	post func(core.Event)
-	now  func() time.Duration // the reducer's clock
-	most int                  // connections
+	post           func(core.Event)
+	now            func() time.Duration // the reducer's clock
+	maxConnections int                  // to endpoints
 
 	mu        sync.Mutex
 	endpoints map[logic.ServerID]*endpoint
 	connected int
-	unused    list.List // of *endpoint: connected ones without a call, the one unused longest at the front
-	tries     map[core.Key]*pending
+	idle      list.List // of *endpoint: connected ones without a call, longest idle first
+	tries     map[core.Key]*pendingTry
 }
 
 type endpoint struct {
-	id        logic.ServerID
-	addr      string
-	client    *grpc.ClientConn // nil: none is needed yet
-	out       int              // calls on it
-	rests     *list.Element    // among the unused ones; nil: it is not connected, or has calls
-	withdrawn bool             // it drains or is removed: no call begins any more
-	removed   bool             // it is forgotten when its last call ends
+	id          logic.ServerID
+	addr        string
+	client      *grpc.ClientConn // nil while not connected
+	inFlight    int              // number of calls
+	idleElement *list.Element    // position in Caller.idle; nil if not connected or in use
+	withdrawn   bool             // it drains or is removed: no new call may begin
+	removed     bool             // it is dropped when its last call ends
 }
 
-// pending is a try that is out.
-type pending struct {
-	at     *endpoint
+// pendingTry is a try that has not ended.
+type pendingTry struct {
+	target *endpoint
 	cancel context.CancelFunc
-	reason atomic.Int32 // logic.Status for which it was abandoned; OK: it was not
-	sent   atomic.Bool  // something of it may have left
+	reason atomic.Int32 // logic.Status for which it was abandoned; OK if it was not
+	sent   atomic.Bool  // some of it may have been sent
 }
 
-// NewCaller makes a caller without endpoints that holds so many connections at most. Now is the reducer's clock.
-func NewCaller(post func(core.Event), now func() time.Duration, most int) *Caller {
-	return &Caller{post: post, now: now, most: most, endpoints: map[logic.ServerID]*endpoint{}, tries: map[core.Key]*pending{}}
+// NewCaller returns a caller without endpoints that holds at most maxConnections connections. now is the reducer's clock.
+func NewCaller(post func(core.Event), now func() time.Duration, maxConnections int) *Caller {
+	return &Caller{post: post, now: now, maxConnections: maxConnections, endpoints: map[logic.ServerID]*endpoint{}, tries: map[core.Key]*pendingTry{}}
 }
 
-// SetAddress says where an endpoint listens.
+// SetAddress sets an endpoint's address.
 func (c *Caller) SetAddress(id logic.ServerID, addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -82,8 +82,8 @@
 	c.endpoints[id] = &endpoint{id: id, addr: addr}
 }
 
-// Withdraw ends what is new to an endpoint that drains: calls of which nothing has left never do. What it has got it may still
-// answer.
+// Withdraw stops new calls to an endpoint that drains: calls that have not been sent never are. Those already sent may still be
+// answered.
 func (c *Caller) Withdraw(id logic.ServerID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -95,96 +95,97 @@
 func (c *Caller) withdraw(e *endpoint) {
 	e.withdrawn = true
 	for _, p := range c.tries {
-		if p.at == e {
-			p.withhold(logic.Full) // as the endpoint itself would turn it away
+		if p.target == e {
+			p.cancelUnsent(logic.Full) // the status that the endpoint's own refusal would give
 		}
 	}
 }
 
-// withhold ends a call of which nothing has left.
-func (p *pending) withhold(reason logic.Status) {
+// cancelUnsent cancels a call of which nothing has been sent.
+func (p *pendingTry) cancelUnsent(reason logic.Status) {
 	if !p.sent.Load() && p.reason.CompareAndSwap(int32(logic.OK), int32(reason)) {
 		p.cancel()
 	}
 }
 
-// connect makes an endpoint's connection where there is none. Unsent, which blames no endpoint, if every one is in use.
+// connect creates an endpoint's connection if there is none. It returns Unsent, which blames no endpoint, if all connections are
+// in use.
 func (c *Caller) connect(e *endpoint) logic.Status {
 	if e.client != nil {
 		return logic.OK
 	}
-	if c.connected >= c.most && !c.evict() {
+	if c.connected >= c.maxConnections && !c.evictIdle() {
 		slog.Warn("no descriptor left for an endpoint's connection", "connected", c.connected)
 		return logic.Unsent
 	}
-	// No retries of the library's own: it may only redo a call that the endpoint has declared never begun.
+	// The library's retries are disabled: it may only repeat a call that the endpoint has declared never begun.
 	client, err := grpc.NewClient("passthrough:///"+e.addr, grpc.WithTransportCredentials(insecure.NewCredentials()),
-		grpc.WithDisableRetry(), grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: connectLimit,
-			Backoff: backoff.Config{BaseDelay: firstRetry, Multiplier: 2, Jitter: 0.2, MaxDelay: lastRetry}}),
+		grpc.WithDisableRetry(), grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: connectTimeout,
+			Backoff: backoff.Config{BaseDelay: initialReconnectBackoff, Multiplier: 2, Jitter: 0.2, MaxDelay: maxReconnectBackoff}}),
 		grpc.WithStatsHandler(sentHandler{}),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(mostAnswer)))
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxAnswerBytes)))
 	if err != nil {
 		slog.Warn("an endpoint's address cannot be used", "addr", e.addr, "err", err)
 		return logic.ConnectFailed
 	}
 	e.client = client
 	c.connected++
-	e.rests = c.unused.PushBack(e)
+	e.idleElement = c.idle.PushBack(e)
 	return logic.OK
 }
 
-// evict gives up the connection that has been unused longest.
-func (c *Caller) evict() bool {
-	oldest := c.unused.Front()
+// evictIdle closes the connection that has been idle longest. It reports whether there was one.
+func (c *Caller) evictIdle() bool {
+	oldest := c.idle.Front()
 	if oldest != nil {
-		c.hangUp(oldest.Value.(*endpoint))
+		c.disconnect(oldest.Value.(*endpoint))
 	}
 	return oldest != nil
 }
 
-// begin and end count the calls on an endpoint.
-func (c *Caller) begin(e *endpoint) {
-	e.out++
-	c.wake(e)
+// beginCall and endCall maintain the number of calls on an endpoint.
+func (c *Caller) beginCall(e *endpoint) {
+	e.inFlight++
+	c.removeIdle(e)
 }
 
-func (c *Caller) end(e *endpoint) {
-	if e.out--; e.out == 0 && e.client != nil {
-		e.rests = c.unused.PushBack(e)
+func (c *Caller) endCall(e *endpoint) {
+	if e.inFlight--; e.inFlight == 0 && e.client != nil {
+		e.idleElement = c.idle.PushBack(e)
 	}
-	c.forgetUnused(e)
+	c.dropIfRemoved(e)
 }
 
-// wake takes an endpoint from the unused ones, if it is among them.
-func (c *Caller) wake(e *endpoint) {
-	if e.rests != nil {
-		c.unused.Remove(e.rests)
-		e.rests = nil
+// removeIdle removes an endpoint from the idle ones, if it is among them.
+func (c *Caller) removeIdle(e *endpoint) {
+	if e.idleElement != nil {
+		c.idle.Remove(e.idleElement)
+		e.idleElement = nil
 	}
 }
 
-func (c *Caller) hangUp(e *endpoint) {
+func (c *Caller) disconnect(e *endpoint) {
 	if client := e.client; client != nil {
 		e.client = nil
 		c.connected--
-		c.wake(e)
+		c.removeIdle(e)
 		crash.Go(func() { _ = client.Close() })
 	}
 }
 
-// Remove forgets an endpoint that its group no longer names, once it has answered what it has got.
+// Remove drops an endpoint that its group no longer lists, once the calls already sent to it have ended.
 func (c *Caller) Remove(id logic.ServerID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if e := c.endpoints[id]; e != nil {
 		e.removed = true
 		c.withdraw(e)
-		c.forgetUnused(e)
+		c.dropIfRemoved(e)
 	}
 }
 
-func (c *Caller) forgetUnused(e *endpoint) {
-	if e.removed && e.out == 0 && c.endpoints[e.id] == e {
+func (c *Caller) dropIfRemoved(e *endpoint) {
+	if e.removed && e.inFlight == 0 && c.endpoints[e.id] == e {
 		c.drop(e.id)
 	}
 }
@@ -192,7 +193,7 @@
 func (c *Caller) drop(id logic.ServerID) {
 	if e := c.endpoints[id]; e != nil {
 		delete(c.endpoints, id)
-		c.hangUp(e)
+		c.disconnect(e)
 	}
 }
 
@@ -201,7 +202,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	origin := t.Origin.(*check)
-	if origin.call.Err() != nil { // Guards against a call for a caller that has gone while the reducer has not heard of it yet.
+	if origin.callCtx.Err() != nil { // Guards against a call for a caller that has gone before the reducer was told.
 		c.post(core.ClientGone{ID: t.ID})
 		c.post(core.Outcome{Key: t.Key, Status: logic.Cancelled})
 		return
@@ -221,50 +222,50 @@
 		c.post(core.Outcome{Key: t.Key, Status: status})
 		return
 	}
-	p := &pending{at: e}
-	ctx, cancel := context.WithTimeout(context.WithValue(origin.call, pendingKey{}, p), t.Wait) // it ends with the caller's
+	p := &pendingTry{target: e}
+	ctx, cancel := context.WithTimeout(context.WithValue(origin.callCtx, pendingTryKey{}, p), t.Wait) // ends with the caller's context
 	p.cancel = cancel
 	c.tries[t.Key] = p
 	origin.tried.Store(true)
-	c.begin(e)
+	c.beginCall(e)
 	client := e.client
 	crash.Go(func() { c.call(ctx, e, client, origin, t.Key, p) })
-	if t.Until > 0 { // a connection that is of use later must not bring a repeat that nobody drops any more
-		window := crash.AfterFunc(t.Until-c.now(), func() { p.withhold(logic.Timeout) })
+	if t.Until > 0 { // a connection that comes up late must not send a repeat that endpoints no longer deduplicate
+		window := crash.AfterFunc(t.Until-c.now(), func() { p.cancelUnsent(logic.Timeout) })
 		context.AfterFunc(ctx, func() { window.Stop() })
 	}
 }
 
-func (c *Caller) call(ctx context.Context, e *endpoint, client *grpc.ClientConn, origin *check, key core.Key, p *pending) {
+func (c *Caller) call(ctx context.Context, e *endpoint, client *grpc.ClientConn, origin *check, key core.Key, p *pendingTry) {
 	defer p.cancel()
 	answer, err := rlsv3.NewRateLimitServiceClient(client).ShouldRateLimit(ctx, &rlsv3.RateLimitRequest{
 		Domain: origin.domain, Descriptors: []*entriesv3.RateLimitDescriptor{origin.descriptor},
 		HitsAddend: uint32(origin.Units)})
 	c.mu.Lock()
 	delete(c.tries, key)
-	c.end(e)
+	c.endCall(e)
 	c.mu.Unlock()
 	o := core.Outcome{Key: key, Status: p.outcome(err), Value: answer}
 	if code := answer.GetOverallCode(); err == nil && code != rlsv3.RateLimitResponse_OK &&
 		code != rlsv3.RateLimitResponse_OVER_LIMIT {
-		o.Status = logic.Error // no verdict: this call alone has failed
+		o.Status = logic.Error // no verdict: only this call has failed
 	}
-	if p.reason.Load() == int32(logic.OK) && status.Code(err) == codes.Canceled && origin.call.Err() != nil {
-		c.post(core.ClientGone{ID: key.ID}) // first: the module must not try it again
+	if p.reason.Load() == int32(logic.OK) && status.Code(err) == codes.Canceled && origin.callCtx.Err() != nil {
+		c.post(core.ClientGone{ID: key.ID}) // posted first, so that the module does not retry the request
 		o.Status = logic.Cancelled
 	}
 	c.post(o)
 }
 
-// outcome is exact: only what certainly never left has never run.
-func (p *pending) outcome(err error) logic.Status {
+// outcome maps the end of a call to a status. Only a call that was certainly never sent is reported as not run.
+func (p *pendingTry) outcome(err error) logic.Status {
 	if err == nil {
 		return logic.OK
 	}
 	switch reason := logic.Status(p.reason.Load()); {
 	case reason == logic.Timeout && !p.sent.Load():
 		return logic.ConnectFailed
-	case reason == logic.Full && p.sent.Load(): // it left in the moment in which it was withdrawn
+	case reason == logic.Full && p.sent.Load(): // sent just as its endpoint was withdrawn
 		return logic.Reset
 	case reason != logic.OK:
 		return reason
@@ -282,7 +283,7 @@
 	return logic.Error
 }
 
-// Abandon implements loop.Caller: it ends the call, and its outcome follows.
+// Abandon implements loop.Caller: it cancels the call, whose outcome follows.
 func (c *Caller) Abandon(a core.Abandon) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -292,10 +293,10 @@
 	}
 }
 
-// CloseIdle implements loop.Caller: the library keeps one connection and closes it when idle.
+// CloseIdle implements loop.Caller. It does nothing: the library keeps one connection per endpoint and closes it when idle.
 func (c *Caller) CloseIdle(logic.ServerID) {}
 
-// Close ends all connections.
+// Close closes all connections.
 func (c *Caller) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -304,16 +305,16 @@
 	}
 }
 
-type pendingKey struct{}
+type pendingTryKey struct{}
 
-// sentHandler notes when a call's first bytes are handed to a connection.
+// sentHandler records when a call's first bytes are handed to a connection.
 type sentHandler struct{}
 
 func (sentHandler) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context { return ctx }
 
 func (sentHandler) HandleRPC(ctx context.Context, s stats.RPCStats) {
 	if _, ok := s.(*stats.OutHeader); ok {
-		if p, ok := ctx.Value(pendingKey{}).(*pending); ok {
+		if p, ok := ctx.Value(pendingTryKey{}).(*pendingTry); ok {
 			p.sent.Store(true)
 		}
 	}
--- a/internal/ratelimit/gone_test.go
+++ b/internal/ratelimit/gone_test.go
@@ -21,11 +21,11 @@
 )
 
 const (
-	goneAfter = 100 * time.Millisecond // a caller that cancels has gone: no attempt begins later than this
-	patience  = 20 * time.Second
+	goneAfter   = 100 * time.Millisecond // after a cancel: no try may begin later than this
+	testTimeout = 20 * time.Second
 )
 
-// inbox is a loop that is busy: events wait in it.
+// inbox is an owner that only stores events, like the inbox of a busy loop.
 type inbox struct {
 	ids    atomic.Uint64
 	mu     sync.Mutex
@@ -68,19 +68,19 @@
 	return 0, false, gone
 }
 
-type counting struct {
+type countingService struct {
 	rlsv3.UnimplementedRateLimitServiceServer
 	calls atomic.Int32
 }
 
-func (c *counting) ShouldRateLimit(context.Context, *rlsv3.RateLimitRequest) (*rlsv3.RateLimitResponse, error) {
+func (c *countingService) ShouldRateLimit(context.Context, *rlsv3.RateLimitRequest) (*rlsv3.RateLimitResponse, error) {
 	c.calls.Add(1)
 	return &rlsv3.RateLimitResponse{OverallCode: rlsv3.RateLimitResponse_OK}, nil
 }
 
-// A caller that cancels while the loop has not come to its request, or while the connection for its try comes up, has gone:
-// nothing of it leaves, and the endpoint is not to blame.
-func TestNothingLeavesForACallerThatCancelled(t *testing.T) {
+// No call is sent for a caller that cancels while its request waits in the loop's inbox, or while the connection for its try is
+// being set up, and the endpoint is not blamed.
+func TestNoCallForCallerThatCancelled(t *testing.T) {
 	t.Parallel()
 	for name, dialling := range map[string]bool{"before its try": false, "while its connection comes up": true} {
 		t.Run(name, func(t *testing.T) {
@@ -100,11 +100,11 @@
 			conn, err := grpc.NewClient(at.String(), grpc.WithTransportCredentials(insecure.NewCredentials()))
 			require.NoError(t, err)
 			t.Cleanup(func() { _ = conn.Close() })
-			l, err := loopback.Listen() // it takes connections, and says nothing on them until it is served
+			l, err := loopback.Listen() // accepts connections but sends nothing until it is served
 			require.NoError(t, err)
 			service := grpc.NewServer()
 			t.Cleanup(service.Stop)
-			others := &counting{}
+			others := &countingService{}
 			rlsv3.RegisterRateLimitServiceServer(service, others)
 			caller := NewCaller(owner.Post, loop.Now, 10)
 			t.Cleanup(caller.Close)
@@ -117,37 +117,37 @@
 			try := func(n int) core.Key {
 				q := owner.requests()[n]
 				k := core.Key{ID: q.ID}
-				caller.Try(core.Try{Key: k, Group: OthersGroup, Server: 1, Wait: patience, Origin: q.Origin})
+				caller.Try(core.Try{Key: k, Group: OthersGroup, Server: 1, Wait: testTimeout, Origin: q.Origin})
 				return k
 			}
 			told := func(k core.Key) logic.Status {
-				require.Eventually(t, func() bool { _, told, _ := owner.outcome(k); return told }, patience, time.Millisecond)
+				require.Eventually(t, func() bool { _, told, _ := owner.outcome(k); return told }, testTimeout, time.Millisecond)
 				status, _, gone := owner.outcome(k)
-				require.Equal(t, status == logic.Cancelled, gone, "the module would try it again")
+				require.Equal(t, status == logic.Cancelled, gone, "ClientGone must be posted exactly with Cancelled, or the module retries the request")
 				return status
 			}
 			ctx, cancel := context.WithCancel(context.Background())
 			go call(ctx)
-			require.Eventually(t, func() bool { return len(owner.requests()) == 1 }, patience, time.Millisecond)
+			require.Eventually(t, func() bool { return len(owner.requests()) == 1 }, testTimeout, time.Millisecond)
 			check := owner.requests()[0].Origin.(*check)
 			var k core.Key
 			if dialling {
 				k = try(0)
 			}
 			cancel()
-			<-check.call.Done() // the cancel has come
+			<-check.callCtx.Done() // the cancel has reached the front
 			time.Sleep(goneAfter)
 			if !dialling {
 				k = try(0)
 			}
 			go func() { _ = service.Serve(l) }()
 			require.Equal(t, logic.Cancelled, told(k))
-			stays, end := context.WithTimeout(context.Background(), patience)
+			stays, end := context.WithTimeout(context.Background(), testTimeout)
 			defer end()
 			go call(stays)
-			require.Eventually(t, func() bool { return len(owner.requests()) == 2 }, patience, time.Millisecond)
+			require.Eventually(t, func() bool { return len(owner.requests()) == 2 }, testTimeout, time.Millisecond)
 			require.Equal(t, logic.OK, told(try(1)))
-			require.EqualValues(t, 1, others.calls.Load(), "a call for nobody")
+			require.EqualValues(t, 1, others.calls.Load(), "a call was sent for the caller that cancelled")
 		})
 	}
 }
--- a/internal/ratelimit/late_test.go
+++ b/internal/ratelimit/late_test.go
@@ -11,8 +11,8 @@
 	"bramblefall/logic"
 )
 
-// A call whose time was over before it could leave tells nothing of connections that are short.
-func TestALateCallIsNoShortage(t *testing.T) {
+// A call that expires before it can be sent must not be reported as Unsent, which means that connections are short.
+func TestExpiredCallIsNotReportedAsShortage(t *testing.T) {
 	const clock = 5 * time.Second
 	var outcomes []core.Outcome
 	caller := NewCaller(func(ev core.Event) {
@@ -23,7 +23,7 @@
 	caller.SetAddress(1, "127.0.0.1:1")
 	for try, until := range []time.Duration{clock - time.Second, clock} {
 		caller.Try(core.Try{Key: core.Key{ID: 7, Try: try}, Server: 1, Ends: until, Until: until,
-			Origin: &check{call: context.Background()}})
+			Origin: &check{callCtx: context.Background()}})
 	}
 	require.Len(t, outcomes, 2)
 	for _, o := range outcomes {
