--- a/internal/platform/connection.go
+++ b/internal/platform/connection.go
@@ -14,43 +14,43 @@
 )
 
 const (
-	waitingLimit = 1024    // commands on one connection without an answer yet; what comes beyond is refused in its turn
-	refusedLimit = 1 << 20 // of these at once: who sends more never reads
-	errorLimit   = 64      // of one connection: who sends nothing else is not worth it
+	maxPendingCommands = 1024    // commands on one connection without an answer yet; what comes beyond is refused in its turn
+	maxRefusedCommands = 1 << 20 // of these at once: who sends more never reads
+	maxCommandErrors   = 64      // of one connection: who sends nothing else is not worth it
 
 	commandTimeout     = 2400 * time.Millisecond // for the first whole command, and for the rest of any other
 	idleTimeout        = 20 * time.Second        // between commands
 	newConnectionGrace = time.Second             // in which a new connection is about to bring its first command
-	partialGrace       = 100 * time.Millisecond  // for the rest of a command, where others have no room
-	endTimeout         = 2 * time.Second         // for what waits before the end of a connection that cannot be read
-	unsentTimeout      = 5 * time.Second         // for a client to read its last answer
+	partialCommandGrace       = 100 * time.Millisecond  // for the rest of a command, where others have no room
+	closingTimeout         = 2 * time.Second         // for what waits before the end of a connection that cannot be read
+	unreadAnswerTimeout      = 5 * time.Second         // for a client to read its last answer
 )
 
-// idleness is how little a client connection is used.
-type idleness struct {
-	of         *clientConnection
-	is, active bool // nothing is owed on it; it has brought a whole command
-	half       bool // nothing is owed on it but the answer to a command whose rest does not come
+// idleState is how little a client connection is used.
+type idleState struct {
+	client         *clientConnection
+	idle, active bool // nothing is owed on it; it has brought a whole command
+	stalledPartial       bool // nothing is owed on it but the answer to a command whose rest does not come
 	since      time.Time
 }
 
 // trace logs what becomes of a connection or of a request on it, so that one can be followed by its id.
 func (c *clientConnection) trace(what string, words ...any) {
 	if c.front.traced {
-		slog.Debug(what, append(words, "on", c.number)...)
+		slog.Debug(what, append(words, "on", c.logID)...)
 	}
 }
 
 // clientConnection is one connection of a client.
 type clientConnection struct {
 	front  *Front
-	number uint64 // in the log
+	logID uint64 // in the log
 	conn   *socket.Conn
-	out    *socket.Outbox
+	outbox    *socket.Outbox
 	parser resp.Parser // owned by the reading side
 
 	mu             sync.Mutex
-	slots          []*slot             // commands whose answers are due, in their order
+	slots          []*answerSlot             // commands whose answers are due, in their order
 	waiting        map[uint64]*request // request contexts without an answer
 	partial        bool                // a command has come in part
 	reading        bool                // bytes are taken and not handled yet
@@ -65,8 +65,8 @@
 	left           bool // it was idle, and is being closed: what had been taken from the kernel by then is refused
 }
 
-// slot keeps the place of a command's answer: a slow one holds back those behind it.
-type slot struct {
+// answerSlot keeps the place of a command's answer: a slow one holds back those behind it.
+type answerSlot struct {
 	answer  []byte
 	done    bool
 	last    bool // the connection closes after it
@@ -81,12 +81,12 @@
 	c.reading = true
 	c.mu.Unlock()
 	if left {
-		_ = c.conn.TakeSome(func(b []byte) {
-			if c.out.Backlogged() {
+		_ = c.conn.TakeLimited(func(b []byte) {
+			if c.outbox.Backlogged() {
 				return // its client sends on and reads nothing
 			}
-			if answers := c.late(b); !c.out.Insist(answers) {
-				c.conn.Say(answers)
+			if answers := c.late(b); !c.outbox.WriteUnbounded(answers) {
+				c.conn.WriteDirect(answers)
 			}
 		})
 		return
@@ -127,7 +127,7 @@
 // read takes the bytes that have come, handles the commands that are whole and counts them. When the connection is ending it
 // only makes room for more.
 func (c *clientConnection) read(ending bool, now time.Time) (handled int) {
-	err := c.conn.TakeSome(func(b []byte) {
+	err := c.conn.TakeLimited(func(b []byte) {
 		if !ending {
 			c.parser.Feed(b)
 		}
@@ -181,7 +181,7 @@
 func (c *clientConnection) refuse(why string, last bool) bool {
 	c.mu.Lock()
 	c.errors++
-	if c.errors >= errorLimit {
+	if c.errors >= maxCommandErrors {
 		c.refusing.Store(true)
 	}
 	c.mu.Unlock()
@@ -193,14 +193,14 @@
 // client sends on all the same: nothing more is read, and the connection ends behind the answers that are due. The last answer
 // has a place in every case: nothing is read behind it, so it is one, and without it bytes that cannot be read would be
 // refused as if they were a command, at each look, for as long as so many wait.
-func (c *clientConnection) place(last bool) (s *slot, over bool) {
+func (c *clientConnection) place(last bool) (s *answerSlot, over bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.usedAt, c.active = time.Now(), true
-	if len(c.slots) >= waitingLimit && !last {
+	if len(c.slots) >= maxPendingCommands && !last {
 		return nil, c.countRefused()
 	}
-	s = &slot{last: last}
+	s = &answerSlot{last: last}
 	c.slots = append(c.slots, s)
 	return s, false
 }
@@ -209,7 +209,7 @@
 func (c *clientConnection) crowded() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.slots) >= waitingLimit
+	return len(c.slots) >= maxPendingCommands
 }
 
 // turnAway refuses the next command without a look at its words. over tells that nothing more is read; ok is false where none
@@ -234,7 +234,7 @@
 // more is read then.
 func (c *clientConnection) countRefused() (over bool) {
 	last := c.slots[len(c.slots)-1]
-	if last.refused++; last.refused <= refusedLimit {
+	if last.refused++; last.refused <= maxRefusedCommands {
 		return false
 	}
 	last.last = true
@@ -253,7 +253,7 @@
 }
 
 // fill puts an answer in its slot and writes what is due now.
-func (c *clientConnection) fill(s *slot, answer []byte) {
+func (c *clientConnection) fill(s *answerSlot, answer []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s.answer, s.done = answer, true
@@ -267,9 +267,9 @@
 			continue
 		}
 		c.write(s.answer)
-		c.out.Repeat(c.front.busyAnswer, s.refused)
+		c.outbox.WriteRepeated(c.front.busyAnswer, s.refused)
 		if s.last {
-			c.out.CloseAfter()
+			c.outbox.CloseAfterFlush()
 		}
 	}
 	c.usedAt = time.Now()
@@ -277,16 +277,16 @@
 
 // write queues an answer. Where its client does not read, and no more of a value may wait for it, the request has failed.
 func (c *clientConnection) write(answer []byte) {
-	if errors.Is(c.out.Write(answer), socket.ErrFull) {
-		c.out.Insist([]byte(failure))
+	if errors.Is(c.outbox.Write(answer), socket.ErrFull) {
+		c.outbox.WriteUnbounded([]byte(failure))
 	}
 }
 
-func (c *clientConnection) idle() idleness {
+func (c *clientConnection) idle() idleState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	free := len(c.slots) == 0
-	return idleness{c, free && !c.partial, c.active, free && c.partial && time.Since(c.partialSince) > partialGrace, c.usedAt}
+	return idleState{c, free && !c.partial, c.active, free && c.partial && time.Since(c.partialSince) > partialCommandGrace, c.usedAt}
 }
 
 // closeIdle closes the connection if nothing is owed on it. Guards against a command that comes meanwhile: up to the
@@ -294,8 +294,8 @@
 // tells whether the connection is being closed. Half: also if a part of a command has come.
 func (c *clientConnection) closeIdle(half bool) bool {
 	c.mu.Lock()
-	idle := len(c.slots) == 0 && (half || !c.partial) && !c.reading && !c.ending && c.out.Empty() && c.conn.Settled()
-	idle = idle && (c.conn.Sent() || time.Since(c.usedAt) > unsentTimeout)
+	idle := len(c.slots) == 0 && (half || !c.partial) && !c.reading && !c.ending && c.outbox.Empty() && c.conn.DrainedThroughPoller()
+	idle = idle && (c.conn.AllSent() || time.Since(c.usedAt) > unreadAnswerTimeout)
 	c.ending, c.left = c.ending || idle, c.left || idle
 	c.mu.Unlock()
 	if idle {
@@ -315,7 +315,7 @@
 	if !c.front.leaving.Load() {
 		return
 	}
-	if i := c.idle(); i.is && (i.active || time.Since(i.since) > newConnectionGrace) {
+	if i := c.idle(); i.idle && (i.active || time.Since(i.since) > newConnectionGrace) {
 		c.endIdle(false)
 	}
 }
@@ -330,7 +330,7 @@
 	c.mu.Unlock()
 	if idle {
 		c.trace("idle client connection ended")
-		c.out.CloseAfter()
+		c.outbox.CloseAfterFlush()
 	}
 }
 
@@ -338,14 +338,14 @@
 // one, and one that nobody uses any more. Guards the descriptors; such a client is owed an end in time.
 func (c *clientConnection) tend(now time.Time) {
 	c.mu.Lock()
-	part, ending := c.partial && !c.ending && now.Sub(c.partialSince) >= commandTimeout, c.ending && now.Sub(c.readingEndedAt) >= endTimeout
+	part, ending := c.partial && !c.ending && now.Sub(c.partialSince) >= commandTimeout, c.ending && now.Sub(c.readingEndedAt) >= closingTimeout
 	c.mu.Unlock()
 	switch i := c.idle(); {
 	case ending:
 		c.abandon()
 	case part:
 		c.refuse("the rest of the command did not come", true)
-	case i.is && (!i.active && now.Sub(i.since) >= commandTimeout || now.Sub(i.since) >= idleTimeout):
+	case i.idle && (!i.active && now.Sub(i.since) >= commandTimeout || now.Sub(i.since) >= idleTimeout):
 		c.closeIdle(false)
 	}
 }
@@ -374,7 +374,7 @@
 	waiting := c.waiting
 	c.waiting = nil
 	c.mu.Unlock()
-	c.trace("client connection over", "waiting", len(waiting), "unwritten", !c.out.Empty())
+	c.trace("client connection over", "waiting", len(waiting), "unwritten", !c.outbox.Empty())
 	for id, r := range waiting {
 		c.front.release(r)
 		c.front.owner.Post(core.ClientGone{ID: id})
--- a/internal/platform/gone_test.go
+++ b/internal/platform/gone_test.go
@@ -214,7 +214,7 @@
 }
 
 // A request whose client leaves while the loop has not come to it, in every way to leave.
-func TestNothingLeavesForAClientThatLeftABusyLoop(t *testing.T) {
+func TestNoTryForClientGoneWhileLoopIsBusy(t *testing.T) {
 	t.Parallel()
 	for name, leave := range map[string]func(s *stand, conn *net.TCPConn){
 		"close": func(_ *stand, conn *net.TCPConn) { _ = conn.Close() },
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -107,7 +107,7 @@
 		return nil, fmt.Errorf("listen for clients: %w", err)
 	}
 	f.listener = l
-	l.Room(f.room)
+	l.SetRoomCheck(f.room)
 	events, err := netpoll.NewEventLoop(nil, netpoll.WithOnPrepare(f.accept))
 	if err != nil {
 		return nil, fmt.Errorf("listen for clients: %w", err)
@@ -162,7 +162,7 @@
 		}
 	})
 	time.Sleep(resendGrace)
-	for until := time.Now().Add(drainGrace); f.listener.Waiting() && time.Now().Before(until); {
+	for until := time.Now().Add(drainGrace); f.listener.HasPending() && time.Now().Before(until); {
 		time.Sleep(time.Millisecond) // for longer only where no descriptor is left for them
 	}
 	if err := f.listener.Close(); err != nil {
@@ -174,20 +174,20 @@
 func (f *Front) Clients() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.clients) + f.listener.Accepted() - f.entered
+	return len(f.clients) + f.listener.AcceptedCount() - f.entered
 }
 
 func (f *Front) accept(raw netpoll.Connection) context.Context {
 	defer crash.Guard()
 	now, conn := time.Now(), socket.Wrap(raw)
-	c := &clientConnection{front: f, number: f.numbers.Add(1), conn: conn, usedAt: now}
-	c.out = socket.NewOutbox(conn, c.leave, f.backlog)
+	c := &clientConnection{front: f, logID: f.numbers.Add(1), conn: conn, usedAt: now}
+	c.outbox = socket.NewOutbox(conn, c.leave, f.backlog)
 	c.trace("client connection accepted")
 	f.mu.Lock()
 	f.clients[c] = struct{}{}
 	f.entered++
 	f.mu.Unlock()
-	conn.Late(c.late)
+	conn.SetLateHandler(c.late)
 	conn.Serve(c.ready, c.closed)
 	return context.Background()
 }
@@ -220,24 +220,24 @@
 // Where none is idle one goes that has brought half a command and not the rest: of that nothing has been taken. It tells
 // whether one goes: where all are busy none does.
 func (f *Front) evict() bool {
-	var idle, half []idleness
+	var idle, half []idleState
 	for _, c := range f.all() {
 		i := c.idle()
 		if !i.active && time.Since(i.since) > newConnectionGrace {
 			i.since = i.since.Add(-idleTimeout)
 		}
 		switch {
-		case i.is:
+		case i.idle:
 			idle = append(idle, i)
-		case i.half:
+		case i.stalledPartial:
 			half = append(half, i)
 		}
 	}
-	longest := func(a, b idleness) int { return a.since.Compare(b.since) }
+	longest := func(a, b idleState) int { return a.since.Compare(b.since) }
 	slices.SortFunc(idle, longest)
 	slices.SortFunc(half, longest)
 	for _, i := range append(idle, half...) {
-		if i.of.closeIdle(i.half) {
+		if i.client.closeIdle(i.stalledPartial) {
 			return true
 		}
 	}
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -23,7 +23,7 @@
 // request is one Q.ASK or Q.DO: a request context's origin and the command that its tries write.
 type request struct {
 	client *clientConnection
-	slot   *slot
+	slot   *answerSlot
 	id     uint64
 	args   [][]byte // as the client sent them
 	size   int64    // of them
@@ -40,7 +40,7 @@
 	if c.front.owner.Open() >= c.front.open || c.front.held.Load() >= c.front.bytes { // guards the memory in a flood; the module sees none of it
 		return c.reply(c.front.busyAnswer, false)
 	}
-	if c.out.Backlogged() { // guards the servers: a client that does not read would have its answers made for nothing, before others'
+	if c.outbox.Backlogged() { // guards the servers: a client that does not read would have its answers made for nothing, before others'
 		return c.reply(c.front.busyAnswer, false)
 	}
 	if !c.front.hold(r) {
@@ -183,7 +183,7 @@
 }
 
 // Gone implements upstream.Command.
-func (r *request) Gone() bool { return r.client.conn.Left() }
+func (r *request) Gone() bool { return r.client.conn.PeerClosed() }
 
 func (r *request) finish(answer []byte) {
 	r.client.mu.Lock()
--- a/internal/socket/conn.go
+++ b/internal/socket/conn.go
@@ -1,15 +1,18 @@
-// Package socket holds what the parts share of their netpoll connections: the dial, the one way to write, and the
-// outbox of bytes that wait to be written, so that a peer that does not read stalls nobody but itself.
+// Package socket wraps netpoll connections for the packages that share them: dialing, the only safe way to write, and an
+// outbox that queues outgoing bytes, so that a peer that does not read delays nobody but itself.
 //
-// netpoll frees a connection's buffers and its descriptor when either side ends it, and both are used again for other
-// connections at once. Its own locks cover some ways of use and not others:
+// netpoll frees a connection's buffers and closes its descriptor when either side ends the connection, and reuses both for
+// other connections at once. Its own locks cover only some uses:
 //
-//   - Writer().Malloc, WriteBinary and their kin take no lock. Only Flush and Write take "flushing", which the closer
-//     waits for before it frees. Bytes may only be put in under that lock, so Write is the one way.
-//   - Reader() may be used inside the OnRequest callback alone: "processing" keeps the closer out until it returns.
-//   - The descriptor may be asked about only while the closer is kept out by a lock of ours, since netpoll has none.
+//   - Writer().Malloc, WriteBinary and similar calls take no lock. Only Flush and Write take netpoll's "flushing" lock, which
+//     the closing side waits for before it frees the buffers. Bytes may only be added under that lock, so Write is the only
+//     safe way.
+//   - Reader() may be used only inside the OnRequest callback: the "processing" lock keeps the closing side out until the
+//     callback returns.
+//   - The descriptor may be queried only while a lock of this package keeps the closing side out, since netpoll has none
+//     for it.
 //
-// Conn offers just these, and no other package sees a netpoll connection.
+// Conn offers only the safe operations, and no other package touches a netpoll connection.
 package socket
 
 import (
@@ -27,33 +30,33 @@
 	"bramblefall/internal/crash"
 )
 
-// Conn is a connection whose use cannot meet its end.
+// Conn is a connection that is safe to use while either side closes it.
 type Conn struct {
 	raw netpoll.Connection
 
-	mu    sync.Mutex // keeps the descriptor from being closed, and used again, while the kernel is asked about it
-	over  bool       // the descriptor is about to be closed
-	ours  bool       // the end is ours
-	ended func()
-	late  func([]byte) []byte // nil, or answers what was taken from the kernel and not told before our own end
-	told  bool                // of the end
+	mu            sync.Mutex // keeps the descriptor from being closed and reused while the kernel is asked about it
+	closing       bool       // the descriptor is about to be closed; it must not be used any more
+	closedLocally bool       // this side has closed the connection
+	onEnd         func()
+	answerLate    func([]byte) []byte // optional: answers bytes read from the kernel but not delivered before the local close
+	endReported   bool                // onEnd has been called, or must not be
 
-	handed atomic.Uint64 // bytes, since the connection came up
+	deliveredBytes atomic.Uint64 // bytes passed to the owner since the connection was established
 }
 
-// Wrap makes a Conn of a connection that a listener has accepted, in its OnPrepare callback.
+// Wrap returns a Conn for a connection that a listener has accepted. It is called in netpoll's OnPrepare callback.
 func Wrap(raw netpoll.Connection) *Conn { return &Conn{raw: raw} }
 
-// Dial connects within the limit.
-func Dial(addr string, limit time.Duration) (*Conn, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+// Dial connects to addr. The timeout includes the repeated attempts after transient failures.
+func Dial(addr string, timeout time.Duration) (*Conn, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	at, err := net.ResolveTCPAddr("tcp", addr)
+	tcpAddr, err := net.ResolveTCPAddr("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	raw, err := RetryDial(ctx, DialPauses, func() (*netpoll.TCPConnection, error) {
-		return netpoll.DialTCP(ctx, "tcp", nil, &netpoll.TCPAddr{TCPAddr: *at})
+	raw, err := RetryDial(ctx, dialRetryBudget, func() (*netpoll.TCPConnection, error) {
+		return netpoll.DialTCP(ctx, "tcp", nil, &netpoll.TCPAddr{TCPAddr: *tcpAddr})
 	})
 	if err != nil {
 		return nil, err
@@ -61,57 +64,58 @@
 	return Wrap(raw), nil
 }
 
-// Late sets who answers bytes that had been taken from the kernel, and were not told of, when we ended the connection. It
-// is called once at most, after the last ready, and before Serve.
-func (c *Conn) Late(answer func(b []byte) []byte) { c.late = answer }
+// SetLateHandler sets the function that answers bytes that had been read from the kernel but not delivered when this side
+// closed the connection. The handler runs at most once, after the last onReadable call. Call SetLateHandler before Serve.
+func (c *Conn) SetLateHandler(answer func(b []byte) []byte) { c.answerLate = answer }
 
-// Serve sets what happens when bytes have come, one call at a time, and once, in a goroutine of its own, when the
-// connection has ended, by either side, even if that was before this call. Behind Discard no end is told.
-func (c *Conn) Serve(ready, ended func()) {
-	c.ended = ended
-	// The end first: without a reader netpoll leaves it to us to close, so none is missed between the two.
+// Serve sets the callbacks. onReadable is called when bytes have arrived, one call at a time. onEnd is called once, in its
+// own goroutine, when either side has ended the connection, even if that was before Serve. After Discard it is not called.
+func (c *Conn) Serve(onReadable, onEnd func()) {
+	c.onEnd = onEnd
+	// The close callback is set first: without a request callback netpoll leaves the close to this package, so no end is missed
+	// between the two calls.
 	_ = c.raw.AddCloseCallback(func(netpoll.Connection) error {
 		defer crash.Guard()
-		c.last()
+		c.answerRemaining()
 		c.mu.Lock()
-		c.over = true // netpoll's own callback, which closes the descriptor, comes after this one
+		c.closing = true // netpoll's own callback, which closes the descriptor, runs after this one
 		c.mu.Unlock()
-		c.tell()
+		c.reportEnd()
 		return nil
 	})
 	_ = c.raw.SetOnRequest(func(context.Context, netpoll.Connection) error {
-		defer crash.Guard() // netpoll's pool of goroutines would recover a panic and go on
-		ready()
+		defer crash.Guard() // netpoll's goroutine pool would recover from a panic and continue
+		onReadable()
 		return nil
 	})
-	if !c.raw.IsActive() { // it ended before the callbacks stood, and may have passed them by
+	if !c.raw.IsActive() { // it ended before the callbacks were set and may have bypassed them
 		c.Close()
-		c.tell()
+		c.reportEnd()
 	}
 }
 
-// last has what lies in netpoll's buffer answered before the descriptor is closed. It runs where ready does not: netpoll
-// calls it with "processing" taken.
-func (c *Conn) last() {
+// answerRemaining has the bytes left in netpoll's buffer answered before the descriptor is closed. It cannot overlap with
+// onReadable: netpoll calls it while it holds "processing".
+func (c *Conn) answerRemaining() {
 	c.mu.Lock()
-	ours := c.ours
+	closedLocally := c.closedLocally
 	c.mu.Unlock()
-	if c.late != nil && ours {
+	if c.answerLate != nil && closedLocally {
 		c.awaitPoller()
 	}
-	if n := c.raw.Reader().Len(); c.late != nil && ours && n > 0 {
+	if n := c.raw.Reader().Len(); c.answerLate != nil && closedLocally && n > 0 {
 		if b, err := c.raw.Reader().Next(n); err == nil {
-			c.Say(c.late(b))
+			c.WriteDirect(c.answerLate(b))
 		}
 	}
 }
 
-// Say writes a few bytes at once on a connection that we are ending, where Write does not go any more. Nothing else may be
-// waiting to be written.
-func (c *Conn) Say(b []byte) {
+// WriteDirect writes a few bytes straight to the descriptor of a connection that this side is closing, where Write no longer
+// works. Nothing else may be queued for writing.
+func (c *Conn) WriteDirect(b []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for !c.over && len(b) > 0 {
+	for !c.closing && len(b) > 0 {
 		n, err := syscall.Write(c.raw.(netpoll.Conn).Fd(), b)
 		if err != nil && err != syscall.EINTR {
 			return
@@ -120,8 +124,9 @@
 	}
 }
 
-// received is how many bytes the kernel has had of the peer, of which waiting are still with it; ok is false where it does not say.
-func (c *Conn) received() (all, waiting uint64, ok bool) {
+// receivedBytes returns how many bytes the kernel has received from the peer in total, and how many of them are still unread in
+// its buffer. ok is false where the kernel does not report it.
+func (c *Conn) receivedBytes() (total, unread uint64, ok bool) {
 	fd := c.raw.(netpoll.Conn).Fd()
 	queued, err := unix.IoctlGetInt(fd, unix.TIOCINQ)
 	if err != nil {
@@ -134,44 +139,46 @@
 	return info.Bytes_received, uint64(queued), true
 }
 
-const notSent = 0x894b // SIOCOUTQNSD
+const siocOutqNSD = 0x894b // ioctl SIOCOUTQNSD: bytes in the send queue that have not been sent
 
 const (
-	pollerLimit = 5 * time.Millisecond // for bytes that netpoll's poller has taken and not put into the buffer yet
-	pollerPause = 10 * time.Microsecond
+	pollerTimeout       = 5 * time.Millisecond // for bytes that netpoll's poller has read from the kernel but not yet buffered
+	pollerCheckInterval = 10 * time.Microsecond
 )
 
-// awaitPoller waits until what the poller has taken is in the buffer. It is called once the poller is told of no more.
+// awaitPoller waits until the bytes that the poller has read are in the buffer. It is called once the poller gets no further
+// events for the connection.
 func (c *Conn) awaitPoller() {
-	for until := time.Now().Add(pollerLimit); time.Now().Before(until); time.Sleep(pollerPause) {
-		all, waiting, ok := c.received()
-		if !ok || all <= c.handed.Load()+waiting+uint64(c.raw.Reader().Len()) {
+	for until := time.Now().Add(pollerTimeout); time.Now().Before(until); time.Sleep(pollerCheckInterval) {
+		all, waiting, ok := c.receivedBytes()
+		if !ok || all <= c.deliveredBytes.Load()+waiting+uint64(c.raw.Reader().Len()) {
 			return
 		}
 	}
 }
 
-func (c *Conn) tell() {
+func (c *Conn) reportEnd() {
 	c.mu.Lock()
-	first := !c.told
-	c.told = true
+	first := !c.endReported
+	c.endReported = true
 	c.mu.Unlock()
 	if first {
-		crash.Go(c.ended)
+		crash.Go(c.onEnd)
 	}
 }
 
-const mostTaken = 64 << 10
+const maxTakeBytes = 64 << 10
 
-// Take hands over all bytes that have come. It may be called inside the ready callback alone; the bytes are the
-// connection's again when feed returns.
+// Take passes all buffered bytes to feed. It may be called only inside the onReadable callback; feed must not keep the bytes,
+// since netpoll reuses them afterwards.
 func (c *Conn) Take(feed func([]byte)) error {
 	return c.take(c.raw.Reader().Len(), feed)
 }
 
-// TakeSome is Take for a peer that may bring more at once than is to be held twice: what is left is told of again.
-func (c *Conn) TakeSome(feed func([]byte)) error {
-	return c.take(min(c.raw.Reader().Len(), mostTaken), feed)
+// TakeLimited is Take with at most maxTakeBytes a call, for a peer that may send more at once than should be held twice in
+// memory. onReadable is called again for the rest.
+func (c *Conn) TakeLimited(feed func([]byte)) error {
+	return c.take(min(c.raw.Reader().Len(), maxTakeBytes), feed)
 }
 
 func (c *Conn) take(n int, feed func([]byte)) error {
@@ -180,87 +187,87 @@
 	if err != nil {
 		return err
 	}
-	c.handed.Add(uint64(n))
+	c.deliveredBytes.Add(uint64(n))
 	feed(b)
 	return r.Release()
 }
 
-// WriteLimit bounds the time that Write waits for a peer that does not read.
-func (c *Conn) WriteLimit(d time.Duration) { _ = c.raw.SetWriteTimeout(d) }
+// SetWriteTimeout bounds how long Write waits for a peer that does not read.
+func (c *Conn) SetWriteTimeout(d time.Duration) { _ = c.raw.SetWriteTimeout(d) }
 
-// Write sends all of b, from one goroutine at a time. An error says that the last byte was not written, unless it
-// MayBeWritten.
+// Write sends all of b. It must be called from one goroutine at a time. After an error the last byte has not been written,
+// unless MayBeWritten reports otherwise.
 func (c *Conn) Write(b []byte) error {
 	_, err := c.raw.Write(b)
-	for errors.Is(err, syscall.EINTR) { // netpoll keeps what it could not send for the next flush
+	for errors.Is(err, syscall.EINTR) { // netpoll keeps the unsent bytes for the next flush
 		_, err = c.raw.Write(nil)
 	}
 	return err
 }
 
-// MayBeWritten tells whether a write that failed may have sent its last byte all the same: after a time-out netpoll's
-// poller may still be sending the rest.
+// MayBeWritten reports whether a failed write may still have sent its last byte: after a timeout netpoll's poller may still be
+// sending the rest.
 func MayBeWritten(err error) bool { return errors.Is(err, netpoll.ErrWriteTimeout) }
 
-// Active tells whether neither side has ended the connection, as far as netpoll has seen.
+// Active reports whether neither side has ended the connection, as far as netpoll has noticed.
 func (c *Conn) Active() bool { return c.raw.IsActive() }
 
-// Quiet tells whether a connection is open and has brought nothing that is not read yet. It asks the kernel, too:
-// bytes or an end may have come that netpoll has not seen.
-func (c *Conn) Quiet() bool {
+// Drained reports whether the connection is open and has no unread bytes. It also asks the kernel, since bytes or an end of
+// stream may have arrived that netpoll has not seen.
+func (c *Conn) Drained() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.over || !c.raw.IsActive() {
+	if c.closing || !c.raw.IsActive() {
 		return false
 	}
-	// The kernel first: what the poller takes from it between the two questions is in the buffer by the second.
+	// The kernel is asked first: bytes that the poller reads between the two checks are in the buffer by the second.
 	var one [1]byte
 	_, _, err := syscall.Recvfrom(c.raw.(netpoll.Conn).Fd(), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	return err == syscall.EAGAIN && c.raw.Reader().Len() == 0
 }
 
-// Settled is Quiet for a connection that is about to be ended: it also sees bytes that the poller has taken from the kernel and
-// not put into the buffer yet.
-func (c *Conn) Settled() bool {
-	if !c.Quiet() {
+// DrainedThroughPoller is Drained for a connection that is about to be closed: it also detects bytes that the poller has read
+// from the kernel but not yet put into the buffer.
+func (c *Conn) DrainedThroughPoller() bool {
+	if !c.Drained() {
 		return false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.over {
+	if c.closing {
 		return false
 	}
-	all, _, ok := c.received()
-	return !ok || all == c.handed.Load()
+	all, _, ok := c.receivedBytes()
+	return !ok || all == c.deliveredBytes.Load()
 }
 
-// Sent tells whether the kernel has sent all that was written. Guards against a close over bytes that come meanwhile: the kernel
-// then resets the connection, and what it still holds of the last answers goes with it. What is on its way comes before the
-// reset. Whether the peer's machine has confirmed it is not waited for: that may take 40 ms, in which it sends on.
-func (c *Conn) Sent() bool {
+// AllSent reports whether the kernel has sent everything that was written. Guards against a close that crosses incoming bytes:
+// the kernel then resets the connection and drops whatever it still holds of the last answers. Bytes already on the wire arrive
+// before the reset. It does not wait for the peer's acknowledgment, which may take 40 ms, during which the peer keeps sending.
+func (c *Conn) AllSent() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.over || !c.raw.IsActive() {
+	if c.closing || !c.raw.IsActive() {
 		return true
 	}
-	left, err := unix.IoctlGetInt(c.raw.(netpoll.Conn).Fd(), notSent)
+	left, err := unix.IoctlGetInt(c.raw.(netpoll.Conn).Fd(), siocOutqNSD)
 	return err != nil || left == 0
 }
 
-// Left tells whether the peer has ended the connection or its sending. It asks the kernel, since netpoll may not have come to
-// it, and sees an end behind bytes that nobody has read yet, too.
-func (c *Conn) Left() bool {
+// PeerClosed reports whether the peer has closed the connection or its sending side. It asks the kernel, since netpoll may not
+// have processed the event yet, and also detects a close behind bytes that nobody has read.
+func (c *Conn) PeerClosed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.over || !c.raw.IsActive() {
+	if c.closing || !c.raw.IsActive() {
 		return true
 	}
-	events, err := poll(c.raw.(netpoll.Conn).Fd(), unix.POLLRDHUP)
+	events, err := pollNow(c.raw.(netpoll.Conn).Fd(), unix.POLLRDHUP)
 	return err == nil && events != 0
 }
 
-// poll asks the kernel at once what there is of a descriptor, again where a signal comes between.
-func poll(fd int, events int16) (int16, error) {
+// pollNow polls a descriptor without blocking, again if a signal interrupts the call.
+func pollNow(fd int, events int16) (int16, error) {
 	for {
 		polled := []unix.PollFd{{Fd: int32(fd), Events: events}}
 		if _, err := unix.Poll(polled, 0); err != unix.EINTR {
@@ -269,31 +276,31 @@
 	}
 }
 
-// Abort ends both directions at once, also where a write is under way, and what the kernel still holds of it is not sent once
-// Close, which has still to be called, has reset the connection. It waits for nothing.
+// Abort shuts down both directions immediately, even during a write, and does not block. Close must still be called; it then
+// resets the connection, and bytes that the kernel still holds are not sent.
 func (c *Conn) Abort() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.over {
+	if !c.closing {
 		fd := c.raw.(netpoll.Conn).Fd()
 		_ = syscall.SetsockoptLinger(fd, syscall.SOL_SOCKET, syscall.SO_LINGER, &syscall.Linger{Onoff: 1})
 		_ = syscall.Shutdown(fd, syscall.SHUT_RDWR)
 	}
 }
 
-// Discard ends the connection as Close does, and tells its owner of no end any more. Guards against an owner that gives up many
-// connections at once and is told of each: every one of these goroutines would wait for the owner's lock, to find nothing to do.
+// Discard closes the connection like Close but never calls onEnd. Guards against an owner that drops many connections at once:
+// each onEnd goroutine would wait for the owner's lock, only to find nothing to do.
 func (c *Conn) Discard() {
 	c.mu.Lock()
-	c.told = true
+	c.endReported = true
 	c.mu.Unlock()
 	c.Close()
 }
 
-// Close ends the connection. It waits for a write that is under way to notice, and for no peer.
+// Close closes the connection. It waits for a write in progress to notice, but never for the peer.
 func (c *Conn) Close() {
 	c.mu.Lock()
-	c.ours = true
+	c.closedLocally = true
 	c.mu.Unlock()
 	_ = c.raw.Close()
 }
--- a/internal/socket/conn_test.go
+++ b/internal/socket/conn_test.go
@@ -13,8 +13,8 @@
 	"bramblefall/internal/loopback"
 )
 
-// pair is a connection that a listener has accepted, prepared as the test says, and the other side of it.
-func pair(t *testing.T, prepare func(*Conn)) (*Conn, net.Conn) {
+// connectedPair returns an accepted connection, set up by prepare, and the client side of it.
+func connectedPair(t *testing.T, prepare func(*Conn)) (*Conn, net.Conn) {
 	address, err := loopback.AnyPort()
 	require.NoError(t, err)
 	l, err := Listen(address)
@@ -35,40 +35,40 @@
 	return <-conns, peer
 }
 
-// Bytes that netpoll has taken from the kernel, and that nobody was told of, when we end the connection: they are shown once
-// more, and what is said to them goes out before the end.
-func TestWhatWasTakenBeforeOurEndIsAnswered(t *testing.T) {
-	told, on, ended := make(chan struct{}), make(chan struct{}), make(chan struct{})
-	c, peer := pair(t, func(c *Conn) {
-		c.Late(func(b []byte) []byte { return append([]byte("late:"), b...) })
+// Bytes that netpoll has read from the kernel but not delivered when this side closes the connection are passed to the late
+// handler, and its answer is sent before the close.
+func TestBufferedBytesAreAnsweredBeforeLocalClose(t *testing.T) {
+	readable, resume, ended := make(chan struct{}), make(chan struct{}), make(chan struct{})
+	c, peer := connectedPair(t, func(c *Conn) {
+		c.SetLateHandler(func(b []byte) []byte { return append([]byte("late:"), b...) })
 		c.Serve(func() {
 			_ = c.Take(func([]byte) {})
-			close(told)
-			<-on // more comes meanwhile
+			close(readable)
+			<-resume // hold the callback while more bytes arrive
 		}, func() { close(ended) })
 	})
 	_ = peer.SetDeadline(time.Now().Add(20 * time.Second))
 	_, _ = io.WriteString(peer, "first")
-	<-told
+	<-readable
 	_, _ = io.WriteString(peer, "second")
 	require.Eventually(t, func() bool { return c.raw.Reader().Len() == len("second") }, 20*time.Second, time.Millisecond)
 	c.Close()
-	close(on)
-	said, err := io.ReadAll(peer)
+	close(resume)
+	received, err := io.ReadAll(peer)
 	require.NoError(t, err)
-	require.Equal(t, "late:second", string(said))
+	require.Equal(t, "late:second", string(received))
 	<-ended
 }
 
-// Bytes that have been taken from the kernel and not been told of yet, as by a poller that is about to: the connection is not
-// settled, though kernel and buffer have nothing of it.
-func TestBytesOnTheirWayThroughThePollerAreSeen(t *testing.T) {
-	c, peer := pair(t, func(*Conn) {}) // nobody reads: without a request callback the buffer is left alone
-	require.Eventually(t, c.Settled, 20*time.Second, time.Millisecond)
+// Bytes that the poller has read from the kernel but not yet buffered are neither in the kernel nor in netpoll's buffer. The
+// connection must not count as drained while they are on their way.
+func TestDrainedThroughPollerSeesBytesHeldByPoller(t *testing.T) {
+	c, peer := connectedPair(t, func(*Conn) {}) // no reader: without a request callback netpoll leaves the buffer alone
+	require.Eventually(t, c.DrainedThroughPoller, 20*time.Second, time.Millisecond)
 	_, _ = io.WriteString(peer, "taken")
 	require.Eventually(t, func() bool { return c.raw.Reader().Len() == len("taken") }, 20*time.Second, time.Millisecond)
-	require.False(t, c.Settled(), "in the buffer")
-	_, err := c.raw.Reader().Next(len("taken")) // and now nowhere: neither with the kernel, nor in the buffer, nor handed over
+	require.False(t, c.DrainedThroughPoller(), "bytes are still in netpoll's buffer")
+	_, err := c.raw.Reader().Next(len("taken")) // now in neither the kernel nor the buffer, and not delivered
 	require.NoError(t, err)
-	require.False(t, c.Settled(), "on their way")
+	require.False(t, c.DrainedThroughPoller(), "bytes were read from the kernel but not delivered")
 }
--- a/internal/socket/listener.go
+++ b/internal/socket/listener.go
@@ -10,29 +10,29 @@
 	"golang.org/x/sys/unix"
 )
 
-// Listener takes connections for netpoll and can be closed while netpoll watches it. netpoll's own holds a copy of the
-// descriptor that its Close closes twice, and the second time it may be another connection's.
+// Listener accepts connections for netpoll and can be closed while netpoll watches it. netpoll's own listener holds a copy of
+// the descriptor that its Close closes twice; by the second time the number may belong to another connection.
 type Listener struct {
 	*net.TCPListener
 	raw      syscall.RawConn
 	fd       int
 	accepted atomic.Int64
 	errors   acceptErrors
-	room     func() bool
+	hasRoom  func() bool
 }
 
-// Room sets who says whether there is room for one more connection, the one just accepted included. Where there is none it
-// is closed at once. Guards the descriptors: one that is refused later is closed only when its poller comes to it, and more are
-// accepted meanwhile. It is called before the first Accept.
-func (l *Listener) Room(room func() bool) { l.room = room }
+// SetRoomCheck sets the function that reports whether there is room for the connection just accepted. Where there is none the
+// connection is closed at once. Guards the descriptors: a connection that is refused later is closed only when its poller gets to
+// it, and more are accepted meanwhile. Call SetRoomCheck before the first Accept.
+func (l *Listener) SetRoomCheck(hasRoom func() bool) { l.hasRoom = hasRoom }
 
-// Listen opens the address.
+// Listen opens a TCP listener on addr. Transient failures are retried.
 func Listen(addr string) (*Listener, error) {
-	at, err := net.ResolveTCPAddr("tcp", addr)
+	local, err := net.ResolveTCPAddr("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	tcp, err := RetryListen(func() (*net.TCPListener, error) { return net.ListenTCP("tcp", at) })
+	tcp, err := RetryListen(func() (*net.TCPListener, error) { return net.ListenTCP("tcp", local) })
 	if err != nil {
 		return nil, err
 	}
@@ -47,58 +47,58 @@
 	return l, nil
 }
 
-// Fd is the descriptor for netpoll to watch.
+// Fd returns the descriptor for netpoll to watch.
 func (l *Listener) Fd() int { return l.fd }
 
-// errOver must not say that the listener is closed: netpoll would take the number of its descriptor off its watch, which may
-// be another connection's by then. The kernel has taken the listener off with the close.
-var errOver = errors.New("the listener is over")
+// errListenerEnded must not contain the word "closed": netpoll would then remove the descriptor number from its poller, and that
+// number may belong to another connection by then. The kernel has already removed the listener on close.
+var errListenerEnded = errors.New("the listener has ended")
 
-// Accept takes a connection that has come, and gives nil where there is none or where that fails: the poller asks again at once.
-// Guards against netpoll's own pauses of up to a second, in which nobody is let in. After a close it fails: given nil, netpoll
-// would go on watching the number.
+// Accept returns a pending connection, or nil if there is none or accepting fails: the poller calls again at once. Guards against
+// netpoll's own pauses of up to a second after an error, during which no client is accepted. After Close it returns an error: for
+// nil, netpoll would keep watching the descriptor number.
 func (l *Listener) Accept() (net.Conn, error) {
 	var fd int
 	var peer syscall.Sockaddr
 	var err error
-	// Control keeps a close out until it returns.
+	// Control blocks Close until it returns.
 	if l.raw.Control(func(of uintptr) {
 		if fd, peer, err = syscall.Accept4(int(of), syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC); err == nil {
 			l.accepted.Add(1)
 		}
 	}) != nil {
-		return nil, errOver
+		return nil, errListenerEnded
 	}
 	switch err {
 	case nil:
 	case syscall.EAGAIN, syscall.EINTR:
 		return nil, nil
 	default:
-		l.errors.pause(err)
+		l.errors.logAndPause(err)
 		return nil, nil
 	}
-	if l.room != nil && !l.room() {
+	if l.hasRoom != nil && !l.hasRoom() {
 		l.accepted.Add(-1)
 		_ = syscall.Close(fd)
 		return nil, nil
 	}
-	_ = syscall.SetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_NODELAY, 1) // netpoll does it for its own kind alone
-	return &accepted{fd: fd, local: l.Addr(), remote: address(peer)}, nil
+	_ = syscall.SetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_NODELAY, 1) // netpoll sets it only on connections of its own listener
+	return &acceptedConn{fd: fd, local: l.Addr(), remote: tcpAddr(peer)}, nil
 }
 
-// Accepted is how many connections have been taken. After a close it stays as it is.
-func (l *Listener) Accepted() int { return int(l.accepted.Load()) }
+// AcceptedCount returns the number of connections accepted. It does not change after Close.
+func (l *Listener) AcceptedCount() int { return int(l.accepted.Load()) }
 
-// Waiting tells whether a connection waits to be accepted.
-func (l *Listener) Waiting() (waits bool) {
+// HasPending reports whether a connection is waiting to be accepted.
+func (l *Listener) HasPending() (pending bool) {
 	_ = l.raw.Control(func(fd uintptr) {
-		events, err := poll(int(fd), unix.POLLIN)
-		waits = err == nil && events&unix.POLLIN != 0
+		events, err := pollNow(int(fd), unix.POLLIN)
+		pending = err == nil && events&unix.POLLIN != 0
 	})
-	return waits
+	return pending
 }
 
-func address(s syscall.Sockaddr) net.Addr {
+func tcpAddr(s syscall.Sockaddr) net.Addr {
 	switch s := s.(type) {
 	case *syscall.SockaddrInet4:
 		return &net.TCPAddr{IP: s.Addr[:], Port: s.Port}
@@ -108,14 +108,15 @@
 	return &net.TCPAddr{}
 }
 
-// accepted hands a descriptor to netpoll, which copies descriptor and addresses and reads, writes and closes by itself.
-type accepted struct {
-	netpoll.Conn // none: nothing else is asked
+// acceptedConn passes a descriptor to netpoll, which copies the descriptor and the addresses and does all I/O and the close
+// itself.
+type acceptedConn struct {
+	netpoll.Conn // nil: netpoll calls none of its other methods
 	fd           int
 	local        net.Addr
 	remote       net.Addr
 }
 
-func (a *accepted) Fd() int              { return a.fd }
-func (a *accepted) LocalAddr() net.Addr  { return a.local }
-func (a *accepted) RemoteAddr() net.Addr { return a.remote }
+func (a *acceptedConn) Fd() int              { return a.fd }
+func (a *acceptedConn) LocalAddr() net.Addr  { return a.local }
+func (a *acceptedConn) RemoteAddr() net.Addr { return a.remote }
--- a/internal/socket/netpoll_race.go
+++ b/internal/socket/netpoll_race.go
@@ -8,8 +8,8 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// In race builds alone netpoll finds the owner of an event by the number of its descriptor, not by a pointer. Where a
-// connection is closed while an event of it is under way, and its number goes to a dial at once, the event is given to the
-// dial; netpoll then logs the dial's whole state without a lock, beside the dial's own time-out, which is the race that the
-// detector reports. No other build has that lookup.
+// Only in race builds does netpoll look up the owner of an event by descriptor number instead of by pointer. If a connection
+// is closed while one of its events is being handled, and a dial gets its descriptor number at once, the event goes to the dial.
+// netpoll then logs the dial's whole state without a lock, concurrently with the dial's own timeout, and the race detector
+// reports that. No other build has this lookup, so only here netpoll's log is discarded.
 func init() { netpoll.SetLoggerOutput(io.Discard) }
--- a/internal/socket/outbox.go
+++ b/internal/socket/outbox.go
@@ -10,161 +10,163 @@
 	"bramblefall/internal/crash"
 )
 
-// Most is how many bytes may wait for one peer where all peers' share is used up. Who is to get more has to be told less.
-const Most = 256 << 10
+// MaxQueuedBytes is how many bytes may be queued for one peer once the shared backlog is full. Callers whose peers need more must
+// send less.
+const MaxQueuedBytes = 256 << 10
 
 const (
-	writeLimit = 5 * time.Second // a flush that takes longer has no reader
-	mostFlush  = 64 << 10        // bytes of one: a slow reader has the limit for each
-	mostLinger = 2 * time.Second // for the peer to get the last of them, before the end
-	lingerLook = time.Millisecond
+	writeTimeout        = 5 * time.Second // a peer that takes longer to accept one flush is not reading
+	maxFlushBytes       = 64 << 10        // bytes a flush: a slow reader gets writeTimeout for each
+	lingerTimeout       = 2 * time.Second // longest wait for the last bytes to be sent before the close
+	lingerCheckInterval = time.Millisecond
 )
 
-// ErrFull says that the peer does not read.
+// ErrFull reports that an outbox is full because the peer does not read.
 var ErrFull = errors.New("the peer does not read")
 
-// ErrClosed says that nothing more goes out on this connection.
+// ErrClosed reports that the outbox sends nothing more on its connection.
 var ErrClosed = errors.New("the connection is closed")
 
-// Outbox writes to one connection. Writers never wait: a goroutine that lives while there is something to
-// write flushes all that came meanwhile at once.
+// Outbox queues writes to one connection. Writers never block: a goroutine that runs only while bytes are queued writes them,
+// together with all that has been queued meanwhile.
 type Outbox struct {
 	conn    *Conn
-	emptied func() // nil, or told when all that was queued has been written
+	onEmpty func() // optional: called when everything queued has been written
 	shared  *Backlog
 
-	mu       sync.Mutex
-	waiting  []piece
-	held     int // bytes of them
-	flushing bool
-	closing  bool // close the connection once all is written
-	broken   bool
+	mu             sync.Mutex
+	queue          []chunk
+	queuedBytes    int // in queue
+	flushing       bool
+	closeWhenEmpty bool // close the connection once the queue has been written
+	stopped        bool
 }
 
-// piece is bytes that go out so many times, one behind the other.
-type piece struct {
-	bytes []byte
+// chunk is data that is sent that many times in a row.
+type chunk struct {
+	data  []byte
 	times int
 }
 
-// Backlog bounds what waits in several outboxes together.
+// Backlog bounds the bytes queued in several outboxes together.
 type Backlog struct {
-	most  int64
-	bytes atomic.Int64
+	limit  int64
+	queued atomic.Int64
 }
 
-// NewBacklog makes the bound of outboxes that may hold so many bytes together, and Most each beside.
-func NewBacklog(most int64) *Backlog { return &Backlog{most: most} }
+// NewBacklog returns a backlog of limit bytes for the outboxes that share it. Each may queue MaxQueuedBytes in any case.
+func NewBacklog(limit int64) *Backlog { return &Backlog{limit: limit} }
 
-// NewOutbox makes the outbox of a connection. Emptied, if any, is told whenever all that was queued has been written. Shared is
-// the bound with others; nil: Most is all that it holds.
-func NewOutbox(conn *Conn, emptied func(), shared *Backlog) *Outbox {
-	conn.WriteLimit(writeLimit)
+// NewOutbox returns the outbox of a connection. onEmpty, if not nil, is called whenever everything queued has been written.
+// shared is the bound shared with other outboxes; if it is nil, the outbox holds MaxQueuedBytes at most.
+func NewOutbox(conn *Conn, onEmpty func(), shared *Backlog) *Outbox {
+	conn.SetWriteTimeout(writeTimeout)
 	if shared == nil {
 		shared = NewBacklog(0)
 	}
-	return &Outbox{conn: conn, emptied: emptied, shared: shared}
+	return &Outbox{conn: conn, onEmpty: onEmpty, shared: shared}
 }
 
-// Write queues bytes; they are copied. ErrFull says that they were too many, and changes nothing.
+// Write queues a copy of b. It returns ErrFull and queues nothing if b does not fit the bounds.
 func (o *Outbox) Write(b []byte) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.broken {
+	if o.stopped {
 		return ErrClosed
 	}
-	if o.held+len(b) > Most && o.shared.bytes.Load()+int64(len(b)) > o.shared.most {
+	if o.queuedBytes+len(b) > MaxQueuedBytes && o.shared.queued.Load()+int64(len(b)) > o.shared.limit {
 		return ErrFull
 	}
 	o.add(b, 1)
 	return nil
 }
 
-// Insist queues a few bytes, however many wait. The caller bounds them. It tells whether they are queued: nothing is behind the end.
-func (o *Outbox) Insist(b []byte) bool { return o.Repeat(b, 1) }
+// WriteUnbounded queues a copy of b regardless of the bounds; the caller must bound the total. It reports whether the outbox was
+// still open: nothing is sent after the close.
+func (o *Outbox) WriteUnbounded(b []byte) bool { return o.WriteRepeated(b, 1) }
 
-// Repeat does as Insist, so many times over; the bytes are held once.
-func (o *Outbox) Repeat(b []byte, times int) bool {
+// WriteRepeated is WriteUnbounded for b sent so many times in a row, holding its bytes only once.
+func (o *Outbox) WriteRepeated(b []byte, times int) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if !o.broken && len(b) > 0 && times > 0 {
+	if !o.stopped && len(b) > 0 && times > 0 {
 		o.add(b, times)
 	}
-	return !o.broken
+	return !o.stopped
 }
 
 func (o *Outbox) add(b []byte, times int) {
-	if n := len(o.waiting); times == 1 && n > 0 && o.waiting[n-1].times == 1 {
-		o.waiting[n-1].bytes = append(o.waiting[n-1].bytes, b...)
+	if n := len(o.queue); times == 1 && n > 0 && o.queue[n-1].times == 1 {
+		o.queue[n-1].data = append(o.queue[n-1].data, b...)
 	} else {
-		o.waiting = append(o.waiting, piece{bytes.Clone(b), times})
+		o.queue = append(o.queue, chunk{bytes.Clone(b), times})
 	}
-	o.hold(len(b))
-	o.start()
+	o.addQueuedBytes(len(b))
+	o.startFlush()
 }
 
-// hold counts bytes that wait, or do no more.
-func (o *Outbox) hold(n int) {
-	o.held += n
-	o.shared.bytes.Add(int64(n))
+// addQueuedBytes adds n, negative for bytes removed, to this outbox's and the shared count of queued bytes.
+func (o *Outbox) addQueuedBytes(n int) {
+	o.queuedBytes += n
+	o.shared.queued.Add(int64(n))
 }
 
-// Backlogged tells whether so much waits that the peer seems to have stopped reading.
+// Backlogged reports whether so much is queued that the peer seems to have stopped reading.
 func (o *Outbox) Backlogged() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.held >= Most
+	return o.queuedBytes >= MaxQueuedBytes
 }
 
-// Empty tells whether all that was queued has been written.
+// Empty reports whether everything queued has been written.
 func (o *Outbox) Empty() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return len(o.waiting) == 0 && !o.flushing
+	return len(o.queue) == 0 && !o.flushing
 }
 
-// CloseAfter closes the connection when all that is queued has been written.
-func (o *Outbox) CloseAfter() {
+// CloseAfterFlush closes the connection once everything queued has been written.
+func (o *Outbox) CloseAfterFlush() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.closing = true
-	o.start()
+	o.closeWhenEmpty = true
+	o.startFlush()
 }
 
-// next is what one flush takes.
-func (o *Outbox) next() []byte {
-	p := o.waiting[0]
+// nextFlush returns the bytes of the next flush.
+func (o *Outbox) nextFlush() []byte {
+	p := o.queue[0]
 	if p.times > 1 {
-		return bytes.Repeat(p.bytes, min(p.times, max(mostFlush/len(p.bytes), 1)))
+		return bytes.Repeat(p.data, min(p.times, max(maxFlushBytes/len(p.data), 1)))
 	}
-	return p.bytes[:min(len(p.bytes), mostFlush)]
+	return p.data[:min(len(p.data), maxFlushBytes)]
 }
 
-// written takes off what a flush has written.
-func (o *Outbox) written(n int) {
-	p := &o.waiting[0]
+// removeWritten removes the n bytes that a flush has written from the queue.
+func (o *Outbox) removeWritten(n int) {
+	p := &o.queue[0]
 	if p.times > 1 {
-		if p.times -= n / len(p.bytes); p.times > 0 {
+		if p.times -= n / len(p.data); p.times > 0 {
 			return
 		}
-		n = len(p.bytes)
+		n = len(p.data)
 	}
-	o.hold(-n)
-	if p.bytes = p.bytes[n:]; len(p.bytes) > 0 {
+	o.addQueuedBytes(-n)
+	if p.data = p.data[n:]; len(p.data) > 0 {
 		return
 	}
-	if o.waiting = o.waiting[1:]; len(o.waiting) == 0 {
-		o.waiting = nil
+	if o.queue = o.queue[1:]; len(o.queue) == 0 {
+		o.queue = nil
 	}
 }
 
-// discard takes off what will not be written.
-func (o *Outbox) discard() {
-	o.waiting = nil
-	o.hold(-o.held)
+// discardQueued drops the queued bytes, which will not be written.
+func (o *Outbox) discardQueued() {
+	o.queue = nil
+	o.addQueuedBytes(-o.queuedBytes)
 }
 
-func (o *Outbox) start() {
+func (o *Outbox) startFlush() {
 	if !o.flushing {
 		o.flushing = true
 		crash.Go(o.flush)
@@ -172,41 +174,41 @@
 }
 
 func (o *Outbox) flush() {
-	if o.write() && o.emptied != nil {
-		o.emptied()
+	if o.writeQueued() && o.onEmpty != nil {
+		o.onEmpty()
 	}
 }
 
-// write writes all that is queued. It tells whether the connection goes on.
-func (o *Outbox) write() bool {
+// writeQueued writes everything queued. It reports whether the outbox is still open.
+func (o *Outbox) writeQueued() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for len(o.waiting) > 0 && !o.broken {
-		b := o.next()
+	for len(o.queue) > 0 && !o.stopped {
+		b := o.nextFlush()
 		o.mu.Unlock()
 		err := o.conn.Write(b)
 		o.mu.Lock()
-		o.written(len(b))
-		o.broken = o.broken || err != nil
+		o.removeWritten(len(b))
+		o.stopped = o.stopped || err != nil
 	}
 	o.flushing = false
-	if o.broken || o.closing {
-		lingers := !o.broken
-		o.broken = true
-		o.discard()
-		crash.Go(func() { // in its own goroutine: close callbacks take their owners' locks
-			if lingers {
+	if o.stopped || o.closeWhenEmpty {
+		shouldLinger := !o.stopped
+		o.stopped = true
+		o.discardQueued()
+		crash.Go(func() { // in its own goroutine, since close callbacks take their owners' locks
+			if shouldLinger {
 				o.linger()
 			}
 			o.conn.Close()
 		})
 	}
-	return !o.broken
+	return !o.stopped
 }
 
-// linger waits until what was written has left this machine, within a bound.
+// linger waits, up to lingerTimeout, until the kernel has sent everything written.
 func (o *Outbox) linger() {
-	for until := time.Now().Add(mostLinger); !o.conn.Sent() && time.Now().Before(until); {
-		time.Sleep(lingerLook)
+	for until := time.Now().Add(lingerTimeout); !o.conn.AllSent() && time.Now().Before(until); {
+		time.Sleep(lingerCheckInterval)
 	}
 }
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -20,21 +20,21 @@
 )
 
 const (
-	smallFlush  = 8 << 10                // an idle connection's send buffer takes this at once
-	writeLimit  = 2 * time.Second        // for a larger one
-	idleMargin  = 0.75                   // of the servers' idle limit: a request must not cross their close
-	defaultIdle = 10 * time.Second       // where the settings name none
-	defaultUp   = 250 * time.Millisecond // likewise, for a connection to come up
-	sweepEvery  = time.Second
-	logEvery    = time.Second
-	restFor     = 20 * time.Millisecond  // after an answer: what more a server sends must not meet the next try
-	stuckAfter  = 250 * time.Millisecond // without a byte in the middle of an answer: the rest will not come
+	inlineWriteBytes  = 8 << 10                // an idle connection's send buffer takes this at once
+	writeTimeout  = 2 * time.Second        // for a larger one
+	idleTimeoutShare  = 0.75                   // of the servers' idle limit: a request must not cross their close
+	defaultIdleTimeout = 10 * time.Second       // where the settings name none
+	defaultConnectTimeout   = 250 * time.Millisecond // likewise, for a connection to come up
+	sweepInterval  = time.Second
+	shortageLogInterval    = time.Second
+	reuseDelay     = 20 * time.Millisecond  // after an answer: what more a server sends must not meet the next try
+	replyStallTimeout  = 250 * time.Millisecond // without a byte in the middle of an answer: the rest will not come
 )
 
 // Command is what the origin of a try must offer: its wire form, and whether its client has gone.
 type Command interface {
 	AppendCommand(b []byte, wait time.Duration) []byte
-	Gone() bool
+	ClientGone() bool
 }
 
 // Pool holds the connections. One carries one try at a time: answers come in order, so a slow try would hold
@@ -42,10 +42,10 @@
 type Pool struct {
 	post   func(core.Event)
 	now    func() time.Duration // the reducer's clock
-	fields []logic.LoadField
-	up     time.Duration // a connection that is not up by then never comes up
-	idle   time.Duration // longest that a connection stands idle
-	most   int           // connections, with those being made
+	loadFields []logic.LoadField
+	connectTimeout     time.Duration // a connection that is not up by then never comes up
+	idleTimeout   time.Duration // longest that a connection stands idle
+	maxConnections   int           // connections, with those being made
 
 	mu      sync.Mutex
 	targets map[logic.ServerID]*target
@@ -97,22 +97,22 @@
 
 // New makes a pool that holds so many connections at most.
 func New(set logic.Settings, most int, post func(core.Event), now func() time.Duration) *Pool {
-	p := &Pool{post: post, now: now, fields: set.ReportFields, most: most, up: set.ConnectTimeout,
+	p := &Pool{post: post, now: now, loadFields: set.ReportFields, maxConnections: most, connectTimeout: set.ConnectTimeout,
 		targets: map[logic.ServerID]*target{}, tries: map[core.Key]*flight{}}
-	if p.up <= 0 {
-		p.up = defaultUp
+	if p.connectTimeout <= 0 {
+		p.connectTimeout = defaultConnectTimeout
 	}
 	idle := set.ConnIdle
 	if idle <= 0 {
-		idle = defaultIdle
+		idle = defaultIdleTimeout
 	}
-	p.idle = time.Duration(idleMargin * float64(idle))
+	p.idleTimeout = time.Duration(idleTimeoutShare * float64(idle))
 	return p
 }
 
 // Run closes connections before the servers would, until the context ends.
 func (p *Pool) Run(ctx context.Context) {
-	tick := time.NewTicker(sweepEvery)
+	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -127,7 +127,7 @@
 func (p *Pool) sweep() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for oldest := p.oldest(); oldest != nil && time.Since(oldest.since) >= p.idle; oldest = p.oldest() {
+	for oldest := p.oldest(); oldest != nil && time.Since(oldest.since) >= p.idleTimeout; oldest = p.oldest() {
 		p.drop(oldest)
 	}
 }
@@ -243,12 +243,12 @@
 	for n := len(f.target.idle) - 1; n >= 0; n-- {
 		c := f.target.idle[n]
 		rested := time.Since(c.since)
-		if rested < restFor && c.conn.Active() {
+		if rested < reuseDelay && c.conn.Active() {
 			continue
 		}
 		// Guards against a write that crosses the server's close, which would end as a reset and may have run, and
 		// against bytes behind the last answer, which would be taken for this one's.
-		if rested >= p.idle || !c.conn.Quiet() {
+		if rested >= p.idleTimeout || !c.conn.Drained() {
 			p.drop(c)
 			continue
 		}
@@ -256,7 +256,7 @@
 		p.write(c, f)
 		return
 	}
-	if p.open >= p.most && !p.evict() {
+	if p.open >= p.maxConnections && !p.evict() {
 		p.short(f, nil)
 		return
 	}
@@ -266,7 +266,7 @@
 
 // short ends a flight for which no descriptor, port or buffer is left. The server is not to blame.
 func (p *Pool) short(f *flight, err error) {
-	if time.Since(p.told) >= logEvery {
+	if time.Since(p.told) >= shortageLogInterval {
 		p.told = time.Now()
 		slog.Warn("no descriptor left for a server's connection", "open", p.open, "err", err)
 	}
@@ -283,12 +283,12 @@
 }
 
 func (p *Pool) dial(f *flight) {
-	conn, err := socket.Dial(f.target.addr, p.up)
+	conn, err := socket.Dial(f.target.addr, p.connectTimeout)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err != nil {
 		p.open--
-		if socket.Shortage(err) {
+		if socket.IsResourceShortage(err) {
 			p.short(f, err)
 		} else {
 			p.finish(core.Outcome{Status: logic.ConnectFailed}, f)
@@ -296,7 +296,7 @@
 		return
 	}
 	c := &connection{pool: p, target: f.target, conn: conn}
-	conn.WriteLimit(writeLimit)
+	conn.SetWriteTimeout(writeTimeout)
 	conn.Serve(c.onRequest, c.onClose)
 	if !conn.Active() { // closed at once: nothing was written
 		p.finish(core.Outcome{Status: logic.ConnectFailed}, f)
@@ -317,7 +317,7 @@
 		p.finish(core.Outcome{Status: late}, f)
 		return false
 	}
-	if f.origin.Gone() {
+	if f.origin.ClientGone() {
 		p.post(core.ClientGone{ID: f.try.ID}) // first: the module must not try it again
 		p.finish(core.Outcome{Status: logic.Cancelled}, f)
 		return false
@@ -333,11 +333,11 @@
 	c.flight, f.state = f, flushing
 	f.on = c
 	text := f.origin.AppendCommand(nil, f.ends-p.now())
-	if len(text) <= smallFlush {
+	if len(text) <= inlineWriteBytes {
 		p.flushed(c, f, c.conn.Write(text))
 		return
 	}
-	c.conn.WriteLimit(min(writeLimit, max(f.until-p.now(), time.Millisecond)))
+	c.conn.SetWriteTimeout(min(writeTimeout, max(f.until-p.now(), time.Millisecond)))
 	crash.Go(func() {
 		err := c.conn.Write(text)
 		p.mu.Lock()
@@ -428,7 +428,7 @@
 	f := c.flight
 	if f != nil && err == nil && !ok {
 		c.heard = time.Now()
-		c.wait(stuckAfter)
+		c.wait(replyStallTimeout)
 		return
 	}
 	c.whole()
@@ -461,7 +461,7 @@
 			return
 		}
 		c.begun = nil
-		if left := stuckAfter - time.Since(c.heard); left > 0 {
+		if left := replyStallTimeout - time.Since(c.heard); left > 0 {
 			c.wait(left)
 		} else {
 			c.spoilt()
@@ -492,7 +492,7 @@
 	case r.Kind == '-':
 		return p.failure(r.Text)
 	case r.Kind == '*' && len(r.Elems) == 3 && r.Elems[0].Kind == '$' && !r.Elems[0].Null:
-		return core.Outcome{Status: logic.OK, Value: r.Elems[0].Text, Load: wire.Load(string(r.Elems[2].Text), p.fields)}
+		return core.Outcome{Status: logic.OK, Value: r.Elems[0].Text, Load: wire.Load(string(r.Elems[2].Text), p.loadFields)}
 	}
 	return core.Outcome{Status: logic.Spoilt} // no form that a value has: it may be anything
 }
@@ -502,7 +502,7 @@
 	words := text
 	if at := bytes.LastIndexByte(text, ' '); at >= 0 && bytes.IndexByte(text[at:], '=') >= 0 {
 		words = text[:at]
-		o.Load = wire.Load(string(text[at+1:]), p.fields)
+		o.Load = wire.Load(string(text[at+1:]), p.loadFields)
 	}
 	switch {
 	case string(words) == "BUSY": // nothing else proves that it never ran: spoilt answers may begin like this
