--- a/internal/upstream/end_test.go
+++ b/internal/upstream/end_test.go
@@ -14,10 +14,10 @@
 	"bramblefall/logic"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// sockets is how many sockets this process holds.
-func sockets(t *testing.T) (n int) {
+// countSockets returns the number of sockets that this process holds.
+func countSockets(t *testing.T) (n int) {
 	descriptors, err := filepath.Glob("/proc/self/fd/*")
 	require.NoError(t, err)
 	for _, d := range descriptors {
@@ -28,40 +28,41 @@
 	return n
 }
 
-// stacks are those of all goroutines of this process.
-func stacks() string {
+// goroutineStacks returns the stacks of all goroutines of this process.
+func goroutineStacks() string {
 	text := make([]byte, 8<<20)
 	return string(text[:runtime.Stack(text, true)])
 }
 
-// The fault test found 70 goroutines where 26 are usual, with no descriptor to them. A limiter that was held up at random moments
-// showed 85 and 86 in 2 of 120 plays: 53 and 59 of them waited for the pool's lock in connection.onClose. They were told of the
-// ends of idle connections that the pool itself had closed all at once, only to find that there was nothing left to do, and the
-// next try stood in line behind them.
+// When the pool closes many idle connections at once, the close callbacks must not queue for the pool's lock. They found nothing
+// left to do there, and the next try had to wait behind them.
 //
-// Here the lock is held until the descriptors of such connections are gone.
-func TestEndsThatThePoolMakesItselfWaitForNoLock(t *testing.T) {
+// The fault test found 70 goroutines instead of the usual 26, with no descriptors for them. A limiter that was held up at random
+// moments showed 85 and 86 in 2 of 120 runs; 53 and 59 of these waited for the pool's lock in connection.onClose.
+//
+// This test holds the lock until the descriptors of such connections are gone, and then counts the goroutines that wait for it.
+func TestLocalClosesDoNotWaitForPoolLock(t *testing.T) {
 	const connections = 60
 	outcomes := make(chan core.Outcome, connections)
 	pool := New(logic.Settings{}, connections, func(ev core.Event) {
 		if o, ok := ev.(core.Outcome); ok {
 			outcomes <- o
 		}
-	}, func() time.Duration { return clock })
-	pool.SetAddress(1, answering(t))
-	before := sockets(t)
-	for n := range connections { // at once, so that each has a connection of its own
-		pool.Try(core.Try{Key: core.Key{ID: uint64(n)}, Server: 1, Ends: clock + time.Second, Until: clock + time.Second, Origin: command{}})
+	}, func() time.Duration { return reducerTime })
+	pool.SetAddress(1, startServer(t))
+	before := countSockets(t)
+	for n := range connections { // concurrently, so that each gets its own connection
+		pool.Try(core.Try{Key: core.Key{ID: uint64(n)}, Server: 1, Ends: reducerTime + time.Second, Until: reducerTime + time.Second, Origin: command{}})
 	}
 	for range connections {
 		require.Equal(t, logic.OK, (<-outcomes).Status)
 	}
-	require.GreaterOrEqual(t, sockets(t), before+2*connections, "this shows little")
+	require.GreaterOrEqual(t, countSockets(t), before+2*connections, "the tries did not open a connection each, so the test proves nothing")
 
 	pool.mu.Lock()
 	pool.closeIdle(pool.targets[1])
-	require.Eventually(t, func() bool { return sockets(t) <= before }, patience, time.Millisecond)
-	waiting := strings.Count(stacks(), "(*connection).onClose(")
+	require.Eventually(t, func() bool { return countSockets(t) <= before }, testTimeout, time.Millisecond)
+	waiting := strings.Count(goroutineStacks(), "(*connection).onClose(")
 	pool.mu.Unlock()
 	require.Zero(t, waiting, "goroutines that wait for the pool's lock")
 }
--- a/internal/upstream/late_test.go
+++ b/internal/upstream/late_test.go
@@ -10,25 +10,25 @@
 	"bramblefall/logic"
 )
 
-const clock = 5 * time.Second // of a reducer that has run for a while
+const reducerTime = 5 * time.Second // the reducer's clock; any value well above 0
 
-// command is one whose client waits.
+// command is a try's origin whose client is still waiting.
 type command struct{ core.Origin }
 
 func (command) AppendCommand(b []byte, _ time.Duration) []byte { return append(b, "PING\r\n"...) }
 func (command) Gone() bool                                     { return false }
 
-// A try whose time was over before it could leave tells nothing of descriptors, ports or buffers: Unsent would make the module
-// hold back what is beyond the attempts that happen to be out.
-func TestALateTryIsNoShortage(t *testing.T) {
+// A try that expires before it can be sent must not be reported as Unsent, which means a shortage of descriptors, ports or
+// buffers: the module would then hold back requests beyond the attempts that happen to be in flight.
+func TestExpiredTryIsNotReportedAsShortage(t *testing.T) {
 	var outcomes []core.Outcome
 	pool := New(logic.Settings{}, 1, func(ev core.Event) {
 		if o, ok := ev.(core.Outcome); ok {
 			outcomes = append(outcomes, o)
 		}
-	}, func() time.Duration { return clock })
+	}, func() time.Duration { return reducerTime })
 	pool.SetAddress(1, "127.0.0.1:1")
-	for try, until := range []time.Duration{clock - time.Second, clock} {
+	for try, until := range []time.Duration{reducerTime - time.Second, reducerTime} {
 		pool.Try(core.Try{Key: core.Key{ID: 7, Try: try}, Server: 1, Ends: until, Until: until, Origin: command{}})
 	}
 	require.Len(t, outcomes, 2)
--- a/internal/upstream/room_test.go
+++ b/internal/upstream/room_test.go
@@ -12,8 +12,8 @@
 	"bramblefall/logic"
 )
 
-// answering is a server that answers each command with an empty value.
-func answering(t *testing.T) string {
+// startServer starts a server that answers each command with an empty value and returns its address.
+func startServer(t *testing.T) string {
 	l, err := loopback.Listen()
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
@@ -37,33 +37,33 @@
 	return l.Addr().String()
 }
 
-// A pool whose connections are all in use or idle gives up the one that has been idle longest for the next try. That costs the
-// same however many servers are listed: it happens within the reducer's loop.
-func TestMakingRoomCostsTheSameWithManyServers(t *testing.T) {
+// A full pool closes the connection that has been idle longest to make room for the next try. The cost must not grow with the
+// number of servers listed, since it is paid in the reducer's loop.
+func TestEvictionCostIsIndependentOfServerCount(t *testing.T) {
 	const few, many, connections, tries = 100, 50000, 4, 300
-	addr := answering(t)
-	spent := func(servers int) (inTry time.Duration) {
+	addr := startServer(t)
+	timeInTry := func(servers int) (inTry time.Duration) {
 		ended := make(chan core.Outcome, 1)
 		pool := New(logic.Settings{}, connections, func(ev core.Event) {
 			if o, ok := ev.(core.Outcome); ok {
 				ended <- o
 			}
-		}, func() time.Duration { return clock })
+		}, func() time.Duration { return reducerTime })
 		for id := range servers {
 			pool.SetAddress(logic.ServerID(id), addr)
 		}
 		for n := range tries {
 			begun := time.Now()
-			pool.Try(core.Try{Key: core.Key{ID: uint64(n)}, Server: logic.ServerID(n % servers), Ends: clock + time.Second, Until: clock + time.Second, Origin: command{}})
+			pool.Try(core.Try{Key: core.Key{ID: uint64(n)}, Server: logic.ServerID(n % servers), Ends: reducerTime + time.Second, Until: reducerTime + time.Second, Origin: command{}})
 			inTry += time.Since(begun)
 			require.Equal(t, logic.OK, (<-ended).Status, "try %d", n)
 		}
 		return inTry
 	}
-	least := spent(few)
-	most := spent(many)
-	for range 4 { // what else the machine does counts for neither
-		least, most = min(least, spent(few)), min(most, spent(many))
+	least := timeInTry(few)
+	most := timeInTry(many)
+	for range 4 { // the minimum of several runs excludes other load on the machine
+		least, most = min(least, timeInTry(few)), min(most, timeInTry(many))
 	}
 	t.Logf("%v with %d servers, %v with %d", least, few, most, many)
 	require.Less(t, most, 10*least)
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -1,5 +1,5 @@
-// Package upstream holds the connections to the servers of the platform's upstream group: it makes the tries
-// that the reducer asks for and reports how each ended. It chooses nothing and sends nothing again.
+// Package upstream manages connections to the servers of the platform's upstream group. It makes the tries that the reducer asks
+// for and reports how each ended. It does not choose servers and does not retry.
 package upstream
 
 import (
@@ -20,97 +20,97 @@
 )
 
 const (
-	inlineWriteBytes  = 8 << 10                // an idle connection's send buffer takes this at once
-	writeTimeout  = 2 * time.Second        // for a larger one
-	idleTimeoutShare  = 0.75                   // of the servers' idle limit: a request must not cross their close
-	defaultIdleTimeout = 10 * time.Second       // where the settings name none
-	defaultConnectTimeout   = 250 * time.Millisecond // likewise, for a connection to come up
-	sweepInterval  = time.Second
-	shortageLogInterval    = time.Second
-	reuseDelay     = 20 * time.Millisecond  // after an answer: what more a server sends must not meet the next try
-	replyStallTimeout  = 250 * time.Millisecond // without a byte in the middle of an answer: the rest will not come
+	inlineWriteBytes      = 8 << 10                // bytes; an idle connection's send buffer takes this many without blocking
+	writeTimeout          = 2 * time.Second        // for a command over inlineWriteBytes
+	idleTimeoutShare      = 0.75                   // of the servers' idle timeout: a request must not cross the server's close
+	defaultIdleTimeout    = 10 * time.Second       // of the servers, where the settings do not set it
+	defaultConnectTimeout = 250 * time.Millisecond // where the settings do not set it
+	sweepInterval         = time.Second
+	shortageLogInterval   = time.Second
+	reuseDelay            = 20 * time.Millisecond  // after an answer, so that surplus bytes from the server are not taken for the next try's answer
+	replyStallTimeout     = 250 * time.Millisecond // without a byte in the middle of an answer: the rest will not come
 )
 
-// Command is what the origin of a try must offer: its wire form, and whether its client has gone.
+// Command is implemented by the origin of a try: it encodes the command and reports whether its client has gone.
 type Command interface {
 	AppendCommand(b []byte, wait time.Duration) []byte
-	ClientGone() bool
+	Gone() bool
 }
 
-// Pool holds the connections. One carries one try at a time: answers come in order, so a slow try would hold
-// back those behind it, and giving one up closes its connection.
+// Pool manages the connections. Each carries one try at a time: answers come in order, so a slow try would delay those behind
+// it, and abandoning one closes its connection.
 type Pool struct {
-	post   func(core.Event)
-	now    func() time.Duration // the reducer's clock
-	loadFields []logic.LoadField
-	connectTimeout     time.Duration // a connection that is not up by then never comes up
-	idleTimeout   time.Duration // longest that a connection stands idle
-	maxConnections   int           // connections, with those being made
+	post           func(core.Event)
+	now            func() time.Duration // the reducer's clock
+	loadFields     []logic.LoadField
+	connectTimeout time.Duration // dial timeout: a connection that is not up by then will not come up
+	idleTimeout    time.Duration // longest time that a connection stays idle
+	maxConnections int           // including those being dialed
 
-	mu      sync.Mutex
-	targets map[logic.ServerID]*target
-	tries   map[core.Key]*flight
-	open    int
-	resting list.List // of *connection: the idle ones of all targets, the one idle longest at the front
-	told    time.Time // the last word on descriptors in the log
+	mu               sync.Mutex
+	targets          map[logic.ServerID]*target
+	tries            map[core.Key]*inFlight
+	openConnections  int
+	idleConnections  list.List // of *connection: the idle ones of all targets, longest idle first
+	shortageLoggedAt time.Time // when a resource shortage was last logged
 }
 
 type target struct {
 	addr      string
-	idle      []*connection // the last used at the end: the others age
-	withdrawn bool          // it takes nothing new
+	idle      []*connection // most recently used last, so that the others age and expire
+	withdrawn bool          // no new try may use it
 }
 
-// state says how far a flight's bytes have come.
-type state uint8
+// sendState is how much of a try's command has been sent.
+type sendState uint8
 
 const (
-	dialing  state = iota // nothing is written
-	flushing              // they may or may not have left
+	dialing  sendState = iota // no byte has been written
+	flushing                  // some bytes may have been sent
 	written
 )
 
-// flight is a try that is out.
-type flight struct {
-	try    core.Key
-	origin Command
-	target *target
-	ends   time.Duration // of the wait: what is left of it is told to the server
-	until  time.Duration // no byte may leave from then on
-	state  state
-	on     *connection // that carries it
-	done   bool        // its outcome is told
+// inFlight is a try that has not ended.
+type inFlight struct {
+	key       core.Key
+	origin    Command
+	target    *target
+	waitEnds  time.Duration // end of the wait for an answer; the server is told the remaining time
+	sendUntil time.Duration // no byte may be sent from then on
+	sendState sendState
+	carrier   *connection // carries the try; nil until its command is written
+	done      bool        // its outcome has been reported
 }
 
 type connection struct {
-	pool   *Pool
-	target *target
-	conn   *socket.Conn
-	parser resp.Parser // owned by the reading side
-	flight *flight     // nil: idle
-	closed bool
-	since  time.Time     // idle since
-	rests  *list.Element // among the pool's idle ones; nil: it is in use
-	begun  *time.Timer   // ends the wait for the rest of an answer; nil: none has begun
-	heard  time.Time     // the last byte of it
-}
-
-// New makes a pool that holds so many connections at most.
-func New(set logic.Settings, most int, post func(core.Event), now func() time.Duration) *Pool {
-	p := &Pool{post: post, now: now, loadFields: set.ReportFields, maxConnections: most, connectTimeout: set.ConnectTimeout,
-		targets: map[logic.ServerID]*target{}, tries: map[core.Key]*flight{}}
+	pool        *Pool
+	target      *target
+	conn        *socket.Conn
+	parser      resp.Parser // owned by the reading side
+	inFlight    *inFlight   // the try it carries; nil if none
+	closed      bool
+	idleSince   time.Time     // start of the current idle period
+	idleElement *list.Element // position in the pool's idleConnections; nil if in use
+	stallTimer  *time.Timer   // bounds the wait for the rest of a partial answer; nil if none has begun
+	lastByteAt  time.Time     // when the last byte of the partial answer came
+}
+
+// New returns a pool that holds at most maxConnections connections. now is the reducer's clock.
+func New(set logic.Settings, maxConnections int, post func(core.Event), now func() time.Duration) *Pool {
+	p := &Pool{post: post, now: now, loadFields: set.ReportFields, maxConnections: maxConnections, connectTimeout: set.ConnectTimeout,
+		targets: map[logic.ServerID]*target{}, tries: map[core.Key]*inFlight{}}
 	if p.connectTimeout <= 0 {
 		p.connectTimeout = defaultConnectTimeout
 	}
-	idle := set.ConnIdle
-	if idle <= 0 {
-		idle = defaultIdleTimeout
+	idleTimeout := set.ConnIdle
+	if idleTimeout <= 0 {
+		idleTimeout = defaultIdleTimeout
 	}
-	p.idleTimeout = time.Duration(idleTimeoutShare * float64(idle))
+	p.idleTimeout = time.Duration(idleTimeoutShare * float64(idleTimeout))
 	return p
 }
 
-// Run closes connections before the servers would, until the context ends.
+// Run closes idle connections before the servers would, until ctx ends.
 func (p *Pool) Run(ctx context.Context) {
 	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
@@ -127,20 +127,20 @@
 func (p *Pool) sweep() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for oldest := p.oldest(); oldest != nil && time.Since(oldest.since) >= p.idleTimeout; oldest = p.oldest() {
-		p.drop(oldest)
+	for longestIdle := p.longestIdle(); longestIdle != nil && time.Since(longestIdle.idleSince) >= p.idleTimeout; longestIdle = p.longestIdle() {
+		p.drop(longestIdle)
 	}
 }
 
-// oldest is the connection that has been idle longest; nil: none is idle.
-func (p *Pool) oldest() *connection {
-	if front := p.resting.Front(); front != nil {
+// longestIdle returns the connection that has been idle longest, or nil if none is idle.
+func (p *Pool) longestIdle() *connection {
+	if front := p.idleConnections.Front(); front != nil {
 		return front.Value.(*connection)
 	}
 	return nil
 }
 
-// SetAddress says where a server listens. A changed address makes the old connections useless.
+// SetAddress sets a server's address. A changed address makes its existing connections useless, so they are withdrawn.
 func (p *Pool) SetAddress(id logic.ServerID, addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -151,8 +151,8 @@
 	p.targets[id] = &target{addr: addr}
 }
 
-// Withdraw ends what is new to a server that drains or is gone: tries that have no byte written never run, and no
-// connection serves another. What it has got it may still answer.
+// Withdraw stops sending to a server that drains or is gone: tries with no byte written end without running, and no connection
+// serves another try. Tries already sent may still be answered.
 func (p *Pool) Withdraw(id logic.ServerID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -168,23 +168,23 @@
 	t.withdrawn = true
 	p.closeIdle(t)
 	for _, f := range p.tries {
-		if f.target == t && f.state == dialing {
-			p.finish(core.Outcome{Status: logic.Full}, f) // as the server itself would turn it away
+		if f.target == t && f.sendState == dialing {
+			p.finish(core.Outcome{Status: logic.Full}, f) // the status that the server's own refusal would give
 		}
 	}
 }
 
-// Try sends a request context on.
+// Try starts a try of a request context.
 func (p *Pool) Try(t core.Try) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	origin := t.Origin.(Command)
-	f := &flight{try: t.Key, origin: origin, ends: t.Ends, until: t.Until, target: p.targets[t.Server]}
+	f := &inFlight{key: t.Key, origin: origin, waitEnds: t.Ends, sendUntil: t.Until, target: p.targets[t.Server]}
 	p.tries[t.Key] = f
 	p.start(f)
 }
 
-// Abandon ends the wait for a try by closing its connection: the server must not be read for it any more.
+// Abandon ends the wait for a try by closing its connection: nothing more may be read from the server for it.
 func (p *Pool) Abandon(a core.Abandon) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -208,88 +208,88 @@
 	}
 }
 
-func (p *Pool) abandon(f *flight, reason logic.Status) {
-	if f.state == dialing && reason == logic.Timeout {
-		reason = logic.ConnectFailed // it never came up in time: nothing has run
+func (p *Pool) abandon(f *inFlight, reason logic.Status) {
+	if f.sendState == dialing && reason == logic.Timeout {
+		reason = logic.ConnectFailed // the connection was not up in time: nothing has run
 	}
 	p.finish(core.Outcome{Status: reason}, f)
 }
 
-// finish tells the one outcome of a flight.
-func (p *Pool) finish(o core.Outcome, f *flight) {
+// finish reports the outcome of a try; a try has exactly one.
+func (p *Pool) finish(o core.Outcome, f *inFlight) {
 	if f.done {
 		return
 	}
 	f.done = true
-	delete(p.tries, f.try)
-	o.Key = f.try
+	delete(p.tries, f.key)
+	o.Key = f.key
 	p.post(o)
-	if c := f.on; c != nil { // no answer was read: what may come on this connection belongs to nobody
-		c.flight, f.on = nil, nil
-		c.conn.Abort() // before the next try of this request may leave: it would be a second copy beside an open one
+	if c := f.carrier; c != nil { // no answer was read, so later bytes on this connection belong to no try
+		c.inFlight, f.carrier = nil, nil
+		c.conn.Abort() // at once: the next try of this request must not be sent while a copy is open
 		p.drop(c)
 	}
 }
 
-// start finds a connection for a flight, or makes one.
-func (p *Pool) start(f *flight) {
+// start sends a try on an idle connection, or dials one for it.
+func (p *Pool) start(f *inFlight) {
 	if f.target == nil {
 		p.finish(core.Outcome{Status: logic.ConnectFailed}, f)
 		return
 	}
-	if !p.due(f, logic.Late) {
+	if !p.maySend(f, logic.Late) {
 		return
 	}
 	for n := len(f.target.idle) - 1; n >= 0; n-- {
 		c := f.target.idle[n]
-		rested := time.Since(c.since)
+		rested := time.Since(c.idleSince)
 		if rested < reuseDelay && c.conn.Active() {
 			continue
 		}
-		// Guards against a write that crosses the server's close, which would end as a reset and may have run, and
-		// against bytes behind the last answer, which would be taken for this one's.
+		// Guards against a write that crosses the server's close, which would end as a reset although the request may have run, and
+		// against surplus bytes behind the last answer, which would be taken for this try's answer.
 		if rested >= p.idleTimeout || !c.conn.Drained() {
 			p.drop(c)
 			continue
 		}
-		p.wake(c)
+		p.removeIdle(c)
 		p.write(c, f)
 		return
 	}
-	if p.open >= p.maxConnections && !p.evict() {
-		p.short(f, nil)
+	if p.openConnections >= p.maxConnections && !p.evictIdle() {
+		p.failForShortage(f, nil)
 		return
 	}
-	p.open++
+	p.openConnections++
 	crash.Go(func() { p.dial(f) })
 }
 
-// short ends a flight for which no descriptor, port or buffer is left. The server is not to blame.
-func (p *Pool) short(f *flight, err error) {
-	if time.Since(p.told) >= shortageLogInterval {
-		p.told = time.Now()
-		slog.Warn("no descriptor left for a server's connection", "open", p.open, "err", err)
+// failForShortage ends a try for which no descriptor, port or buffer is left. The server is not to blame.
+func (p *Pool) failForShortage(f *inFlight, err error) {
+	if time.Since(p.shortageLoggedAt) >= shortageLogInterval {
+		p.shortageLoggedAt = time.Now()
+		slog.Warn("no descriptor left for a server's connection", "open", p.openConnections, "err", err)
 	}
 	p.finish(core.Outcome{Status: logic.Unsent}, f)
 }
 
-// evict closes the connection that has been idle longest, to make room for a new one.
-func (p *Pool) evict() bool {
-	oldest := p.oldest()
-	if oldest != nil {
-		p.drop(oldest)
+// evictIdle closes the connection that has been idle longest, to make room for a new one. It reports whether there was one.
+func (p *Pool) evictIdle() bool {
+	longestIdle := p.longestIdle()
+	if longestIdle != nil {
+		p.drop(longestIdle)
 	}
-	return oldest != nil
+	return longestIdle != nil
 }
 
-func (p *Pool) dial(f *flight) {
+func (p *Pool) dial(f *inFlight) {
 	conn, err := socket.Dial(f.target.addr, p.connectTimeout)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err != nil {
-		p.open--
+		p.openConnections--
 		if socket.IsResourceShortage(err) {
-			p.short(f, err)
+			p.failForShortage(f, err)
 		} else {
 			p.finish(core.Outcome{Status: logic.ConnectFailed}, f)
 		}
@@ -297,57 +297,57 @@
 	}
 	c := &connection{pool: p, target: f.target, conn: conn}
 	conn.SetWriteTimeout(writeTimeout)
-	conn.Serve(c.onRequest, c.onClose)
+	conn.Serve(c.onReadable, c.onClose)
 	if !conn.Active() { // closed at once: nothing was written
 		p.finish(core.Outcome{Status: logic.ConnectFailed}, f)
 		return
 	}
-	if f.done || !p.due(f, logic.ConnectFailed) { // given up, or come up too late: the connection serves the next
-		p.rest(c)
+	if f.done || !p.maySend(f, logic.ConnectFailed) { // abandoned, or connected too late: the connection serves the next try
+		p.putIdle(c)
 		return
 	}
 	p.write(c, f)
 }
 
-// due tells whether a flight's bytes may leave now; it ends one of which they may not, by late where it is too late. Guards
-// against a repeat that no server drops any more, and against a request that nobody waits for: the reducer may not have said
-// so yet, and its client's end may lie unread or in the inbox behind much else.
-func (p *Pool) due(f *flight, late logic.Status) bool {
-	if p.now() >= f.until {
+// maySend reports whether a try's command may still be sent, and ends the try if not, with status late if its time is over. Guards
+// against a repeat that servers no longer deduplicate, and against a request that nobody waits for: the reducer may not have
+// reported that yet, since the client's close may be unread or queued in the inbox behind other events.
+func (p *Pool) maySend(f *inFlight, late logic.Status) bool {
+	if p.now() >= f.sendUntil {
 		p.finish(core.Outcome{Status: late}, f)
 		return false
 	}
-	if f.origin.ClientGone() {
-		p.post(core.ClientGone{ID: f.try.ID}) // first: the module must not try it again
+	if f.origin.Gone() {
+		p.post(core.ClientGone{ID: f.key.ID}) // posted first, so that the module does not retry the request
 		p.finish(core.Outcome{Status: logic.Cancelled}, f)
 		return false
 	}
 	return true
 }
 
-// write sends a flight's bytes, which are due. An idle connection's send buffer is empty, since the server has answered all
-// that was in it, so a small flush never waits; a larger one has a goroutine of its own.
+// write sends a try's command, after maySend. An idle connection's send buffer is empty, since the server has answered everything
+// that was in it, so a small write never blocks; a larger one gets its own goroutine.
 //
-// The command is worded here: a connection that came up late has taken from the time that is told to the server.
-func (p *Pool) write(c *connection, f *flight) {
-	c.flight, f.state = f, flushing
-	f.on = c
-	text := f.origin.AppendCommand(nil, f.ends-p.now())
+// The command is encoded only now: time spent on a slow connect reduces the wait that the server is told.
+func (p *Pool) write(c *connection, f *inFlight) {
+	c.inFlight, f.sendState = f, flushing
+	f.carrier = c
+	text := f.origin.AppendCommand(nil, f.waitEnds-p.now())
 	if len(text) <= inlineWriteBytes {
-		p.flushed(c, f, c.conn.Write(text))
+		p.onFlushed(c, f, c.conn.Write(text))
 		return
 	}
-	c.conn.SetWriteTimeout(min(writeTimeout, max(f.until-p.now(), time.Millisecond)))
+	c.conn.SetWriteTimeout(min(writeTimeout, max(f.sendUntil-p.now(), time.Millisecond)))
 	crash.Go(func() {
 		err := c.conn.Write(text)
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.flushed(c, f, err)
+		p.onFlushed(c, f, err)
 	})
 }
 
-// flushed learns whether the last byte has left. Only then may the request have run.
-func (p *Pool) flushed(c *connection, f *flight, err error) {
+// onFlushed handles the result of a write. Only if the last byte was sent may the request have run.
+func (p *Pool) onFlushed(c *connection, f *inFlight, err error) {
 	if err != nil {
 		o := core.Outcome{Status: logic.ConnectFailed}
 		if socket.MayBeWritten(err) {
@@ -357,17 +357,17 @@
 		p.drop(c)
 		return
 	}
-	f.state = written
+	f.sendState = written
 	switch {
 	case c.closed:
 		p.finish(core.Outcome{Status: logic.Reset}, f)
-	case f.done && c.flight == nil && f.on == nil: // answered before the flush came back
-		p.rest(c)
+	case f.done && c.inFlight == nil && f.carrier == nil: // answered before the write returned
+		p.putIdle(c)
 	}
 }
 
-// rest puts a connection among the idle ones.
-func (p *Pool) rest(c *connection) {
+// putIdle adds a connection to the idle ones, unless it is closed or its target is withdrawn.
+func (p *Pool) putIdle(c *connection) {
 	if c.closed {
 		return
 	}
@@ -375,49 +375,49 @@
 		p.drop(c)
 		return
 	}
-	c.since = time.Now()
+	c.idleSince = time.Now()
 	c.target.idle = append(c.target.idle, c)
-	c.rests = p.resting.PushBack(c)
+	c.idleElement = p.idleConnections.PushBack(c)
 }
 
-// wake takes a connection from the idle ones, if it is among them.
-func (p *Pool) wake(c *connection) {
-	if c.rests == nil {
+// removeIdle removes a connection from the idle ones, if it is among them.
+func (p *Pool) removeIdle(c *connection) {
+	if c.idleElement == nil {
 		return
 	}
-	p.resting.Remove(c.rests)
-	c.rests = nil
+	p.idleConnections.Remove(c.idleElement)
+	c.idleElement = nil
 	at := slices.Index(c.target.idle, c)
 	c.target.idle = slices.Delete(c.target.idle, at, at+1)
 }
 
-// drop closes a connection and forgets it.
+// drop closes a connection and removes it from the pool.
 func (p *Pool) drop(c *connection) {
-	p.wake(c)
+	p.removeIdle(c)
 	if !c.closed {
 		c.closed = true
-		c.whole()
-		p.open--
-		crash.Go(c.conn.Discard) // it waits for a write under way
+		c.stopStallTimer()
+		p.openConnections--
+		crash.Go(c.conn.Discard) // it waits for a write in progress
 	}
 }
 
-// onClose is told once the server has ended the connection.
+// onClose is called once the server has closed the connection.
 func (c *connection) onClose() {
 	p := c.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	f := c.flight
+	f := c.inFlight
 	p.drop(c)
-	if f != nil && f.state == written { // while flushing, the flush tells how far the bytes came
-		c.flight = nil
+	if f != nil && f.sendState == written { // while flushing, onFlushed reports how far the bytes came
+		c.inFlight = nil
 		p.finish(core.Outcome{Status: logic.Reset}, f)
 	}
 }
 
-// onRequest reads what a server sends. It holds the lock from before the first byte is taken: what has been read
-// and not yet understood must not meet a flight that is written meanwhile.
-func (c *connection) onRequest() {
+// onReadable reads what a server sends. It holds the lock before the first byte is read: bytes that are read but not yet parsed
+// must not be taken for the answer to a try that is written meanwhile.
+func (c *connection) onReadable() {
 	p := c.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -425,79 +425,79 @@
 		return
 	}
 	reply, ok, err := c.parser.Reply()
-	f := c.flight
+	f := c.inFlight
 	if f != nil && err == nil && !ok {
-		c.heard = time.Now()
-		c.wait(replyStallTimeout)
+		c.lastByteAt = time.Now()
+		c.startStallTimer(replyStallTimeout)
 		return
 	}
-	c.whole()
-	if f == nil || err != nil { // an answer to nothing, or garbage: it fails this call alone
-		c.spoilt()
+	c.stopStallTimer()
+	if f == nil || err != nil { // unsolicited or malformed: only this call fails
+		c.failGarbled()
 		return
 	}
 	clean := c.parser.Buffered() == 0
-	c.flight, f.on = nil, nil
-	p.finish(p.read(reply), f)
+	c.inFlight, f.carrier = nil, nil
+	p.finish(p.parseReply(reply), f)
 	if !clean {
-		p.drop(c) // bytes that nobody asked for
-	} else if f.state == written {
-		p.rest(c)
+		p.drop(c) // surplus bytes that answer no command
+	} else if f.sendState == written {
+		p.putIdle(c)
 	}
 }
 
-// wait bounds the time without a byte of the rest of an answer. Guards against a length that does not fit and a line that
-// does not end: the server has nothing more to say, and the try would wait for its end. A long answer on a slow
-// connection may go on for as long as the try waits, and the parser bounds its size.
-func (c *connection) wait(d time.Duration) {
-	if c.begun != nil {
+// startStallTimer bounds the time without a byte in the middle of an answer. Guards against a wrong length and an unterminated
+// line: the server has nothing more to send, and the try would wait until its own end. A long answer on a slow connection may
+// take as long as the try waits; the parser bounds its size.
+func (c *connection) startStallTimer(d time.Duration) {
+	if c.stallTimer != nil {
 		return
 	}
-	var begun *time.Timer
-	begun = crash.AfterFunc(d, func() {
+	var stallTimer *time.Timer
+	stallTimer = crash.AfterFunc(d, func() {
 		c.pool.mu.Lock()
 		defer c.pool.mu.Unlock()
-		if c.begun != begun {
+		if c.stallTimer != stallTimer {
 			return
 		}
-		c.begun = nil
-		if left := replyStallTimeout - time.Since(c.heard); left > 0 {
-			c.wait(left)
+		c.stallTimer = nil
+		if left := replyStallTimeout - time.Since(c.lastByteAt); left > 0 {
+			c.startStallTimer(left)
 		} else {
-			c.spoilt()
+			c.failGarbled()
 		}
 	})
-	c.begun = begun
+	c.stallTimer = stallTimer
 }
 
-// whole notes that no answer is in the middle.
-func (c *connection) whole() {
-	if c.begun != nil {
-		c.begun.Stop()
-		c.begun = nil
+// stopStallTimer ends the wait for the rest of a partial answer, if one has begun.
+func (c *connection) stopStallTimer() {
+	if c.stallTimer != nil {
+		c.stallTimer.Stop()
+		c.stallTimer = nil
 	}
 }
 
-// spoilt ends a connection that brought what nobody can use, and with it the flight that waited for an answer.
-func (c *connection) spoilt() {
-	if f := c.flight; f != nil {
+// failGarbled closes a connection that sent something unusable and fails the try that waited for an answer on it.
+func (c *connection) failGarbled() {
+	if f := c.inFlight; f != nil {
 		c.pool.finish(core.Outcome{Status: logic.Spoilt}, f)
 	}
 	c.pool.drop(c)
 }
 
-// read turns a server's answer into an outcome.
-func (p *Pool) read(r resp.Reply) core.Outcome {
+// parseReply converts a server's reply to an outcome.
+func (p *Pool) parseReply(r resp.Reply) core.Outcome {
 	switch {
 	case r.Kind == '-':
-		return p.failure(r.Text)
+		return p.parseError(r.Text)
 	case r.Kind == '*' && len(r.Elems) == 3 && r.Elems[0].Kind == '$' && !r.Elems[0].Null:
 		return core.Outcome{Status: logic.OK, Value: r.Elems[0].Text, Load: wire.Load(string(r.Elems[2].Text), p.loadFields)}
 	}
-	return core.Outcome{Status: logic.Spoilt} // no form that a value has: it may be anything
+	return core.Outcome{Status: logic.Spoilt} // not the form of a value: it may be anything
 }
 
-func (p *Pool) failure(text []byte) core.Outcome {
+func (p *Pool) parseError(text []byte) core.Outcome {
 	o := core.Outcome{Status: logic.Error}
 	words := text
 	if at := bytes.LastIndexByte(text, ' '); at >= 0 && bytes.IndexByte(text[at:], '=') >= 0 {
@@ -505,10 +505,10 @@
 		o.Load = wire.Load(string(text[at+1:]), p.loadFields)
 	}
 	switch {
-	case string(words) == "BUSY": // nothing else proves that it never ran: spoilt answers may begin like this
+	case string(words) == "BUSY": // only exactly BUSY proves that the request never ran: garbled answers may start with it
 		o.Status = logic.Full
 	case bytes.HasPrefix(text, []byte("SYNTAX")):
-		slog.Error("a server could not read a command of ours", "answer", string(text))
+		slog.Error("a server reported a syntax error in a command of the limiter", "answer", string(text))
 	}
 	return o
 }
