--- a/internal/platform/connection.go
+++ b/internal/platform/connection.go
@@ -14,101 +14,102 @@
 )
 
 const (
-	maxPendingCommands = 1024    // commands on one connection without an answer yet; what comes beyond is refused in its turn
-	maxRefusedCommands = 1 << 20 // of these at once: who sends more never reads
-	maxCommandErrors   = 64      // of one connection: who sends nothing else is not worth it
+	maxPendingCommands = 1024    // unanswered commands on one connection; further ones are refused in their turn
+	maxRefusedCommands = 1 << 20 // refused commands queued at once; a client that sends more does not read
+	maxCommandErrors   = 64      // on one connection; a client that sends this many errors is not worth its connection
 
-	commandTimeout     = 2400 * time.Millisecond // for the first whole command, and for the rest of any other
-	idleTimeout        = 20 * time.Second        // between commands
-	newConnectionGrace = time.Second             // in which a new connection is about to bring its first command
-	partialCommandGrace       = 100 * time.Millisecond  // for the rest of a command, where others have no room
-	closingTimeout         = 2 * time.Second         // for what waits before the end of a connection that cannot be read
-	unreadAnswerTimeout      = 5 * time.Second         // for a client to read its last answer
+	commandTimeout      = 2400 * time.Millisecond // for the first complete command, and for the rest of any partial one
+	idleTimeout         = 20 * time.Second        // between commands
+	newConnectionGrace  = time.Second             // in which a new connection is expected to send its first command
+	partialCommandGrace = 100 * time.Millisecond  // for the rest of a command, while other clients find no room
+	closingTimeout      = 2 * time.Second         // for pending answers on a connection that is no longer read
+	unreadAnswerTimeout = 5 * time.Second         // for a client to read its last answer
 )
 
-// idleState is how little a client connection is used.
+// idleState describes whether and since when a client connection has been idle.
 type idleState struct {
 	client         *clientConnection
-	idle, active bool // nothing is owed on it; it has brought a whole command
-	stalledPartial       bool // nothing is owed on it but the answer to a command whose rest does not come
-	since      time.Time
+	isIdle         bool      // no answer is due
+	active         bool      // a complete command has come
+	stalledPartial bool      // no answer is due, and the rest of a partial command has not come
+	since          time.Time // last use of the connection
 }
 
-// trace logs what becomes of a connection or of a request on it, so that one can be followed by its id.
-func (c *clientConnection) trace(what string, words ...any) {
-	if c.front.traced {
-		slog.Debug(what, append(words, "on", c.logID)...)
+// trace logs a step of a connection or of a request on it at debug level, so that it can be followed by its ID.
+func (c *clientConnection) trace(msg string, attrs ...any) {
+	if c.front.traceEnabled {
+		slog.Debug(msg, append(attrs, "on", c.logID)...)
 	}
 }
 
 // clientConnection is one connection of a client.
 type clientConnection struct {
 	front  *Front
-	logID uint64 // in the log
+	logID  uint64 // identifies the connection in the log
 	conn   *socket.Conn
-	outbox    *socket.Outbox
-	parser resp.Parser // owned by the reading side
+	outbox *socket.Outbox
+	parser resp.Parser // used only while reading
 
 	mu             sync.Mutex
-	slots          []*answerSlot             // commands whose answers are due, in their order
-	waiting        map[uint64]*request // request contexts without an answer
-	partial        bool                // a command has come in part
-	reading        bool                // bytes are taken and not handled yet
-	active         bool                // a whole one has come
-	errors         int
-	refusing       atomic.Bool // it has sent too many errors: what it sends is refused, and it ends once nothing is owed on it
-	usedAt         time.Time
-	partialSince   time.Time // since when a command has come in part
+	slots          []*answerSlot       // answers due, in the order of their commands
+	pending        map[uint64]*request // unanswered request contexts by ID
+	partial        bool                // an incomplete command has been read
+	reading        bool                // bytes have been read but not handled yet
+	sawCommand     bool                // a complete command has come
+	errorCount     int
+	refusing       atomic.Bool // too many errors: further commands are refused, and the connection closes once no answer is due
+	lastUsedAt     time.Time
+	partialSince   time.Time // since when a command has been incomplete
 	readingEndedAt time.Time // since when nothing more is read
-	gone           bool
-	ending         bool // framing is lost, or the client asked for the end: nothing more is read
-	left           bool // it was idle, and is being closed: what had been taken from the kernel by then is refused
+	isClosed       bool
+	readingEnded   bool // framing is lost, or the client sent QUIT: nothing more is read
+	closingIdle    bool // it was idle and is being closed: commands already read from the kernel are refused
 }
 
-// answerSlot keeps the place of a command's answer: a slow one holds back those behind it.
+// answerSlot keeps a command's place in the order of answers: a slow answer delays those behind it.
 type answerSlot struct {
-	answer  []byte
-	done    bool
-	last    bool // the connection closes after it
-	refused int  // commands behind it that are turned away, since too many were waiting
+	answer     []byte
+	done       bool
+	closeAfter bool // the connection closes after it
+	refused    int  // commands behind it that are refused because too many were pending
 }
 
-// ready is told when bytes have come.
-func (c *clientConnection) ready() {
+// onReadable is called when bytes have arrived.
+func (c *clientConnection) onReadable() {
 	now := time.Now()
 	c.mu.Lock()
-	ending, left := c.ending, c.left
+	readingEnded, closingIdle := c.readingEnded, c.closingIdle
 	c.reading = true
 	c.mu.Unlock()
-	if left {
+	if closingIdle {
 		_ = c.conn.TakeLimited(func(b []byte) {
 			if c.outbox.Backlogged() {
-				return // its client sends on and reads nothing
+				return // the client keeps sending and reads nothing
 			}
-			if answers := c.late(b); !c.outbox.WriteUnbounded(answers) {
+			if answers := c.refuseLateCommands(b); !c.outbox.WriteUnbounded(answers) {
 				c.conn.WriteDirect(answers)
 			}
 		})
 		return
 	}
-	handled := c.read(ending, now)
+	handled := c.readCommands(readingEnded, now)
 	c.mu.Lock()
 	c.reading = false
-	// Each command has its own wait: a client may send without a pause in pieces that end in the middle of one.
+	// Each command has its own timeout: a client may keep sending in pieces that each end in the middle of a command.
 	if partial := c.parser.Buffered() > 0; partial != c.partial || handled > 0 {
 		c.partial, c.partialSince = partial, now
 	}
 	c.mu.Unlock()
-	c.leave() // what was read may have been answered already
+	c.closeIfFinished() // the commands just read may have been answered already
 }
 
-// late answers the commands in bytes that had been taken from the kernel when an idle connection was closed. Guards against a
-// request that is read and has no answer: its client sends again only what was not read.
-func (c *clientConnection) late(b []byte) (answers []byte) {
+// refuseLateCommands returns refusals for the commands in bytes that had been read from the kernel when an idle connection was
+// closed. Guards against a request that is read but not answered: a client resends only what was not read.
+func (c *clientConnection) refuseLateCommands(b []byte) (answers []byte) {
 	c.mu.Lock()
-	left := c.left
+	closingIdle := c.closingIdle
 	c.mu.Unlock()
-	if !left {
+	if !closingIdle {
 		return nil
 	}
 	c.parser.Feed(b)
@@ -118,23 +119,23 @@
 			return answers
 		}
 		if len(args) > 0 {
-			c.trace("refused behind the end")
-			answers = appendBusy(answers, core.Elsewhere(c.front.set))
+			c.trace("command refused: connection is closing")
+			answers = appendBusy(answers, core.Elsewhere(c.front.settings))
 		}
 	}
 }
 
-// read takes the bytes that have come, handles the commands that are whole and counts them. When the connection is ending it
-// only makes room for more.
-func (c *clientConnection) read(ending bool, now time.Time) (handled int) {
+// readCommands reads the bytes that have arrived, handles the complete commands and returns their number. When reading has ended it
+// discards the bytes, to make room for more.
+func (c *clientConnection) readCommands(ending bool, now time.Time) (handled int) {
 	err := c.conn.TakeLimited(func(b []byte) {
 		if !ending {
 			c.parser.Feed(b)
 		}
 	})
 	for err == nil && !ending {
-		if c.crowded() {
-			over, ok := c.turnAway()
+		if c.pendingFull() {
+			over, ok := c.refuseNext()
 			if !ok {
 				return handled
 			}
@@ -143,29 +144,29 @@
 		}
 		args, ok, err := c.parser.Command()
 		if err != nil {
-			c.refuse(err.Error(), true)
+			c.replyError(err.Error(), true)
 			return handled
 		}
 		if !ok {
 			return handled
 		}
 		handled++
-		ending = c.command(args, now)
+		ending = c.handleCommand(args, now)
 	}
 	return handled
 }
 
-// command handles one command. It tells whether the connection ends with it.
-func (c *clientConnection) command(args [][]byte, now time.Time) (last bool) {
+// handleCommand handles one command. It reports whether the connection ends with it.
+func (c *clientConnection) handleCommand(args [][]byte, now time.Time) (last bool) {
 	if len(args) == 0 {
-		return false // as servers of this protocol do, an empty array is passed over
+		return false // an empty array is ignored, as Redis servers do
 	}
 	if c.refusing.Load() {
-		return c.reply(appendBusy(nil, core.Elsewhere(c.front.set)), false)
+		return c.reply(appendBusy(nil, core.Elsewhere(c.front.settings)), false)
 	}
 	switch name := string(bytes.ToUpper(args[0])); name {
 	case "Q.ASK", "Q.DO":
-		return c.take(name, args, now)
+		return c.acceptRequest(name, args, now)
 	case "PING":
 		return c.reply([]byte("+PONG\r\n"), false)
 	case "CLIENT", "SELECT":
@@ -173,112 +174,113 @@
 	case "QUIT":
 		return c.reply([]byte("+OK\r\n"), true)
 	default:
-		return c.refuse("unknown command", false)
+		return c.replyError("unknown command", false)
 	}
 }
 
-// refuse answers what cannot be used. It tells whether the connection ends with it.
-func (c *clientConnection) refuse(why string, last bool) bool {
+// replyError answers an invalid command. It reports whether the connection ends with it.
+func (c *clientConnection) replyError(why string, last bool) bool {
 	c.mu.Lock()
-	c.errors++
-	if c.errors >= maxCommandErrors {
+	c.errorCount++
+	if c.errorCount >= maxCommandErrors {
 		c.refusing.Store(true)
 	}
 	c.mu.Unlock()
 	return c.reply([]byte("-ERR "+why+"\r\n"), last)
 }
 
-// place adds the slot of a command's answer. Nil if the client waits for too many: a client that only writes must not fill
-// the memory, and those that were taken before must not be lost. The command is refused behind them; over tells that the
-// client sends on all the same: nothing more is read, and the connection ends behind the answers that are due. The last answer
-// has a place in every case: nothing is read behind it, so it is one, and without it bytes that cannot be read would be
-// refused as if they were a command, at each look, for as long as so many wait.
-func (c *clientConnection) place(last bool) (s *answerSlot, over bool) {
+// reserveSlot adds the slot of a command's answer. It returns nil if too many answers are pending: a client that only writes must
+// not exhaust memory, and commands accepted earlier must not be lost. The command is then refused behind them; over reports that
+// the client has kept sending regardless: nothing more is read, and the connection closes behind the answers that are due.
+//
+// The last answer always gets a slot. Nothing is read behind it, so there is only one; without it, unreadable bytes would be
+// refused as if they were a command, on each read, for as long as too many answers are pending.
+func (c *clientConnection) reserveSlot(closeAfter bool) (s *answerSlot, over bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.usedAt, c.active = time.Now(), true
-	if len(c.slots) >= maxPendingCommands && !last {
+	c.lastUsedAt, c.sawCommand = time.Now(), true
+	if len(c.slots) >= maxPendingCommands && !closeAfter {
 		return nil, c.countRefused()
 	}
-	s = &answerSlot{last: last}
+	s = &answerSlot{closeAfter: closeAfter}
 	c.slots = append(c.slots, s)
 	return s, false
 }
 
-// crowded tells that so many commands wait that the next one is refused, whatever it says.
-func (c *clientConnection) crowded() bool {
+// pendingFull reports whether so many answers are pending that the next command is refused, whatever it is.
+func (c *clientConnection) pendingFull() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.slots) >= maxPendingCommands
 }
 
-// turnAway refuses the next command without a look at its words. over tells that nothing more is read; ok is false where none
-// is whole. Guards the memory: the kernel is read all the while, and what is not handled yet is held.
-func (c *clientConnection) turnAway() (over, ok bool) {
-	words, ok, err := c.parser.Skip()
+// refuseNext refuses the next command without parsing its arguments. over reports that nothing more is read; ok is false if no
+// command is complete. Guards memory: the kernel's buffer is read all the time, and bytes not handled yet are held.
+func (c *clientConnection) refuseNext() (over, ok bool) {
+	argCount, ok, err := c.parser.Skip()
 	if err != nil {
-		c.refuse(err.Error(), true)
+		c.replyError(err.Error(), true)
 		return true, false
 	}
-	if !ok || words == 0 { // an empty array is passed over
+	if !ok || argCount == 0 { // an empty array is ignored
 		return false, ok
 	}
-	s, over := c.place(false)
-	if s != nil { // an answer has come meanwhile
-		c.fill(s, c.front.busyAnswer)
+	s, over := c.reserveSlot(false)
+	if s != nil { // an answer has been written in the meantime
+		c.completeSlot(s, c.front.busyAnswer)
 	}
 	return over, true
 }
 
-// countRefused counts a command that is refused behind those that wait. It tells whether there have been too many: nothing
-// more is read then.
+// countRefused counts a command that is refused behind the pending ones. It reports whether there have been too many; nothing more
+// is read then.
 func (c *clientConnection) countRefused() (over bool) {
 	last := c.slots[len(c.slots)-1]
 	if last.refused++; last.refused <= maxRefusedCommands {
 		return false
 	}
-	last.last = true
-	c.ending, c.readingEndedAt = true, time.Now()
+	last.closeAfter = true
+	c.readingEnded, c.readingEndedAt = true, time.Now()
 	return true
 }
 
-// reply answers a command at once, behind the answers that are due before. It tells whether the connection ends with it.
+// reply answers a command immediately, behind the answers that are due before it. It reports whether the connection ends with it.
 func (c *clientConnection) reply(answer []byte, last bool) bool {
-	s, over := c.place(last)
+	s, over := c.reserveSlot(last)
 	if s == nil {
 		return over
 	}
-	c.fill(s, answer)
+	c.completeSlot(s, answer)
 	return last
 }
 
-// fill puts an answer in its slot and writes what is due now.
-func (c *clientConnection) fill(s *answerSlot, answer []byte) {
+// completeSlot puts an answer in its slot and writes the answers whose turn has come.
+func (c *clientConnection) completeSlot(s *answerSlot, answer []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s.answer, s.done = answer, true
-	if s.last && !c.ending {
-		c.ending, c.readingEndedAt = true, time.Now()
+	if s.closeAfter && !c.readingEnded {
+		c.readingEnded, c.readingEndedAt = true, time.Now()
 	}
 	for len(c.slots) > 0 && c.slots[0].done {
 		s := c.slots[0]
 		c.slots[0] = nil
-		if c.slots = c.slots[1:]; c.gone {
+		if c.slots = c.slots[1:]; c.isClosed {
 			continue
 		}
-		c.write(s.answer)
+		c.writeAnswer(s.answer)
 		c.outbox.WriteRepeated(c.front.busyAnswer, s.refused)
-		if s.last {
+		if s.closeAfter {
 			c.outbox.CloseAfterFlush()
 		}
 	}
-	c.usedAt = time.Now()
+	c.lastUsedAt = time.Now()
 }
 
-// write queues an answer. Where its client does not read, and no more of a value may wait for it, the request has failed.
-func (c *clientConnection) write(answer []byte) {
+// writeAnswer queues an answer. If the client does not read and no more values may be queued for it, the request fails instead.
+func (c *clientConnection) writeAnswer(answer []byte) {
 	if errors.Is(c.outbox.Write(answer), socket.ErrFull) {
-		c.outbox.WriteUnbounded([]byte(failure))
+		c.outbox.WriteUnbounded([]byte(failedAnswer))
 	}
 }
 
@@ -286,17 +288,17 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	free := len(c.slots) == 0
-	return idleState{c, free && !c.partial, c.active, free && c.partial && time.Since(c.partialSince) > partialCommandGrace, c.usedAt}
+	return idleState{c, free && !c.partial, c.sawCommand, free && c.partial && time.Since(c.partialSince) > partialCommandGrace, c.lastUsedAt}
 }
 
-// closeIdle closes the connection if nothing is owed on it. Guards against a command that comes meanwhile: up to the
-// last moment the kernel is asked for one, and what comes after that is not read, so that its client sends it again. It
-// tells whether the connection is being closed. Half: also if a part of a command has come.
-func (c *clientConnection) closeIdle(half bool) bool {
+// closeIdle closes the connection if no answer is due on it, and reports whether it does. Guards against a command that arrives
+// meanwhile: the kernel is asked for unread bytes until the last moment, and later bytes are not read, so that the client resends
+// them. With allowPartial it also closes a connection with an incomplete command.
+func (c *clientConnection) closeIdle(allowPartial bool) bool {
 	c.mu.Lock()
-	idle := len(c.slots) == 0 && (half || !c.partial) && !c.reading && !c.ending && c.outbox.Empty() && c.conn.DrainedThroughPoller()
-	idle = idle && (c.conn.AllSent() || time.Since(c.usedAt) > unreadAnswerTimeout)
-	c.ending, c.left = c.ending || idle, c.left || idle
+	idle := len(c.slots) == 0 && (allowPartial || !c.partial) && !c.reading && !c.readingEnded && c.outbox.Empty() && c.conn.DrainedThroughPoller()
+	idle = idle && (c.conn.AllSent() || time.Since(c.lastUsedAt) > unreadAnswerTimeout)
+	c.readingEnded, c.closingIdle = c.readingEnded || idle, c.closingIdle || idle
 	c.mu.Unlock()
 	if idle {
 		c.trace("idle client connection closed")
@@ -305,28 +307,28 @@
 	return idle
 }
 
-// leave ends the connection if nothing is owed on it, at a planned restart or where it brought too many errors. One that has
-// just come is about to speak.
-func (c *clientConnection) leave() {
+// closeIfFinished closes the connection if no answer is due on it, at a planned restart or after too many errors. A new connection
+// is given time for its first command.
+func (c *clientConnection) closeIfFinished() {
 	if c.refusing.Load() {
-		c.endIdle(true)
+		c.closeIdleAfterFlush(true)
 		return
 	}
-	if !c.front.leaving.Load() {
+	if !c.front.draining.Load() {
 		return
 	}
-	if i := c.idle(); i.idle && (i.active || time.Since(i.since) > newConnectionGrace) {
-		c.endIdle(false)
+	if i := c.idle(); i.isIdle && (i.active || time.Since(i.since) > newConnectionGrace) {
+		c.closeIdleAfterFlush(false)
 	}
 }
 
-// endIdle ends the connection behind the answers that are queued, if nothing more is owed on it. What its client sends from now
-// on is refused if it is read, and not read otherwise: a client that sends on at once keeps no connection open. Half: also if a
-// part of a command has come.
-func (c *clientConnection) endIdle(half bool) {
+// closeIdleAfterFlush closes the connection behind the queued answers, if no other answer is due. Commands that the client sends
+// from now on are refused if they are read, and otherwise not read: a client that keeps sending cannot keep the connection open.
+// With allowPartial it also closes a connection with an incomplete command.
+func (c *clientConnection) closeIdleAfterFlush(allowPartial bool) {
 	c.mu.Lock()
-	idle := len(c.slots) == 0 && (half || !c.partial) && !c.reading && !c.ending
-	c.ending, c.left = c.ending || idle, c.left || idle
+	idle := len(c.slots) == 0 && (allowPartial || !c.partial) && !c.reading && !c.readingEnded
+	c.readingEnded, c.closingIdle = c.readingEnded || idle, c.closingIdle || idle
 	c.mu.Unlock()
 	if idle {
 		c.trace("idle client connection ended")
@@ -334,48 +336,48 @@
 	}
 }
 
-// tend ends what a client keeps open without a word: a connection that brings no whole command, or not the rest of
-// one, and one that nobody uses any more. Guards the descriptors; such a client is owed an end in time.
-func (c *clientConnection) tend(now time.Time) {
+// enforceTimeouts closes a connection on which no complete command arrives, or not the rest of one, and one that is not used any
+// more. Guards the descriptors; such a client must be disconnected in time.
+func (c *clientConnection) enforceTimeouts(now time.Time) {
 	c.mu.Lock()
-	part, ending := c.partial && !c.ending && now.Sub(c.partialSince) >= commandTimeout, c.ending && now.Sub(c.readingEndedAt) >= closingTimeout
+	part, readingEnded := c.partial && !c.readingEnded && now.Sub(c.partialSince) >= commandTimeout, c.readingEnded && now.Sub(c.readingEndedAt) >= closingTimeout
 	c.mu.Unlock()
 	switch i := c.idle(); {
-	case ending:
-		c.abandon()
+	case readingEnded:
+		c.failPending()
 	case part:
-		c.refuse("the rest of the command did not come", true)
-	case i.idle && (!i.active && now.Sub(i.since) >= commandTimeout || now.Sub(i.since) >= idleTimeout):
+		c.replyError("the rest of the command did not come", true)
+	case i.isIdle && (!i.active && now.Sub(i.since) >= commandTimeout || now.Sub(i.since) >= idleTimeout):
 		c.closeIdle(false)
 	}
 }
 
-// abandon gives up what waits before the end of a connection that cannot be read any more: the error is due.
-func (c *clientConnection) abandon() {
+// failPending fails the requests still pending on a connection that cannot be read any more; their answer is the error.
+func (c *clientConnection) failPending() {
 	c.mu.Lock()
-	waiting := make([]*request, 0, len(c.waiting))
-	for _, r := range c.waiting {
-		waiting = append(waiting, r)
+	pending := make([]*request, 0, len(c.pending))
+	for _, r := range c.pending {
+		pending = append(pending, r)
 	}
 	c.mu.Unlock()
-	for _, r := range waiting {
+	for _, r := range pending {
 		c.front.owner.Post(core.ClientGone{ID: r.id})
 		r.Failed()
 	}
 }
 
-// closed tells the owner of the request contexts that nobody waits for any more.
-func (c *clientConnection) closed() {
+// onClose tells the owner which request contexts nobody waits for any more.
+func (c *clientConnection) onClose() {
 	c.front.mu.Lock()
 	delete(c.front.clients, c)
 	c.front.mu.Unlock()
 	c.mu.Lock()
-	c.gone = true
-	waiting := c.waiting
-	c.waiting = nil
+	c.isClosed = true
+	pending := c.pending
+	c.pending = nil
 	c.mu.Unlock()
-	c.trace("client connection over", "waiting", len(waiting), "unwritten", !c.outbox.Empty())
-	for id, r := range waiting {
+	c.trace("client connection over", "waiting", len(pending), "unwritten", !c.outbox.Empty())
+	for id, r := range pending {
 		c.front.release(r)
 		c.front.owner.Post(core.ClientGone{ID: id})
 	}
--- a/internal/platform/gone_test.go
+++ b/internal/platform/gone_test.go
@@ -21,15 +21,15 @@
 	"bramblefall/logic"
 )
 
-// A client that has closed its connection has gone: no attempt for it begins more than goneAfter later, however busy the loop
-// is. The tests here are the loop: they take the front's events and make the tries when they choose to.
+// goneAfter is the promised bound: once a client has closed its connection, no try for it begins more than goneAfter later, however
+// busy the loop is. The tests here stand in for the loop: they receive the front's events and start tries when they choose to.
 const (
-	goneAfter = 100 * time.Millisecond
-	patience  = 20 * time.Second
+	goneAfter   = 100 * time.Millisecond
+	testTimeout = 20 * time.Second
 )
 
-// owner is a loop that handles nothing: events wait in it, as in the inbox of a busy one. From the event with the number stuck
-// on it stands still altogether, and with it who posts.
+// owner stands in for a busy loop: it only stores events. From event number stuck on, Post blocks, and with it the front, until
+// resume is closed.
 type owner struct {
 	ids    atomic.Uint64
 	stuck  int // 0: never
@@ -58,7 +58,7 @@
 	return append([]core.Event(nil), o.events...)
 }
 
-// requests are the request contexts that have come, in their order.
+// requests returns the request contexts posted so far, in order.
 func (o *owner) requests() (list []core.RequestContext) {
 	for _, ev := range o.all() {
 		if q, ok := ev.(core.RequestContext); ok {
@@ -68,7 +68,7 @@
 	return list
 }
 
-// outcome is the first of a try, after the word that its client has gone if that came before it.
+// outcome returns the first outcome of a try, and whether ClientGone was posted before it.
 func (o *owner) outcome(k core.Key) (status logic.Status, told, gone bool) {
 	for _, ev := range o.all() {
 		switch ev := ev.(type) {
@@ -83,8 +83,8 @@
 	return 0, false, gone
 }
 
-// stand is a front, a pool and a server stand-in round an owner.
-type stand struct {
+// fixture is a front, an upstream pool and a server, connected by an owner.
+type fixture struct {
 	t     *testing.T
 	owner *owner
 	pool  *upstream.Pool
@@ -92,20 +92,21 @@
 
 	mu       sync.Mutex
 	accepted int
-	commands []string // ids that have reached the server
+	commands []string // IDs of the requests that have reached the server
 }
 
-// newStand makes one whose server answers as the test says.
-func newStand(t *testing.T, stuck int, answer func(id string) string) *stand {
-	return newStandFor(t, 1000, stuck, answer)
+// newFixture returns a fixture whose server answers as the test says.
+func newFixture(t *testing.T, stuck int, answer func(id string) string) *fixture {
+	return newFixtureWithLimit(t, 1000, stuck, answer)
 }
 
-// newStandFor makes one that holds so many client connections. Nobody tends them: front.Run is not called.
-func newStandFor(t *testing.T, most, stuck int, answer func(id string) string) *stand {
+// newFixtureWithLimit returns a fixture that holds at most so many client connections. Their timeouts are not enforced, since
+// front.Run is not called.
+func newFixtureWithLimit(t *testing.T, most, stuck int, answer func(id string) string) *fixture {
 	set := logic.Settings{Gateways: 1, Zones: 1, MaxAttempts: 3, ConnectTimeout: 8 * time.Second,
 		Classes: []logic.Class{{Name: "read", Aim: 4 * time.Second, Deadline: 8 * time.Second, Worth: 1}},
 		Plans:   []logic.Plan{{Name: "regular", Rate: 1e5, Burst: 1e5, Price: 1}}}
-	s := &stand{t: t, owner: &owner{stuck: stuck, resume: make(chan struct{})}}
+	s := &fixture{t: t, owner: &owner{stuck: stuck, resume: make(chan struct{})}}
 	board := &plans.Board{}
 	board.Show(plans.Sheet{Tiers: map[string]int{"regular": 0}, Plans: set.Plans})
 	front := platform.New(set, s.owner, board, most, 0, 1)
@@ -135,7 +136,7 @@
 	return s
 }
 
-func (s *stand) serve(conn net.Conn, answer func(id string) string) {
+func (s *fixture) serve(conn net.Conn, answer func(id string) string) {
 	var p resp.Parser
 	for buf := make([]byte, 64<<10); ; {
 		n, err := conn.Read(buf)
@@ -153,13 +154,13 @@
 	}
 }
 
-func (s *stand) seen() (commands []string, connections int) {
+func (s *fixture) received() (commands []string, connections int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]string(nil), s.commands...), s.accepted
 }
 
-func (s *stand) dial() *net.TCPConn {
+func (s *fixture) dial() *net.TCPConn {
 	conn, err := net.Dial("tcp", s.addr)
 	require.NoError(s.t, err)
 	s.t.Cleanup(func() { _ = conn.Close() })
@@ -171,131 +172,134 @@
 		[]byte("c=read,t=regular,d=8000,units=1,spread=1,first=0")))
 }
 
-func (s *stand) write(conn net.Conn, text string) {
+func (s *fixture) write(conn net.Conn, text string) {
 	_, err := conn.Write([]byte(text))
 	require.NoError(s.t, err)
 }
 
-// taken waits for so many request contexts.
-func (s *stand) taken(n int) []core.RequestContext {
+// waitForRequests waits until n request contexts have been posted.
+func (s *fixture) waitForRequests(n int) []core.RequestContext {
 	s.t.Helper()
-	require.Eventually(s.t, func() bool { return len(s.owner.requests()) >= n }, patience, time.Millisecond)
+	require.Eventually(s.t, func() bool { return len(s.owner.requests()) >= n }, testTimeout, time.Millisecond)
 	return s.owner.requests()
 }
 
-// try makes a try of a request context, as the loop would, and waits for its outcome.
-func (s *stand) try(q core.RequestContext, n int) logic.Status {
+// try starts a try of a request context, as the loop would, and waits for its outcome.
+func (s *fixture) try(q core.RequestContext, n int) logic.Status {
 	s.t.Helper()
 	k := core.Key{ID: q.ID, Try: n}
-	s.pool.Try(core.Try{Key: k, Server: 1, Wait: 8 * time.Second, Until: loop.Now() + patience, Origin: q.Origin})
-	require.Eventually(s.t, func() bool { _, told, _ := s.owner.outcome(k); return told }, patience, time.Millisecond)
+	s.pool.Try(core.Try{Key: k, Server: 1, Wait: 8 * time.Second, Until: loop.Now() + testTimeout, Origin: q.Origin})
+	require.Eventually(s.t, func() bool { _, told, _ := s.owner.outcome(k); return told }, testTimeout, time.Millisecond)
 	status, _, gone := s.owner.outcome(k)
 	if status == logic.Cancelled {
-		require.True(s.t, gone, "the module would try it again")
+		require.True(s.t, gone, "ClientGone must be posted before the outcome, or the module retries the request")
 	}
 	return status
 }
 
-const served = "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n"
+const valueReply = "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n"
 
-func serve(string) string { return served }
+func serve(string) string { return valueReply }
 
-// left tries requests whose clients went goneAfter ago: none reaches the server, and no connection is made for one.
-func (s *stand) left(list ...core.RequestContext) {
+// requireCancelled waits for goneAfter and then tries requests whose clients have gone: none may reach the server, and no connection
+// may be made for one.
+func (s *fixture) requireCancelled(list ...core.RequestContext) {
 	s.t.Helper()
 	time.Sleep(goneAfter + time.Millisecond)
-	before, connections := s.seen()
+	before, connections := s.received()
 	for _, q := range list {
 		require.Equal(s.t, logic.Cancelled, s.try(q, 5))
 	}
-	commands, now := s.seen()
-	require.Equal(s.t, before, commands, "sent on for nobody")
-	require.Equal(s.t, connections, now, "a connection is made for nobody")
+	commands, now := s.received()
+	require.Equal(s.t, before, commands, "a request was sent to the server after its client had gone")
+	require.Equal(s.t, connections, now, "a server connection was made for a client that had gone")
 }
 
-// A request whose client leaves while the loop has not come to it, in every way to leave.
+// A client may close its connection in any way while its request waits in the inbox of a busy loop. The request must not be sent
+// on, and other clients must not be affected.
 func TestNoTryForClientGoneWhileLoopIsBusy(t *testing.T) {
 	t.Parallel()
-	for name, leave := range map[string]func(s *stand, conn *net.TCPConn){
-		"close": func(_ *stand, conn *net.TCPConn) { _ = conn.Close() },
-		"reset": func(_ *stand, conn *net.TCPConn) { _ = conn.SetLinger(0); _ = conn.Close() },
-		"half of the next command": func(s *stand, conn *net.TCPConn) {
+	for name, leave := range map[string]func(s *fixture, conn *net.TCPConn){
+		"close": func(_ *fixture, conn *net.TCPConn) { _ = conn.Close() },
+		"reset": func(_ *fixture, conn *net.TCPConn) { _ = conn.SetLinger(0); _ = conn.Close() },
+		"half of the next command": func(s *fixture, conn *net.TCPConn) {
 			s.write(conn, ask("half")[:30])
 			_ = conn.Close()
 		},
-		"half a command, then a reset": func(s *stand, conn *net.TCPConn) {
+		"half a command, then a reset": func(s *fixture, conn *net.TCPConn) {
 			s.write(conn, ask("half")[:30])
 			_ = conn.SetLinger(0)
 			_ = conn.Close()
 		},
-		"its sending alone": func(_ *stand, conn *net.TCPConn) { _ = conn.CloseWrite() },
+		"its sending alone": func(_ *fixture, conn *net.TCPConn) { _ = conn.CloseWrite() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := newStand(t, 0, serve)
+			s := newFixture(t, 0, serve)
 			conn := s.dial()
 			s.write(conn, ask("01"))
-			q := s.taken(1)
+			q := s.waitForRequests(1)
 			leave(s, conn)
-			s.left(q...)
-			stays := s.dial() // the guard hits nobody else
+			s.requireCancelled(q...)
+			stays := s.dial() // other clients are not affected
 			s.write(stays, ask("02"))
-			require.Equal(t, logic.OK, s.try(s.taken(2)[1], 0))
-			commands, _ := s.seen()
+			require.Equal(t, logic.OK, s.try(s.waitForRequests(2)[1], 0))
+			commands, _ := s.received()
 			require.Equal(t, []string{"02"}, commands)
 		})
 	}
 }
 
-// The loop stands still in a long turn, and the front with it: the client's end lies behind bytes that nobody has read, and
-// netpoll's callback of the end waits for the one that reads.
-func TestNothingLeavesWhileTheEndLiesBehindUnreadBytes(t *testing.T) {
+// The loop stalls in a long turn, and the front with it. The client's close then lies behind bytes that nobody has read, and
+// netpoll's close callback waits for the reader. Its requests must still not be sent on.
+func TestNoTryForClientWhoseCloseIsBehindUnreadBytes(t *testing.T) {
 	t.Parallel()
-	s := newStand(t, 2, serve)
+	s := newFixture(t, 2, serve)
 	conn := s.dial()
 	s.write(conn, ask("01")+ask("02"))
-	q := s.taken(2) // the front waits in the second
+	q := s.waitForRequests(2) // the front is blocked in posting the second
 	for k := range 2000 {
 		s.write(conn, ask(fmt.Sprint("unread", k)))
 	}
 	require.NoError(t, conn.Close())
-	s.left(q...)
+	s.requireCancelled(q...)
 	close(s.owner.resume)
-	s.left(s.taken(3)...)
+	s.requireCancelled(s.waitForRequests(3)...)
 }
 
-// A connection with as many commands as may wait on it: what it brings beyond is read and refused in its turn, and so is its end.
-func TestTheEndOfAConnectionAtItsCapIsSeen(t *testing.T) {
+// A connection at its limit of pending commands: commands beyond it are read and refused in their turn, and so the client's close is
+// noticed too.
+func TestCloseIsSeenAtPendingCommandLimit(t *testing.T) {
 	t.Parallel()
-	s := newStand(t, 0, serve)
+	s := newFixture(t, 0, serve)
 	conn := s.dial()
 	var text strings.Builder
 	for k := range 1100 {
 		text.WriteString(ask(fmt.Sprint("id", k)))
 	}
 	s.write(conn, text.String())
-	q := s.taken(1024)
+	q := s.waitForRequests(1024)
 	require.NoError(t, conn.Close())
-	s.left(q...)
+	s.requireCancelled(q...)
 	require.Len(t, s.owner.requests(), 1024)
 }
 
-// Between two tries: the first has failed, the client leaves, and the loop comes to the next one late.
-func TestNoFurtherTryForAClientThatLeft(t *testing.T) {
+// The first try has failed, the client closes its connection, and the loop is late to start the next try: it must not be sent.
+func TestNoRetryForClientThatClosed(t *testing.T) {
 	t.Parallel()
-	s := newStand(t, 0, func(string) string { return "-ERR failed\r\n" })
+	s := newFixture(t, 0, func(string) string { return "-ERR failed\r\n" })
 	conn := s.dial()
 	s.write(conn, ask("01"))
-	q := s.taken(1)[0]
+	q := s.waitForRequests(1)[0]
 	require.Equal(t, logic.Error, s.try(q, 0))
 	require.NoError(t, conn.Close())
-	s.left(q)
+	s.requireCancelled(q)
 }
 
-// Hundreds leave at once, each in one of the ways above, while all their requests wait.
-func TestNothingLeavesForABurstThatLeftABusyLoop(t *testing.T) {
+// Hundreds of clients close at once, in several of the ways above, while all their requests wait.
+func TestNoTryForBurstOfClientsGoneWhileLoopIsBusy(t *testing.T) {
 	t.Parallel()
-	s := newStand(t, 0, serve)
+	s := newFixture(t, 0, serve)
 	var conns []*net.TCPConn
 	for k := range 300 {
 		conn := s.dial()
@@ -306,12 +310,12 @@
 		}
 		s.write(conn, text)
 	}
-	q := s.taken(300)
+	q := s.waitForRequests(300)
 	for k, conn := range conns {
 		if k%3 == 2 {
 			_ = conn.SetLinger(0)
 		}
 		require.NoError(t, conn.Close())
 	}
-	s.left(q...)
+	s.requireCancelled(q...)
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,5 +1,5 @@
-// Package platform is the RESP2 front: client connections, their commands and the answers, in the commands'
-// order. It decides nothing.
+// Package platform is the RESP2 front: it manages client connections, parses their commands and writes the answers in the order of
+// the commands. It makes no decisions.
 package platform
 
 import (
@@ -22,22 +22,22 @@
 )
 
 const (
-	drainGrace  = 450 * time.Millisecond // clients hear of a planned restart so late
-	resendGrace = 150 * time.Millisecond // then for requests that crossed the close of an idle connection and come again
-	drainEvery  = 10 * time.Millisecond
+	drainGrace    = 450 * time.Millisecond // until clients have noticed a planned restart
+	resendGrace   = 150 * time.Millisecond // then for requests that crossed the close of an idle connection and are sent again
+	drainInterval = 10 * time.Millisecond
 
-	defaultOpen  = 16384    // requests in hand at once, where the settings name no number
-	defaultHeld  = 48 << 20 // bytes of their commands, where no cap is told: a body may be 64 KiB
-	closingLimit = 8        // client connections beyond the bound that are refused and not closed yet
+	defaultMaxOpen        = 16384    // open requests, where the settings name no number
+	defaultMaxHeldBytes   = 48 << 20 // bytes of open requests' commands, where no cap is set: a body may be 64 KiB
+	maxClosingConnections = 8        // client connections beyond maxClients that may be waiting to be closed
 
-	answerCost = 2 * time.Millisecond // of processor time before an answer goes out: a collection of garbage takes so much
-	crowded    = time.Second          // when to come back where too much is in hand
+	answerDelay        = 2 * time.Millisecond // processor time before an answer goes out: a garbage collection takes this long
+	overloadRetryAfter = time.Second          // told to clients while too many requests are open
 
-	sweepEvery       = 250 * time.Millisecond
-	rejectedLogEvery = time.Second
+	sweepInterval       = 250 * time.Millisecond
+	rejectedLogInterval = time.Second
 )
 
-// Owner takes the events of the front.
+// Owner receives the front's events.
 type Owner interface {
 	ID() uint64
 	Open() int
@@ -46,68 +46,68 @@
 
 // Front listens for client connections.
 type Front struct {
-	owner      Owner
-	set        logic.Settings
-	classes    map[string]int
-	board      *plans.Board
-	most       int           // client connections
-	open       int           // request contexts
-	bytes      int64         // of their commands
-	lag        time.Duration // that an answer may be late by, on this share of a core
-	busyAnswer []byte        // the answer to what is turned away here
-	backlog    *socket.Backlog
-
-	listener *socket.Listener
-	leaving  atomic.Bool  // a connection closes as soon as nothing is owed on it
-	held     atomic.Int64 // bytes of commands in hand
-	traced   bool         // each request is logged by its id: off in service
-	numbers  atomic.Uint64
-
-	rejected       atomic.Int64 // connections for which there was no room, since the log said so
-	rejectedLogged time.Time    // by Run alone
-
-	mu      sync.Mutex // taken before a client connection's, never inside it
-	clients map[*clientConnection]struct{}
-	entered int // connections that have been among the clients
-
-	idsMu sync.Mutex
-	ids   map[string]struct{} // of the requests in hand
+	owner        Owner
+	settings     logic.Settings
+	classes      map[string]int
+	board        *plans.Board
+	maxClients   int           // of client connections
+	maxOpen      int           // of request contexts
+	maxHeldBytes int64         // of open requests' commands
+	answerMargin time.Duration // how late an answer may be on this share of a core
+	busyAnswer   []byte        // the answer to a command that the front itself refuses
+	backlog      *socket.Backlog
+
+	listener     *socket.Listener
+	draining     atomic.Bool  // connections close as soon as no answer is due on them
+	heldBytes    atomic.Int64 // of open requests' commands
+	traceEnabled bool         // each request is logged by its ID; off in production
+	lastLogID    atomic.Uint64
+
+	rejected       atomic.Int64 // connections rejected for lack of room since the last log line
+	rejectedLogged time.Time    // used only by Run
+
+	mu         sync.Mutex // locked before a client connection's mu, never while holding it
+	clients    map[*clientConnection]struct{}
+	registered int // connections ever added to clients
+
+	idsMu   sync.Mutex
+	openIDs map[string]struct{} // IDs of the open requests
 }
 
-// New makes a front for the settings' classes and the board's plans that holds so many client connections at most, and so
-// many bytes of commands (0: as many as is usual). Cores is the share of a core that it runs on (0: a whole one).
-func New(set logic.Settings, owner Owner, board *plans.Board, most int, bytes int64, cores float64) *Front {
-	f := &Front{owner: owner, set: set, classes: map[string]int{}, board: board, most: most, open: defaultOpen, bytes: defaultHeld,
-		clients: map[*clientConnection]struct{}{}, ids: map[string]struct{}{},
-		traced: slog.Default().Enabled(context.Background(), slog.LevelDebug)}
-	if set.MaxOpen > 0 {
-		f.open = min(set.MaxOpen, 2*defaultOpen)
+// New returns a front for the settings' classes and the board's plans. It holds at most maxClients client connections and
+// maxHeldBytes bytes of commands (0: the default). cores is the share of a core that the process runs on (0: a whole one).
+func New(settings logic.Settings, owner Owner, board *plans.Board, maxClients int, maxHeldBytes int64, cores float64) *Front {
+	f := &Front{owner: owner, settings: settings, classes: map[string]int{}, board: board, maxClients: maxClients, maxOpen: defaultMaxOpen, maxHeldBytes: defaultMaxHeldBytes,
+		clients: map[*clientConnection]struct{}{}, openIDs: map[string]struct{}{},
+		traceEnabled: slog.Default().Enabled(context.Background(), slog.LevelDebug)}
+	if settings.MaxOpen > 0 {
+		f.maxOpen = min(settings.MaxOpen, 2*defaultMaxOpen)
 	}
-	if f.lag = answerCost; cores > 0 {
-		f.lag = time.Duration(float64(answerCost) / min(cores, 1))
+	if f.answerMargin = answerDelay; cores > 0 {
+		f.answerMargin = time.Duration(float64(answerDelay) / min(cores, 1))
 	}
-	if bytes > 0 {
-		f.bytes = min(bytes, defaultHeld)
+	if maxHeldBytes > 0 {
+		f.maxHeldBytes = min(maxHeldBytes, defaultMaxHeldBytes)
 	}
-	f.backlog = socket.NewBacklog(f.bytes)
+	f.backlog = socket.NewBacklog(f.maxHeldBytes)
 	f.busyAnswer = appendBusy(nil, 0)
-	if set.RetryAfter {
-		f.busyAnswer = appendBusy(nil, min(crowded, set.MaxRetryAfter))
+	if settings.RetryAfter {
+		f.busyAnswer = appendBusy(nil, min(overloadRetryAfter, settings.MaxRetryAfter))
 	}
-	for k, c := range set.Classes {
+	for k, c := range settings.Classes {
 		f.classes[c.Name] = k
 	}
 	return f
 }
 
-// Listen opens the address and serves it until Drain. It returns where it listens.
+// Listen opens addr and serves it until Drain. It returns the address it listens on.
 func (f *Front) Listen(addr string) (net.Addr, error) {
 	l, err := socket.Listen(addr)
 	if err != nil {
 		return nil, fmt.Errorf("listen for clients: %w", err)
 	}
 	f.listener = l
-	l.SetRoomCheck(f.room)
+	l.SetRoomCheck(f.ensureRoom)
 	events, err := netpoll.NewEventLoop(nil, netpoll.WithOnPrepare(f.accept))
 	if err != nil {
 		return nil, fmt.Errorf("listen for clients: %w", err)
@@ -120,9 +120,9 @@
 	return l.Addr(), nil
 }
 
-// Run closes client connections that say nothing, until the context ends.
+// Run closes client connections that send nothing, until ctx ends.
 func (f *Front) Run(ctx context.Context) {
-	tick := time.NewTicker(sweepEvery)
+	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -130,113 +130,112 @@
 			return
 		case now := <-tick.C:
 			f.logRejected(now)
-			for _, c := range f.all() {
-				c.tend(now)
+			for _, c := range f.clientList() {
+				c.enforceTimeouts(now)
 			}
 		}
 	}
 }
 
-func (f *Front) all() []*clientConnection {
+func (f *Front) clientList() []*clientConnection {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	all := make([]*clientConnection, 0, len(f.clients))
+	clientList := make([]*clientConnection, 0, len(f.clients))
 	for c := range f.clients {
-		all = append(all, c)
+		clientList = append(clientList, c)
 	}
-	return all
+	return clientList
 }
 
-// Drain ends the front at a planned restart. For a little longer all goes on, since clients hear late of it. Then each
-// connection closes as soon as nothing is owed on it: at once, or right behind its last answer, before its client
-// can send on it again. Last the listener closes, once nothing waits there: a connection that the machine has accepted
-// may hold a whole request.
+// Drain ends the front at a planned restart. For drainGrace all continues, since clients notice late. Then each connection closes
+// as soon as no answer is due on it: at once, or right behind its last answer, before its client can send on it again. The listener
+// closes last, once no connection waits there: one that the kernel has accepted may already hold a whole request.
 func (f *Front) Drain() {
 	time.Sleep(drainGrace)
-	f.leaving.Store(true)
+	f.draining.Store(true)
 	crash.Go(func() {
-		for ; ; time.Sleep(drainEvery) {
-			for _, c := range f.all() {
-				c.leave()
+		for ; ; time.Sleep(drainInterval) {
+			for _, c := range f.clientList() {
+				c.closeIfFinished()
 			}
 		}
 	})
 	time.Sleep(resendGrace)
 	for until := time.Now().Add(drainGrace); f.listener.HasPending() && time.Now().Before(until); {
-		time.Sleep(time.Millisecond) // for longer only where no descriptor is left for them
+		time.Sleep(time.Millisecond) // longer than a moment only if no descriptor is left for them
 	}
 	if err := f.listener.Close(); err != nil {
 		slog.Warn("cannot stop listening", "err", err)
 	}
 }
 
-// Clients is how many client connections are open, those included that are accepted and not handed over yet.
+// Clients returns the number of open client connections, including those accepted but not yet registered.
 func (f *Front) Clients() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.clients) + f.listener.AcceptedCount() - f.entered
+	return len(f.clients) + f.listener.AcceptedCount() - f.registered
 }
 
 func (f *Front) accept(raw netpoll.Connection) context.Context {
 	defer crash.Guard()
 	now, conn := time.Now(), socket.Wrap(raw)
-	c := &clientConnection{front: f, logID: f.numbers.Add(1), conn: conn, usedAt: now}
-	c.outbox = socket.NewOutbox(conn, c.leave, f.backlog)
+	c := &clientConnection{front: f, logID: f.lastLogID.Add(1), conn: conn, lastUsedAt: now}
+	c.outbox = socket.NewOutbox(conn, c.closeIfFinished, f.backlog)
 	c.trace("client connection accepted")
 	f.mu.Lock()
 	f.clients[c] = struct{}{}
-	f.entered++
+	f.registered++
 	f.mu.Unlock()
-	conn.SetLateHandler(c.late)
-	conn.Serve(c.ready, c.closed)
+	conn.SetLateHandler(c.refuseLateCommands)
+	conn.Serve(c.onReadable, c.onClose)
 	return context.Background()
 }
 
-// room tells whether there is room for a connection that has just been accepted, or makes some. Where it does not, the connection
-// is closed before anybody reads from it, so that its client is sure that nothing was taken.
-func (f *Front) room() bool {
+// ensureRoom reports whether there is room for a connection that has just been accepted, evicting an idle one if necessary. If there
+// is none, the connection is closed before anything is read from it, so that its client knows that nothing was taken.
+func (f *Front) ensureRoom() bool {
 	n := f.Clients()
-	if n <= f.most || n <= f.most+closingLimit && f.evict() {
+	if n <= f.maxClients || n <= f.maxClients+maxClosingConnections && f.evictIdle() {
 		return true
 	}
 	f.rejected.Add(1)
 	return false
 }
 
-// logRejected says in the log how many connections were turned away since it said so last.
+// logRejected logs how many connections were rejected since the last such line.
 func (f *Front) logRejected(now time.Time) {
-	if now.Sub(f.rejectedLogged) < rejectedLogEvery {
+	if now.Sub(f.rejectedLogged) < rejectedLogInterval {
 		return
 	}
 	if n := f.rejected.Swap(0); n > 0 {
 		f.rejectedLogged = now
-		slog.Warn("client connections turned away unread: no room", "connections", n, "room", f.most)
+		slog.Warn("client connections turned away unread: no room", "connections", n, "room", f.maxClients)
 	}
 }
 
-// evict closes the client connection that has been idle longest, those first that have been silent since they came
-// and for a while: the descriptors are needed for the servers, too. If a command crosses the close, its client sends
-// it again; one that has just come is about to speak. One of which something waits to be read is passed over for the next.
-// Where none is idle one goes that has brought half a command and not the rest: of that nothing has been taken. It tells
-// whether one goes: where all are busy none does.
-func (f *Front) evict() bool {
-	var idle, half []idleState
-	for _, c := range f.all() {
+// evictIdle closes the client connection that has been idle longest, and reports whether it found one: the descriptors are needed
+// for the servers, too. Connections that have sent nothing since they were opened, and for more than newConnectionGrace, go first; a
+// newer one is expected to send soon. If a command crosses the close, its client sends it again. A connection with unread bytes is
+// skipped for the next. If none is idle, one with a stalled incomplete command goes: nothing of that command has been accepted. If
+// all are busy, none is closed.
+func (f *Front) evictIdle() bool {
+	var idle, stalledPartial []idleState
+	for _, c := range f.clientList() {
 		i := c.idle()
 		if !i.active && time.Since(i.since) > newConnectionGrace {
 			i.since = i.since.Add(-idleTimeout)
 		}
 		switch {
-		case i.idle:
+		case i.isIdle:
 			idle = append(idle, i)
 		case i.stalledPartial:
-			half = append(half, i)
+			stalledPartial = append(stalledPartial, i)
 		}
 	}
 	longest := func(a, b idleState) int { return a.since.Compare(b.since) }
 	slices.SortFunc(idle, longest)
-	slices.SortFunc(half, longest)
-	for _, i := range append(idle, half...) {
+	slices.SortFunc(stalledPartial, longest)
+	for _, i := range append(idle, stalledPartial...) {
 		if i.client.closeIdle(i.stalledPartial) {
 			return true
 		}
--- a/internal/platform/room_test.go
+++ b/internal/platform/room_test.go
@@ -12,12 +12,12 @@
 	"bramblefall/internal/resp"
 )
 
-// Clients that have brought half a command and rest hold no place against others: one of them makes room, and those that stay
-// may bring the rest.
-func TestHalfACommandMakesRoom(t *testing.T) {
+// Clients that stall in the middle of a command must not hold their places against others: one of them is evicted, and those that
+// stay may still send the rest.
+func TestStalledPartialCommandIsEvicted(t *testing.T) {
 	t.Parallel()
 	const most = 4
-	s := newStandFor(t, most, 0, serve)
+	s := newFixtureWithLimit(t, most, 0, serve)
 	var halves []*net.TCPConn
 	for range most {
 		conn := s.dial()
@@ -28,17 +28,17 @@
 		conn, err := net.Dial("tcp", s.addr)
 		require.NoError(t, err)
 		defer conn.Close()
-		_ = conn.SetDeadline(time.Now().Add(patience))
+		_ = conn.SetDeadline(time.Now().Add(testTimeout))
 		_, _ = io.WriteString(conn, string(resp.AppendCommand(nil, []byte("PING"))))
 		line, _ := bufio.NewReader(conn).ReadString('\n')
 		return line == "+PONG\r\n"
 	}
 	began := time.Now()
 	for !let() {
-		require.Less(t, time.Since(began), patience, "shut unread each time")
+		require.Less(t, time.Since(began), testTimeout, "each new connection was closed unread")
 		time.Sleep(time.Millisecond)
 	}
-	last := halves[most-1] // the one that has rested longest has gone
+	last := halves[most-1] // the one that had stalled longest was evicted
 	s.write(last, ask("half")[30:])
-	s.taken(1)
+	s.waitForRequests(1)
 }
