--- a/internal/platform/gone_test.go
+++ b/internal/platform/gone_test.go
@@ -28,12 +28,12 @@
 	testTimeout = 20 * time.Second
 )
 
-// owner stands in for a busy loop: it only stores events. From event number stuck on, Post blocks, and with it the front, until
+// owner stands in for a busy loop: it only stores events. From event number stuckAt on, Post blocks, and with it the front, until
 // resume is closed.
 type owner struct {
-	ids    atomic.Uint64
-	stuck  int // 0: never
-	resume chan struct{}
+	ids     atomic.Uint64
+	stuckAt int // 0: never
+	resume  chan struct{}
 
 	mu     sync.Mutex
 	events []core.Event
@@ -45,7 +45,7 @@
 func (o *owner) Post(ev core.Event) {
 	o.mu.Lock()
 	o.events = append(o.events, ev)
-	wait := o.stuck > 0 && len(o.events) == o.stuck
+	wait := o.stuckAt > 0 && len(o.events) == o.stuckAt
 	o.mu.Unlock()
 	if wait {
 		<-o.resume
@@ -96,20 +96,20 @@
 }
 
 // newFixture returns a fixture whose server answers as the test says.
-func newFixture(t *testing.T, stuck int, answer func(id string) string) *fixture {
-	return newFixtureWithLimit(t, 1000, stuck, answer)
+func newFixture(t *testing.T, stuckAt int, answer func(id string) string) *fixture {
+	return newFixtureWithLimit(t, 1000, stuckAt, answer)
 }
 
 // newFixtureWithLimit returns a fixture that holds at most so many client connections. Their timeouts are not enforced, since
 // front.Run is not called.
-func newFixtureWithLimit(t *testing.T, most, stuck int, answer func(id string) string) *fixture {
+func newFixtureWithLimit(t *testing.T, maxClients, stuckAt int, answer func(id string) string) *fixture {
 	set := logic.Settings{Gateways: 1, Zones: 1, MaxAttempts: 3, ConnectTimeout: 8 * time.Second,
 		Classes: []logic.Class{{Name: "read", Aim: 4 * time.Second, Deadline: 8 * time.Second, Worth: 1}},
 		Plans:   []logic.Plan{{Name: "regular", Rate: 1e5, Burst: 1e5, Price: 1}}}
-	s := &fixture{t: t, owner: &owner{stuck: stuck, resume: make(chan struct{})}}
+	s := &fixture{t: t, owner: &owner{stuckAt: stuckAt, resume: make(chan struct{})}}
 	board := &plans.Board{}
 	board.Show(plans.Sheet{Tiers: map[string]int{"regular": 0}, Plans: set.Plans})
-	front := platform.New(set, s.owner, board, most, 0, 1)
+	front := platform.New(set, s.owner, board, maxClients, 0, 1)
 	listen, err := loopback.AnyPort()
 	require.NoError(t, err)
 	at, err := front.Listen(listen)
@@ -231,7 +231,7 @@
 			_ = conn.SetLinger(0)
 			_ = conn.Close()
 		},
-		"its sending alone": func(_ *fixture, conn *net.TCPConn) { _ = conn.CloseWrite() },
+		"close of the sending side only": func(_ *fixture, conn *net.TCPConn) { _ = conn.CloseWrite() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -241,8 +241,8 @@
 			q := s.waitForRequests(1)
 			leave(s, conn)
 			s.requireCancelled(q...)
-			stays := s.dial() // other clients are not affected
-			s.write(stays, ask("02"))
+			other := s.dial() // other clients are not affected
+			s.write(other, ask("02"))
 			require.Equal(t, logic.OK, s.try(s.waitForRequests(2)[1], 0))
 			commands, _ := s.received()
 			require.Equal(t, []string{"02"}, commands)
--- a/internal/platform/room_test.go
+++ b/internal/platform/room_test.go
@@ -16,15 +16,15 @@
 // stay may still send the rest.
 func TestStalledPartialCommandIsEvicted(t *testing.T) {
 	t.Parallel()
-	const most = 4
-	s := newFixtureWithLimit(t, most, 0, serve)
-	var halves []*net.TCPConn
-	for range most {
+	const maxClients = 4
+	s := newFixtureWithLimit(t, maxClients, 0, serve)
+	var stalled []*net.TCPConn
+	for range maxClients {
 		conn := s.dial()
 		s.write(conn, ask("half")[:30])
-		halves = append(halves, conn)
+		stalled = append(stalled, conn)
 	}
-	let := func() bool {
+	serves := func() bool {
 		conn, err := net.Dial("tcp", s.addr)
 		require.NoError(t, err)
 		defer conn.Close()
@@ -34,11 +34,11 @@
 		return line == "+PONG\r\n"
 	}
 	began := time.Now()
-	for !let() {
+	for !serves() {
 		require.Less(t, time.Since(began), testTimeout, "each new connection was closed unread")
 		time.Sleep(time.Millisecond)
 	}
-	last := halves[most-1] // the one that had stalled longest was evicted
-	s.write(last, ask("half")[30:])
+	newest := stalled[maxClients-1] // the one that had stalled longest was evicted
+	s.write(newest, ask("half")[30:])
 	s.waitForRequests(1)
 }
--- a/internal/ratelimit/front.go
+++ b/internal/ratelimit/front.go
@@ -36,7 +36,7 @@
 const (
 	maxDescriptors     = 16 // a call; each becomes a request context
 	maxCallBytes       = 1 << 20
-	maxUnits           = 1e6
+	maxUnits           = 1e6                    // of one request
 	maxConcurrentCalls = 1024                   // concurrent calls on one connection
 	drainGrace         = 450 * time.Millisecond // until callers have noticed a planned restart
 	deadlineMargin     = 25 * time.Millisecond  // the module gives up a request less than this before its deadline
--- a/internal/ratelimit/gone_test.go
+++ b/internal/ratelimit/gone_test.go
@@ -142,9 +142,9 @@
 			}
 			go func() { _ = service.Serve(l) }()
 			require.Equal(t, logic.Cancelled, told(k))
-			stays, end := context.WithTimeout(context.Background(), testTimeout)
+			waiting, end := context.WithTimeout(context.Background(), testTimeout)
 			defer end()
-			go call(stays)
+			go call(waiting)
 			require.Eventually(t, func() bool { return len(owner.requests()) == 2 }, testTimeout, time.Millisecond)
 			require.Equal(t, logic.OK, told(try(1)))
 			require.EqualValues(t, 1, others.calls.Load(), "a call was sent for the caller that cancelled")
--- a/internal/socket/conn.go
+++ b/internal/socket/conn.go
@@ -167,7 +167,7 @@
 	}
 }
 
-const maxTakeBytes = 64 << 10
+const maxTakeBytes = 64 << 10 // passed on by one call of TakeLimited
 
 // Take passes all buffered bytes to feed. It may be called only inside the onReadable callback; feed must not keep the bytes,
 // since netpoll reuses them afterwards.
--- a/internal/socket/outbox.go
+++ b/internal/socket/outbox.go
@@ -15,10 +15,10 @@
 const MaxQueuedBytes = 256 << 10
 
 const (
-	writeTimeout        = 5 * time.Second // a peer that takes longer to accept one flush is not reading
-	maxFlushBytes       = 64 << 10        // bytes a flush: a slow reader gets writeTimeout for each
-	lingerTimeout       = 2 * time.Second // longest wait for the last bytes to be sent before the close
-	lingerCheckInterval = time.Millisecond
+	writeTimeout        = 5 * time.Second  // a peer that takes longer to accept one flush is not reading
+	maxFlushBytes       = 64 << 10         // bytes a flush: a slow reader gets writeTimeout for each
+	lingerTimeout       = 2 * time.Second  // longest wait for the last bytes to be sent before the close
+	lingerCheckInterval = time.Millisecond // between two looks at whether they have been sent
 )
 
 // ErrFull reports that an outbox is full because the peer does not read.
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -86,7 +86,7 @@
 	pool        *Pool
 	target      *target
 	conn        *socket.Conn
-	parser      resp.Parser // owned by the reading side
+	parser      resp.Parser // used only while reading
 	inFlight    *inFlight   // the try it carries; nil if none
 	closed      bool
 	idleSince   time.Time     // start of the current idle period
@@ -242,13 +242,13 @@
 	}
 	for n := len(f.target.idle) - 1; n >= 0; n-- {
 		c := f.target.idle[n]
-		rested := time.Since(c.idleSince)
-		if rested < reuseDelay && c.conn.Active() {
+		idleFor := time.Since(c.idleSince)
+		if idleFor < reuseDelay && c.conn.Active() {
 			continue
 		}
 		// Guards against a write that crosses the server's close, which would end as a reset although the request may have run, and
 		// against surplus bytes behind the last answer, which would be taken for this try's answer.
-		if rested >= p.idleTimeout || !c.conn.Drained() {
+		if idleFor >= p.idleTimeout || !c.conn.Drained() {
 			p.drop(c)
 			continue
 		}
