--- a/internal/platform/connection.go
+++ b/internal/platform/connection.go
@@ -16,7 +16,7 @@
 const (
 	maxPendingCommands = 1024    // unanswered commands on one connection; further ones are refused in their turn
 	maxRefusedCommands = 1 << 20 // refused commands queued at once; a client that sends more does not read
-	maxCommandErrors   = 64      // on one connection; a client that sends this many errors is not worth its connection
+	maxCommandErrors   = 64      // on one connection; a client that sends nothing but errors is not worth its connection
 
 	commandTimeout      = 2400 * time.Millisecond // for the first complete command, and for the rest of any partial one
 	idleTimeout         = 20 * time.Second        // between commands
--- a/internal/socket/outbox.go
+++ b/internal/socket/outbox.go
@@ -22,7 +22,7 @@
 )
 
 // ErrFull reports that an outbox is full because the peer does not read.
-var ErrFull = errors.New("the peer does not read")
+var ErrFull = errors.New("the outbox is full: the peer does not read")
 
 // ErrClosed reports that the outbox sends nothing more on its connection.
 var ErrClosed = errors.New("the connection is closed")
