--- a/internal/platform/connection.go
+++ b/internal/platform/connection.go
@@ -29,9 +29,9 @@
 // idleState describes whether and since when a client connection has been idle.
 type idleState struct {
 	client         *clientConnection
-	isIdle         bool      // no answer is due
+	isIdle         bool      // no answer is due, and no partial command has come
 	active         bool      // a complete command has come
-	stalledPartial bool      // no answer is due, and the rest of a partial command has not come
+	stalledPartial bool      // no answer is due, and the rest of a partial command has not come within partialCommandGrace
 	since          time.Time // last use of the connection
 }
 
@@ -340,12 +340,12 @@
 // more. Guards the descriptors; such a client must be disconnected in time.
 func (c *clientConnection) enforceTimeouts(now time.Time) {
 	c.mu.Lock()
-	part, readingEnded := c.partial && !c.readingEnded && now.Sub(c.partialSince) >= commandTimeout, c.readingEnded && now.Sub(c.readingEndedAt) >= closingTimeout
+	commandTimedOut, closingTimedOut := c.partial && !c.readingEnded && now.Sub(c.partialSince) >= commandTimeout, c.readingEnded && now.Sub(c.readingEndedAt) >= closingTimeout
 	c.mu.Unlock()
 	switch i := c.idle(); {
-	case readingEnded:
+	case closingTimedOut:
 		c.failPending()
-	case part:
+	case commandTimedOut:
 		c.replyError("the rest of the command did not come", true)
 	case i.isIdle && (!i.active && now.Sub(i.since) >= commandTimeout || now.Sub(i.since) >= idleTimeout):
 		c.closeIdle(false)
--- a/internal/platform/gone_test.go
+++ b/internal/platform/gone_test.go
@@ -28,8 +28,8 @@
 	testTimeout = 20 * time.Second
 )
 
-// owner stands in for a busy loop: it only stores events. From event number stuckAt on, Post blocks, and with it the front, until
-// resume is closed.
+// owner stands in for a busy loop: it only stores events. The Post of event number stuckAt blocks until resume is
+// closed, and with it the front's reading of the connection that the event came from.
 type owner struct {
 	ids     atomic.Uint64
 	stuckAt int // 0: never
@@ -100,7 +100,7 @@
 	return newFixtureWithLimit(t, 1000, stuckAt, answer)
 }
 
-// newFixtureWithLimit returns a fixture that holds at most so many client connections. Their timeouts are not enforced, since
+// newFixtureWithLimit returns a fixture that holds at most maxClients client connections. Their timeouts are not enforced, since
 // front.Run is not called.
 func newFixtureWithLimit(t *testing.T, maxClients, stuckAt int, answer func(id string) string) *fixture {
 	set := logic.Settings{Gateways: 1, Zones: 1, MaxAttempts: 3, ConnectTimeout: 8 * time.Second,
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -50,9 +50,9 @@
 	settings     logic.Settings
 	classes      map[string]int
 	board        *plans.Board
-	maxClients   int           // of client connections
-	maxOpen      int           // of request contexts
-	maxHeldBytes int64         // of open requests' commands
+	maxClients   int           // client connections
+	maxOpen      int           // request contexts
+	maxHeldBytes int64         // bytes of open requests' commands
 	answerMargin time.Duration // how late an answer may be on this share of a core
 	busyAnswer   []byte        // the answer to a command that the front itself refuses
 	backlog      *socket.Backlog
@@ -162,7 +162,7 @@
 	})
 	time.Sleep(resendGrace)
 	for until := time.Now().Add(drainGrace); f.listener.HasPending() && time.Now().Before(until); {
-		time.Sleep(time.Millisecond) // longer than a moment only if no descriptor is left for them
+		time.Sleep(time.Millisecond) // this lasts only if no descriptor is left to accept the waiting connections
 	}
 	if err := f.listener.Close(); err != nil {
 		slog.Warn("cannot stop listening", "err", err)
--- a/internal/ratelimit/front.go
+++ b/internal/ratelimit/front.go
@@ -43,9 +43,9 @@
 	overloadRetryAfter = time.Second            // told to callers where too many requests are open
 )
 
-// Descriptors divides the program's descriptors, of which it may have so many: it returns how many callers' connections the front
-// may hold, and how many connections its caller may hold to endpoints.
-func Descriptors(most int) (callers, endpoints int) { return max(most/8, 128), max(most/16, 64) }
+// Descriptors returns how many callers' connections the front may hold, and how many connections the front's Caller may hold to
+// endpoints, in a program that may have total descriptors.
+func Descriptors(total int) (callers, endpoints int) { return max(total/8, 128), max(total/16, 64) }
 
 // Owner receives the front's events.
 type Owner interface {
@@ -69,8 +69,8 @@
 }
 
 // NewFront returns a front for the callers of a domain ("": any). With callsOthers, each request context within its quota becomes a
-// call to the group of external services; without, the module's decision is the verdict. The front holds at most so many
-// of callers.
+// call to the group of external services; without, the module's decision is the verdict. The front holds at most
+// maxConnections connections of callers.
 func NewFront(settings logic.Settings, owner Owner, board *plans.Board, domain string, callsOthers bool, maxConnections int) *Front {
 	f := &Front{owner: owner, settings: settings, domain: domain, callsOthers: callsOthers, classes: map[string]int{}, board: board, maxConnections: maxConnections}
 	for k, c := range settings.Classes {
--- a/internal/socket/listener.go
+++ b/internal/socket/listener.go
@@ -82,7 +82,7 @@
 		_ = syscall.Close(fd)
 		return nil, nil
 	}
-	_ = syscall.SetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_NODELAY, 1) // netpoll sets it only on connections of its own listener
+	_ = syscall.SetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_NODELAY, 1) // netpoll sets it only on connections of its own type, not on an acceptedConn
 	return &acceptedConn{fd: fd, local: l.Addr(), remote: tcpAddr(peer)}, nil
 }
 
--- a/internal/socket/outbox.go
+++ b/internal/socket/outbox.go
@@ -10,8 +10,8 @@
 	"bramblefall/internal/crash"
 )
 
-// MaxQueuedBytes is how many bytes may be queued for one peer once the shared backlog is full. Callers whose peers need more must
-// send less.
+// MaxQueuedBytes is how many bytes may be queued for one peer once the shared backlog is full. A caller that has more for a peer must
+// shorten it.
 const MaxQueuedBytes = 256 << 10
 
 const (
@@ -42,7 +42,7 @@
 	stopped        bool
 }
 
-// chunk is data that is sent that many times in a row.
+// chunk is data that is sent one or more times in a row.
 type chunk struct {
 	data  []byte
 	times int
@@ -85,7 +85,7 @@
 // still open: nothing is sent after the close.
 func (o *Outbox) WriteUnbounded(b []byte) bool { return o.WriteRepeated(b, 1) }
 
-// WriteRepeated is WriteUnbounded for b sent so many times in a row, holding its bytes only once.
+// WriteRepeated is WriteUnbounded for times copies of b in a row; the outbox holds the bytes of b only once.
 func (o *Outbox) WriteRepeated(b []byte, times int) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/upstream/late_test.go
+++ b/internal/upstream/late_test.go
@@ -19,7 +19,7 @@
 func (command) Gone() bool                                     { return false }
 
 // A try that expires before it can be sent must not be reported as Unsent, which means a shortage of descriptors, ports or
-// buffers: the module would then hold back requests beyond the attempts that happen to be in flight.
+// buffers: the module would then hold back requests beyond the number of tries that happen to be in flight.
 func TestExpiredTryIsNotReportedAsShortage(t *testing.T) {
 	var outcomes []core.Outcome
 	pool := New(logic.Settings{}, 1, func(ev core.Event) {
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -78,7 +78,7 @@
 	waitEnds  time.Duration // end of the wait for an answer; the server is told the remaining time
 	sendUntil time.Duration // no byte may be sent from then on
 	sendState sendState
-	carrier   *connection // carries the try; nil until its command is written
+	carrier   *connection // carries the try from the start of its write; nil before that and after its end
 	done      bool        // its outcome has been reported
 }
 
