--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -1,4 +1,4 @@
-// Package counter speaks the lines of the quota counter.
+// Package counter is a client of the quota counter's line protocol.
 package counter
 
 import (
@@ -16,124 +16,126 @@
 )
 
 const (
-	dialLimit   = 250 * time.Millisecond
-	pingEvery   = 2 * time.Second        // the counter closes a connection that is idle for longer
-	stuckAfter  = 300 * time.Millisecond // without a byte while answers are due: this connection brings none any more
-	tendEvery   = 50 * time.Millisecond
-	redialEvery = 200 * time.Millisecond
-	mostCalls   = 4096 // on their way
-	mostLine    = 64   // an answer's
+	dialTimeout      = 250 * time.Millisecond
+	pingInterval     = 2 * time.Second        // the counter closes connections that are idle for longer
+	stallTimeout     = 300 * time.Millisecond // without a byte while answers are due: the connection is considered dead
+	maintainInterval = 50 * time.Millisecond
+	redialInterval   = 200 * time.Millisecond
+	maxPendingCalls  = 4096 // per connection, and while waiting for one
+	maxAnswerBytes   = 64   // of one answer line
 )
 
-// Client makes the calls to one counter over one connection: answers come in the calls' order, and the calls for one name
-// must, too.
+// Client calls one counter over one connection. Answers arrive in the order of the calls, and the calls for one name must
+// be sent in order, too.
 type Client struct {
 	set *Set
 
-	mu      sync.Mutex
-	lazy    bool // it is one of several: connected while it is called
-	called  time.Time
-	addr    string // "": there is none
-	link    *link  // takes the calls
-	old     *link  // to an address that was left: it only brings the answers that are due
-	dialing bool
-	dialed  time.Time
-	waiting []core.Count // for the connection
+	mu       sync.Mutex
+	onDemand bool // one of several counters: connected only while it is called
+	lastCall time.Time
+	addr     string      // "": no address is known
+	current  *connection // new calls are sent on it
+	previous *connection // to the address before the last SetAddress: kept only for its pending answers
+	dialing  bool
+	lastDial time.Time
+	queued   []core.Count // calls that wait for a connection
 }
 
-// link is one connection to the counter.
-type link struct {
-	client *Client
-	addr   string
-	conn   *socket.Conn
-	out    *socket.Outbox
-	buf    []byte // owned by the reading side
-	sent   []call
-	ended  bool
-	made   time.Time
-	wrote  time.Time
-	heard  time.Time
+// connection is a connection to the counter. Client.mu guards its fields, except readBuf.
+type connection struct {
+	client      *Client
+	addr        string
+	sock        *socket.Conn
+	outbox      *socket.Outbox
+	readBuf     []byte // used only by onReadable
+	pending     []call
+	closed      bool
+	established time.Time
+	lastWrite   time.Time
+	lastRead    time.Time
 }
 
 type call struct {
-	id   uint64 // 0: a ping
-	made time.Time
+	id     uint64 // 0: a ping
+	sentAt time.Time
 }
 
-// Move makes the calls at another address from now on. The connection to the old one is used until the new one
-// is up, and then kept for the answers that are due on it: no call is lost to the change.
-func (c *Client) Move(addr string) {
+// SetAddress changes the counter's address. The connection to the old address is used until the new one is established, and
+// is then kept for its pending answers, so that no call is lost to the change.
+func (c *Client) SetAddress(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if addr != c.addr {
-		c.addr, c.dialed = addr, time.Time{}
-		c.tend()
+		c.addr, c.lastDial = addr, time.Time{}
+		c.maintain()
 	}
 }
 
-// tend leaves a connection that has gone silent, dials, and keeps an idle one from being closed.
-func (c *Client) tend() {
-	for _, l := range []*link{c.old, c.link} {
-		if l == nil {
+// maintain closes connections that are stalled or no longer needed, pings the current one before the counter would close
+// it as idle, and dials if there is none to the current address.
+func (c *Client) maintain() {
+	for _, conn := range []*connection{c.previous, c.current} {
+		if conn == nil {
 			continue
 		}
-		if len(l.sent) > 0 && time.Since(l.sent[0].made) > stuckAfter && time.Since(l.heard) > stuckAfter {
-			slog.Warn("the counter is silent, connecting anew")
-			l.end()
-		} else if c.lazy && len(l.sent) == 0 && time.Since(c.called) > c.set.rests() {
-			l.end()
-		} else if l == c.link && time.Since(l.wrote) > pingEvery {
-			l.write([]byte("ping\r\n"), call{made: time.Now()})
+		if len(conn.pending) > 0 && time.Since(conn.pending[0].sentAt) > stallTimeout && time.Since(conn.lastRead) > stallTimeout {
+			slog.Warn("no bytes from the counter while answers are due, reconnecting")
+			conn.disconnect()
+		} else if c.onDemand && len(conn.pending) == 0 && time.Since(c.lastCall) > c.set.currentIdleTimeout() {
+			conn.disconnect()
+		} else if conn == c.current && time.Since(conn.lastWrite) > pingInterval {
+			conn.send([]byte("ping\r\n"), call{sentAt: time.Now()})
 		}
 	}
-	if c.addr != "" && (c.link == nil || c.link.addr != c.addr) && !c.dialing && time.Since(c.dialed) > redialEvery &&
-		(!c.lazy || len(c.waiting) > 0) {
-		if c.set.open.Add(1) > int64(c.set.most) {
+	if c.addr != "" && (c.current == nil || c.current.addr != c.addr) && !c.dialing && time.Since(c.lastDial) > redialInterval &&
+		(!c.onDemand || len(c.queued) > 0) {
+		if c.set.open.Add(1) > int64(c.set.maxOpen) {
 			c.set.open.Add(-1)
-			c.drop()
+			c.failQueued()
 			return
 		}
-		c.dialing, c.dialed = true, time.Now()
+		c.dialing, c.lastDial = true, time.Now()
 		addr := c.addr
 		crash.Go(func() { c.dial(addr) })
 	}
 }
 
-// Count makes a call. Without a connection it waits for one, for as long as the reducer does.
+// Count sends a call. Without a connection the call is queued until one is established; it is not sent once the reducer
+// no longer waits for it.
 func (c *Client) Count(e core.Count) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.called = time.Now()
-	if c.link != nil {
-		c.link.add(e)
+	c.lastCall = time.Now()
+	if c.current != nil {
+		c.current.sendAdd(e)
 		return
 	}
-	if c.addr == "" || len(c.waiting) >= mostCalls { // the settings may promise a counter that has no address
+	if c.addr == "" || len(c.queued) >= maxPendingCalls { // a counter in the settings may have no address
 		c.fail(e.Call, logic.ConnectFailed)
 		return
 	}
-	c.waiting = append(c.waiting, e)
-	c.tend()
+	c.queued = append(c.queued, e)
+	c.maintain()
 }
 
-// drop fails what waits for a connection.
-func (c *Client) drop() {
-	waiting := c.waiting
-	c.waiting = nil
-	for _, e := range waiting {
+// failQueued fails the calls that wait for a connection.
+func (c *Client) failQueued() {
+	queued := c.queued
+	c.queued = nil
+	for _, e := range queued {
 		c.fail(e.Call, logic.ConnectFailed)
 	}
 }
 
-// leave ends the connections: the counter is not called any more.
-func (c *Client) leave() {
+// stop closes the connections and fails all calls: the counter is no longer in use.
+func (c *Client) stop() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.addr = ""
-	c.drop()
-	for _, l := range []*link{c.old, c.link} {
-		if l != nil {
-			l.end()
+	c.failQueued()
+	for _, conn := range []*connection{c.previous, c.current} {
+		if conn != nil {
+			conn.disconnect()
 		}
 	}
 }
@@ -145,127 +147,129 @@
 }
 
 func (c *Client) dial(addr string) {
-	conn, err := socket.Dial(addr, dialLimit)
+	sock, err := socket.Dial(addr, dialTimeout)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.dialing = false
-	if addr != c.addr { // moved meanwhile
+	if addr != c.addr { // the address changed during the dial
 		c.set.open.Add(-1)
 		if err == nil {
-			crash.Go(conn.Close)
+			crash.Go(sock.Close)
 		}
-		c.tend()
+		c.maintain()
 		return
 	}
 	if err != nil {
 		c.set.open.Add(-1)
 		slog.Info("cannot connect to the counter", "addr", addr, "err", err)
-		c.drop()
+		c.failQueued()
 		return
 	}
-	waiting := c.waiting
-	c.waiting = nil
+	queued := c.queued
+	c.queued = nil
 	slog.Info("connected to the counter", "addr", addr)
-	l := &link{client: c, addr: addr, conn: conn, out: socket.NewOutbox(conn, nil, nil), made: time.Now(), wrote: time.Now()}
-	c.replace(l)
-	conn.Serve(l.onRequest, l.closed)
-	for _, e := range waiting {
-		l.add(e)
+	current := &connection{client: c, addr: addr, sock: sock, outbox: socket.NewOutbox(sock, nil, nil), established: time.Now(), lastWrite: time.Now()}
+	c.setCurrent(current)
+	sock.Serve(current.onReadable, current.onClosed)
+	for _, e := range queued {
+		current.sendAdd(e)
 	}
 }
 
-// replace takes a new connection. One to an address that was left is kept for as long as answers are due on it.
-func (c *Client) replace(l *link) {
-	older, left := c.old, c.link
-	c.old, c.link = left, l
+// setCurrent makes a new connection the current one. The former one is kept as long as answers are due on it.
+func (c *Client) setCurrent(conn *connection) {
+	older, former := c.previous, c.current
+	c.previous, c.current = former, conn
 	if older != nil {
-		older.end()
+		older.disconnect()
 	}
-	if left != nil && len(left.sent) == 0 {
-		left.end()
+	if former != nil && len(former.pending) == 0 {
+		former.disconnect()
 	}
 }
 
-// add writes a call, unless the reducer has given up on it already: it must not be counted after that.
-func (l *link) add(e core.Count) {
-	if l.client.set.now() >= e.Until {
+// sendAdd sends a call, unless its deadline has passed: the reducer no longer waits for it, and it must not be counted
+// after that.
+func (conn *connection) sendAdd(e core.Count) {
+	if conn.client.set.now() >= e.Until {
 		return
 	}
-	if len(l.sent) >= mostCalls {
-		l.client.fail(e.Call, logic.ConnectFailed)
+	if len(conn.pending) >= maxPendingCalls {
+		conn.client.fail(e.Call, logic.ConnectFailed)
 		return
 	}
 	b := strconv.AppendUint([]byte("add "), e.Name, 16)
 	b = strconv.AppendFloat(append(b, ' '), e.Amount, 'f', -1, 64)
 	b = strconv.AppendInt(append(b, ' '), max(1, e.Lives.Milliseconds()), 10)
-	l.write(append(b, "\r\n"...), call{e.Call, time.Now()})
+	conn.send(append(b, "\r\n"...), call{e.Call, time.Now()})
 }
 
-func (l *link) write(line []byte, c call) {
-	l.wrote = c.made
-	l.sent = append(l.sent, c)
-	if l.out.Write(line) != nil {
-		l.end()
+func (conn *connection) send(line []byte, c call) {
+	conn.lastWrite = c.sentAt
+	conn.pending = append(conn.pending, c)
+	if conn.outbox.Write(line) != nil {
+		conn.disconnect()
 	}
 }
 
-// end gives up the connection: its calls may have been added, or may yet be.
-func (l *link) end() {
-	if l.ended {
+// disconnect ends the connection and fails its pending calls with logic.Reset: the counter may have added them, or may yet do so.
+func (conn *connection) disconnect() {
+	if conn.closed {
 		return
 	}
-	l.ended = true
-	l.client.set.open.Add(-1)
-	if time.Since(l.made) > redialEvery { // it stood: the next is made at once
-		l.client.dialed = time.Time{}
+	conn.closed = true
+	conn.client.set.open.Add(-1)
+	if time.Since(conn.established) > redialInterval { // it was stable: dial again without waiting
+		conn.client.lastDial = time.Time{}
 	}
-	switch l {
-	case l.client.link:
-		l.client.link = nil
-	case l.client.old:
-		l.client.old = nil
+	switch conn {
+	case conn.client.current:
+		conn.client.current = nil
+	case conn.client.previous:
+		conn.client.previous = nil
 	}
-	for _, s := range l.sent {
-		l.client.fail(s.id, logic.Reset)
+	for _, s := range conn.pending {
+		conn.client.fail(s.id, logic.Reset)
 	}
-	l.sent = nil
-	crash.Go(l.conn.Discard)
-	l.client.tend()
+	conn.pending = nil
+	crash.Go(conn.sock.Discard)
+	conn.client.maintain()
 }
 
-func (l *link) closed() {
-	l.client.mu.Lock()
-	defer l.client.mu.Unlock()
-	l.end()
+func (conn *connection) onClosed() {
+	conn.client.mu.Lock()
+	defer conn.client.mu.Unlock()
+	conn.disconnect()
 }
 
-func (l *link) onRequest() {
-	if l.conn.Take(func(b []byte) { l.buf = append(l.buf, b...) }) != nil {
+func (conn *connection) onReadable() {
+	if conn.sock.Take(func(b []byte) { conn.readBuf = append(conn.readBuf, b...) }) != nil {
 		return
 	}
-	l.client.mu.Lock()
-	defer l.client.mu.Unlock()
-	l.heard = time.Now()
-	for !l.ended {
-		line, rest, ok := bytes.Cut(l.buf, []byte("\r\n"))
+	conn.client.mu.Lock()
+	defer conn.client.mu.Unlock()
+	conn.lastRead = time.Now()
+	for !conn.closed {
+		line, rest, ok := bytes.Cut(conn.readBuf, []byte("\r\n"))
 		if !ok {
 			break
 		}
-		l.answer(line)
-		l.buf = l.buf[:copy(l.buf, rest)]
+		conn.handleAnswer(line)
+		conn.readBuf = conn.readBuf[:copy(conn.readBuf, rest)]
 	}
-	if l == l.client.old && len(l.sent) == 0 {
-		l.end()
+	if conn == conn.client.previous && len(conn.pending) == 0 {
+		conn.disconnect()
 	}
-	if !begins(l.buf) {
-		l.end()
+	if !isAnswerPrefix(conn.readBuf) {
+		conn.disconnect()
 	}
 }
 
-// begins tells whether bytes may be the start of an answer. Guards against noise whose end never comes.
-func begins(b []byte) bool {
+// isAnswerPrefix reports whether b may be the start of an answer. It keeps a peer that sends something else, without any
+// line end, from filling the buffer.
+func isAnswerPrefix(b []byte) bool {
 	if text, ok := bytes.CutPrefix(b, []byte("ok ")); ok {
-		return len(b) <= mostLine && len(bytes.Trim(text, "0123456789+-.eE\r")) == 0
+		return len(b) <= maxAnswerBytes && len(bytes.Trim(text, "0123456789+-.eE\r")) == 0
 	}
 	for _, word := range []string{"ok ", "busy\r", "error\r", "pong\r"} {
 		if n := min(len(b), len(word)); string(b[:n]) == word[:n] && len(b) <= len(word) {
@@ -275,33 +279,33 @@
 	return false
 }
 
-// answer takes the line that answers the oldest call. What cannot be read ends the connection: the call may have
-// been added, and nothing that comes after it can be told to be an answer.
-func (l *link) answer(line []byte) {
-	if len(l.sent) == 0 {
-		l.end() // an answer to nothing: the order is lost
+// handleAnswer handles the answer to the oldest pending call. A line that cannot be parsed closes the connection: the call
+// may have been added, and what follows cannot be matched to a call.
+func (conn *connection) handleAnswer(line []byte) {
+	if len(conn.pending) == 0 {
+		conn.disconnect() // no call is pending: answers can no longer be matched to calls
 		return
 	}
-	s := l.sent[0]
-	l.sent = l.sent[1:]
+	s := conn.pending[0]
+	conn.pending = conn.pending[1:]
 	if text, ok := bytes.CutPrefix(line, []byte("ok ")); ok {
 		if total, err := strconv.ParseFloat(string(text), 64); err == nil && !math.IsNaN(total) && !math.IsInf(total, 0) {
 			if s.id != 0 {
-				l.client.set.post(core.CountResult{Call: s.id, Status: logic.OK, Total: total})
+				conn.client.set.post(core.CountResult{Call: s.id, Status: logic.OK, Total: total})
 			}
 			return
 		}
 	}
 	switch string(line) {
 	case "busy":
-		l.client.fail(s.id, logic.Full)
+		conn.client.fail(s.id, logic.Full)
 	case "error":
-		l.client.fail(s.id, logic.Error)
-	case "pong": // a ping's: a call has no such answer
-		l.client.fail(s.id, logic.Reset)
+		conn.client.fail(s.id, logic.Error)
+	case "pong": // answers a ping, whose id is 0; it is no answer to a call
+		conn.client.fail(s.id, logic.Reset)
 	default:
-		l.client.fail(s.id, logic.Reset)
-		slog.Warn("the counter's answer cannot be read, connecting anew", "bytes", len(line))
-		l.end()
+		conn.client.fail(s.id, logic.Reset)
+		slog.Warn("cannot parse the counter's answer, want ok TOTAL, busy, error or pong; reconnecting", "bytes", len(line))
+		conn.disconnect()
 	}
 }
--- a/internal/counter/set.go
+++ b/internal/counter/set.go
@@ -13,51 +13,52 @@
 )
 
 const (
-	restAfter = 6 * time.Second        // one of several counters is left when nobody has called it for so long
-	restSoon  = 500 * time.Millisecond // where connections are short
-	mostLinks = 32                     // that fit in the program's own descriptors
+	idleTimeout        = 6 * time.Second        // without a call, after which the connection to one of several counters is closed
+	shortIdleTimeout   = 500 * time.Millisecond // when three quarters of the allowed connections are open
+	minConnectionLimit = 32                     // fit in the descriptors that the program reserves for itself
 )
 
-// Set makes the calls to all counters, with a client for each.
+// Set calls all counters, with one Client for each.
 type Set struct {
-	post func(core.Event)
-	now  func() time.Duration // the reducer's clock
-	most int                  // connections
-	open atomic.Int64         // connections, and dials for them
+	post    func(core.Event)
+	now     func() time.Duration // the reducer's clock
+	maxOpen int                  // limit of open
+	open    atomic.Int64         // connections, including dials in progress
 
 	mu      sync.Mutex
 	clients map[int]*Client
 }
 
-// Connections is how many a limiter keeps to so many counters, of so many descriptors.
+// Connections is how many connections a limiter may keep to the given number of counters, with sockets descriptors in all.
 func Connections(counters, sockets int) int {
-	return max(mostLinks, min(2*counters, sockets/4))
+	return max(minConnectionLimit, min(2*counters, sockets/4))
 }
 
-// New makes the clients of the counter at an address, number 0, and of those that Reach names later. It keeps to so many
-// connections.
-func New(addr string, most int, post func(core.Event), now func() time.Duration) *Set {
-	s := &Set{post: post, now: now, most: most, clients: map[int]*Client{}}
+// New returns a Set with one counter, number 0, at addr. Reach adds others. The Set opens at most the given number of
+// connections; post receives the results, and now is the reducer's clock.
+func New(addr string, maxOpen int, post func(core.Event), now func() time.Duration) *Set {
+	s := &Set{post: post, now: now, maxOpen: maxOpen, clients: map[int]*Client{}}
 	s.clients[0] = &Client{set: s, addr: addr}
 	return s
 }
 
-// rests is after how long without a call a connection to one of several counters is closed.
-func (s *Set) rests() time.Duration {
-	if s.open.Load() >= int64(s.most)*3/4 {
-		return restSoon
+// currentIdleTimeout is the time without a call after which the connection to one of several counters is closed. It is
+// shorter when connections run short, so that other counters can be reached.
+func (s *Set) currentIdleTimeout() time.Duration {
+	if s.open.Load() >= int64(s.maxOpen)*3/4 {
+		return shortIdleTimeout
 	}
-	return restAfter
+	return idleTimeout
 }
 
-// Run keeps the connections up until the context ends.
+// Run maintains the connections until the context ends.
 func (s *Set) Run(ctx context.Context) {
-	tick := time.NewTicker(tendEvery)
+	tick := time.NewTicker(maintainInterval)
 	defer tick.Stop()
 	for {
-		for _, c := range s.all() {
+		for _, c := range s.allClients() {
 			c.mu.Lock()
-			c.tend()
+			c.maintain()
 			c.mu.Unlock()
 		}
 		select {
@@ -68,30 +69,30 @@
 	}
 }
 
-func (s *Set) all() []*Client {
+func (s *Set) allClients() []*Client {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Collect(maps.Values(s.clients))
 }
 
-// Move makes the calls to the one counter at another address.
+// Move changes the address of counter 0.
 func (s *Set) Move(addr string) {
 	s.mu.Lock()
 	c := s.clients[0]
 	s.mu.Unlock()
 	if c != nil {
-		c.Move(addr)
+		c.SetAddress(addr)
 	}
 }
 
-// Reach takes the counters that may be called from now on, by number.
+// Reach sets the addresses of the counters that may be called from now on, by number. Clients of other counters are closed.
 func (s *Set) Reach(list map[int]string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for number, c := range s.clients {
 		if list[number] != c.addr {
 			delete(s.clients, number)
-			c.leave()
+			c.stop()
 		}
 	}
 	for number, addr := range list {
@@ -101,17 +102,17 @@
 			s.clients[number] = c
 		}
 		c.mu.Lock()
-		c.lazy = true
+		c.onDemand = true
 		c.mu.Unlock()
 	}
 }
 
-// Count makes a call.
+// Count sends a call to the counter that it names, or fails it if that counter is no longer in use.
 func (s *Set) Count(e core.Count) {
 	s.mu.Lock()
 	c := s.clients[e.Counter]
 	s.mu.Unlock()
-	if c == nil { // left meanwhile
+	if c == nil { // removed since the call was decided
 		s.post(core.CountResult{Call: e.Call, Status: logic.ConnectFailed})
 		return
 	}
--- a/internal/counter/set_test.go
+++ b/internal/counter/set_test.go
@@ -18,38 +18,38 @@
 	"bramblefall/logic"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// hollow is a counter that answers every call with 1 and counts its connections.
-type hollow struct {
-	addr         string
-	conns, calls atomic.Int64
-	open         atomic.Int64
+// fakeCounter answers every call with a total of 1, and counts its connections and calls.
+type fakeCounter struct {
+	addr            string
+	accepted, calls atomic.Int64
+	open            atomic.Int64
 
-	mu   sync.Mutex
-	took time.Duration // by each call
-	free time.Time
+	mu           sync.Mutex
+	callDuration time.Duration // how long each call occupies the counter; 0: calls are answered at once
+	freeAt       time.Time
 }
 
-// turn waits until a call has had its turn.
-func (h *hollow) turn() {
-	if h.took == 0 {
+// waitTurn waits until the calls before this one, and this one, have been processed.
+func (h *fakeCounter) waitTurn() {
+	if h.callDuration == 0 {
 		return
 	}
 	h.mu.Lock()
-	if now := time.Now(); h.free.Before(now.Add(-10 * h.took)) {
-		h.free = now
+	if now := time.Now(); h.freeAt.Before(now.Add(-10 * h.callDuration)) {
+		h.freeAt = now
 	}
-	h.free = h.free.Add(h.took)
-	at := h.free
+	h.freeAt = h.freeAt.Add(h.callDuration)
+	at := h.freeAt
 	h.mu.Unlock()
 	time.Sleep(time.Until(at))
 }
 
-func newHollow(t testing.TB) *hollow {
+func newFakeCounter(t testing.TB) *fakeCounter {
 	l, err := loopback.Listen()
 	require.NoError(t, err)
-	h := &hollow{addr: l.Addr().String()}
+	h := &fakeCounter{addr: l.Addr().String()}
 	t.Cleanup(func() { _ = l.Close() })
 	go func() {
 		for {
@@ -57,7 +57,7 @@
 			if err != nil {
 				return
 			}
-			h.conns.Add(1)
+			h.accepted.Add(1)
 			h.open.Add(1)
 			go func() {
 				defer h.open.Add(-1)
@@ -65,7 +65,7 @@
 				for lines := bufio.NewScanner(conn); lines.Scan(); {
 					answer := "pong"
 					if strings.HasPrefix(lines.Text(), "add ") {
-						h.turn()
+						h.waitTurn()
 						h.calls.Add(1)
 						answer = "ok 1"
 					}
@@ -79,21 +79,21 @@
 	return h
 }
 
-// caller is a set whose answers are kept by call.
-type caller struct {
+// testSet is a Set that records the status of each call by its id.
+type testSet struct {
 	*Set
-	mu      sync.Mutex
-	answers map[uint64]logic.Status
-	after   func(core.CountResult) // nil: the answers are kept
+	mu       sync.Mutex
+	answers  map[uint64]logic.Status
+	onResult func(core.CountResult) // receives the results; nil: they are recorded in answers
 }
 
-func newCaller(t testing.TB, most int, addr string) *caller {
-	c := &caller{answers: map[uint64]logic.Status{}}
+func newTestSet(t testing.TB, most int, addr string) *testSet {
+	c := &testSet{answers: map[uint64]logic.Status{}}
 	began := time.Now()
 	c.Set = New(addr, most, func(ev core.Event) {
 		e := ev.(core.CountResult)
-		if c.after != nil {
-			c.after(e)
+		if c.onResult != nil {
+			c.onResult(e)
 			return
 		}
 		c.mu.Lock()
@@ -106,22 +106,22 @@
 	return c
 }
 
-func (c *caller) call(id uint64, counter int) {
+func (c *testSet) call(id uint64, counter int) {
 	c.Count(core.Count{Call: id, Counter: counter, Name: id, Amount: 1, Lives: time.Second, Until: time.Hour})
 }
 
-func (c *caller) answered() int {
+func (c *testSet) answered() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.answers)
 }
 
-// Three hundred limiters that find a new counter at the same moment make a connection each, and no call twice.
-func TestManyThatFindACounterAtOnce(t *testing.T) {
-	old, next := newHollow(t), newHollow(t)
-	var all []*caller
+// Three hundred limiters that learn of a new counter at the same moment open one connection each and send no call twice.
+func TestManyLimitersConnectToNewCounterAtOnce(t *testing.T) {
+	old, next := newFakeCounter(t), newFakeCounter(t)
+	var all []*testSet
 	for range 300 {
-		c := newCaller(t, mostLinks, old.addr)
+		c := newTestSet(t, minConnectionLimit, old.addr)
 		c.Reach(map[int]string{0: old.addr, 1: next.addr})
 		all = append(all, c)
 	}
@@ -131,21 +131,22 @@
 		}
 	}
 	for _, c := range all {
-		require.Eventually(t, func() bool { return c.answered() == 4 }, patience, time.Millisecond)
+		require.Eventually(t, func() bool { return c.answered() == 4 }, testTimeout, time.Millisecond)
 	}
-	require.EqualValues(t, 300, next.conns.Load())
+	require.EqualValues(t, 300, next.accepted.Load())
 	require.EqualValues(t, 1200, next.calls.Load())
 }
 
-// More counters than connections: the calls that find no place fail at once, and connections that rest make place.
+// With more counters than connections, calls that find no free connection fail at once, and idle connections are closed to
+// make room.
 func TestConnectionsAreBounded(t *testing.T) {
-	const counters, most = 48, 8
-	list, hollows := map[int]string{}, []*hollow{}
+	const counters, maxOpen = 48, 8
+	list, fakes := map[int]string{}, []*fakeCounter{}
 	for k := range counters {
-		h := newHollow(t)
-		hollows, list[k] = append(hollows, h), h.addr
+		h := newFakeCounter(t)
+		fakes, list[k] = append(fakes, h), h.addr
 	}
-	c := newCaller(t, most, list[0])
+	c := newTestSet(t, maxOpen, list[0])
 	c.Reach(list)
 	id := uint64(0)
 	reached := map[int]bool{}
@@ -156,24 +157,24 @@
 				c.call(id, k)
 			}
 		}
-		for k, h := range hollows {
+		for k, h := range fakes {
 			reached[k] = reached[k] || h.calls.Load() > 0
 		}
-		require.LessOrEqual(t, c.open.Load(), int64(most))
-		return len(reached) == counters && all(reached)
-	}, patience, 20*time.Millisecond)
-	require.Eventually(t, func() bool { return c.answered() == int(id) }, patience, time.Millisecond, "each call has its answer")
+		require.LessOrEqual(t, c.open.Load(), int64(maxOpen))
+		return len(reached) == counters && allTrue(reached)
+	}, testTimeout, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return c.answered() == int(id) }, testTimeout, time.Millisecond, "every call has a result")
 	c.Reach(map[int]string{0: list[0]})
 	require.Eventually(t, func() bool {
 		open := int64(0)
-		for _, h := range hollows[1:] {
+		for _, h := range fakes[1:] {
 			open += h.open.Load()
 		}
 		return open == 0
-	}, patience, time.Millisecond, "counters that are left have no connection")
+	}, testTimeout, time.Millisecond, "removed counters have no connection")
 }
 
-func all(m map[int]bool) bool {
+func allTrue(m map[int]bool) bool {
 	for _, v := range m {
 		if !v {
 			return false
@@ -182,14 +183,15 @@
 	return true
 }
 
-// BenchmarkCalls has ten limiters' sets call, over sockets, counters of which each bears what the platform's does, 660 a second.
+// BenchmarkCalls measures ten limiters' sets calling counters over sockets. Each counter processes 660 calls a second, as
+// the platform's does.
 func BenchmarkCalls(b *testing.B) {
 	for _, n := range []int{1, 2, 4, 8, 16} {
 		b.Run(fmt.Sprintf("counters=%d", n), func(b *testing.B) {
 			var list []string
 			for range n {
-				h := newHollow(b)
-				h.took = time.Second / 660
+				h := newFakeCounter(b)
+				h.callDuration = time.Second / 660
 				list = append(list, h.addr)
 			}
 			ring := sharding.New(list)
@@ -197,18 +199,18 @@
 			done := make(chan struct{}, b.N)
 			b.ResetTimer()
 			for k := range 10 {
-				c := newCaller(b, mostLinks, list[0])
+				c := newTestSet(b, minConnectionLimit, list[0])
 				next := func() {
 					if id := uint64(made.Add(1)); id <= uint64(b.N) {
 						c.call(id, ring.Of(0, id, 0).To[0])
 					}
 				}
-				c.after = func(e core.CountResult) {
+				c.onResult = func(e core.CountResult) {
 					if e.Status != logic.OK {
 						b.Errorf("call %d of set %d: %v", e.Call, k, e.Status)
 					}
 					done <- struct{}{}
-					go next() // the answer comes under the client's lock
+					go next() // onResult runs under the client's lock
 				}
 				c.Reach(ring.Addresses())
 				for range 16 * n {
@@ -223,8 +225,8 @@
 	}
 }
 
-// A counter that ends each connection as it comes is not connected to again and again without a pause.
-func TestAConnectionThatEndsAtOnceIsNotMadeAgainAtOnce(t *testing.T) {
+// A counter that closes each connection right after accepting it is dialed at most once per redialInterval.
+func TestImmediateDisconnectIsNotRedialedAtOnce(t *testing.T) {
 	t.Parallel()
 	l, err := loopback.Listen()
 	require.NoError(t, err)
@@ -233,12 +235,12 @@
 	go func() {
 		for conn, err := l.Accept(); err == nil; conn, err = l.Accept() {
 			conns.Add(1)
-			time.Sleep(time.Millisecond) // the dial has come about
+			time.Sleep(time.Millisecond) // lets the dial succeed first
 			_ = conn.Close()
 		}
 	}()
 	ctx, stop := context.WithTimeout(context.Background(), time.Second)
 	defer stop()
 	New(l.Addr().String(), 32, func(core.Event) {}, func() time.Duration { return 0 }).Run(ctx)
-	require.LessOrEqual(t, conns.Load(), int64(time.Second/redialEvery)+1)
+	require.LessOrEqual(t, conns.Load(), int64(time.Second/redialInterval)+1)
 }
--- a/internal/crash/crash.go
+++ b/internal/crash/crash.go
@@ -1,5 +1,5 @@
-// Package crash makes a panic say why before the program ends: one structured line with the stack, then the exit.
-// Nothing is swallowed. netpoll's goroutine pool would otherwise recover a panic of ours and go on with half a state.
+// Package crash logs a panic as one structured line with the stack and then exits. No panic is swallowed: netpoll's
+// goroutine pool would otherwise recover it, and the program would go on with inconsistent state.
 package crash
 
 import (
@@ -10,18 +10,19 @@
 	"time"
 )
 
-// Status is what the program ends with after a panic, as the Go runtime's own.
-const Status = 2
+// ExitStatus is the program's exit status after a panic, the same as the Go runtime's.
+const ExitStatus = 2
 
-// Guard is deferred at the head of every goroutine and of every callback that a library's goroutine makes.
+// Guard logs a panic and exits. It must be deferred first in every goroutine, and in every callback that runs on a
+// library's goroutine.
 func Guard() {
 	if v := recover(); v != nil {
 		slog.Error("panic", "value", fmt.Sprint(v), "stack", string(debug.Stack()))
-		os.Exit(Status)
+		os.Exit(ExitStatus)
 	}
 }
 
-// Go runs f in a goroutine of its own.
+// Go runs f in a new goroutine under Guard.
 func Go(f func()) {
 	go func() {
 		defer Guard()
@@ -29,7 +30,7 @@
 	}()
 }
 
-// AfterFunc is time.AfterFunc with the guard.
+// AfterFunc is time.AfterFunc with f under Guard.
 func AfterFunc(d time.Duration, f func()) *time.Timer {
 	return time.AfterFunc(d, func() {
 		defer Guard()
--- a/internal/crash/crash_test.go
+++ b/internal/crash/crash_test.go
@@ -15,8 +15,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A panic in a goroutine or a timer ends the process with its status and one line that holds the stack.
-func TestPanicLeavesOneLineAndEndsTheProgram(t *testing.T) {
+// A panic in a goroutine or a timer ends the process with ExitStatus and one log line that holds the value and the stack.
+// The test runs itself as a child process, with LASTWORDS naming where to panic.
+func TestPanicLogsOneLineAndExits(t *testing.T) {
 	switch os.Getenv("LASTWORDS") {
 	case "goroutine":
 		Go(func() { panic("no such plan\nat all") })
@@ -25,23 +26,24 @@
 		AfterFunc(1, func() { panic("no such plan\nat all") })
 		select {}
 	}
-	for _, where := range []string{"goroutine", "timer"} {
-		cmd := exec.Command(os.Args[0], "-test.run", "TestPanicLeavesOneLine")
-		cmd.Env = append(os.Environ(), "LASTWORDS="+where)
+	for _, source := range []string{"goroutine", "timer"} {
+		cmd := exec.Command(os.Args[0], "-test.run", "TestPanicLogsOneLine")
+		cmd.Env = append(os.Environ(), "LASTWORDS="+source)
 		out, err := cmd.CombinedOutput()
-		var ended *exec.ExitError
-		require.ErrorAs(t, err, &ended, where)
-		require.Equal(t, Status, ended.ExitCode(), where)
-		require.Equal(t, 1, strings.Count(string(out), "\n"), "%s: %s", where, out)
+		var exitErr *exec.ExitError
+		require.ErrorAs(t, err, &exitErr, source)
+		require.Equal(t, ExitStatus, exitErr.ExitCode(), source)
+		require.Equal(t, 1, strings.Count(string(out), "\n"), "%s: %s", source, out)
 		require.Contains(t, string(out), `no such plan\nat all`)
 		require.Contains(t, string(out), "crash_test.go")
 	}
 }
 
-// Every goroutine and timer of the limiter is guarded, and no package but socket touches a netpoll connection.
+// Every goroutine and timer of the limiter is started through crash, and only package socket uses netpoll's readers and
+// writers.
 func TestEveryGoroutineIsGuardedAndEveryWriteGoesThroughSocket(t *testing.T) {
-	seen := 0
-	// The packages of the project's own that the limiter links: stand-ins and the lab are none of them.
+	filesChecked := 0
+	// The project's packages that the limiter links. The stand-ins and the lab are not among them.
 	out, err := exec.Command("go", "list", "-deps", "-f", "{{if not .Standard}}{{.ImportPath}} {{.Dir}}{{end}}", "bramblefall/cmd/bramblefall").Output()
 	require.NoError(t, err)
 	for _, line := range strings.Split(string(out), "\n") {
@@ -58,7 +60,7 @@
 				strings.HasSuffix(path, ".pb.go") {
 				return err
 			}
-			seen++
+			filesChecked++
 			files := token.NewFileSet()
 			f, err := parser.ParseFile(files, path, nil, 0)
 			if err != nil {
@@ -68,14 +70,14 @@
 			ast.Inspect(f, func(n ast.Node) bool {
 				switch n := n.(type) {
 				case *ast.GoStmt:
-					require.Equal(t, "crash", dir, "a bare go statement: %s", files.Position(n.Pos()))
+					require.Equal(t, "crash", dir, "go statement outside of package crash: %s", files.Position(n.Pos()))
 				case *ast.SelectorExpr:
 					x, _ := n.X.(*ast.Ident)
 					if x != nil && x.Name == "time" && n.Sel.Name == "AfterFunc" {
-						require.Equal(t, "crash", dir, "a bare timer: %s", files.Position(n.Pos()))
+						require.Equal(t, "crash", dir, "time.AfterFunc outside of package crash: %s", files.Position(n.Pos()))
 					}
 					if netpoll && (n.Sel.Name == "Writer" || n.Sel.Name == "Reader") {
-						require.Equal(t, "socket", dir, "netpoll's buffers: %s", files.Position(n.Pos()))
+						require.Equal(t, "socket", dir, "netpoll Reader or Writer outside of package socket: %s", files.Position(n.Pos()))
 					}
 				}
 				return true
@@ -83,5 +85,5 @@
 			return nil
 		}))
 	}
-	require.Greater(t, seen, 10)
+	require.Greater(t, filesChecked, 10)
 }
--- a/internal/xds/xds.go
+++ b/internal/xds/xds.go
@@ -1,5 +1,6 @@
-// Package xds reads Envoy's clusters and endpoints, as CDS and EDS resources in files (Envoy's own form for a
-// path_config_source), and follows the files: they make the upstream group of a rate limit service of others.
+// Package xds reads Envoy clusters and endpoints from files of CDS and EDS resources, in the format of Envoy's
+// path_config_source, and reloads the files when they change. They define the upstream group for an external rate limit
+// service.
 package xds
 
 import (
@@ -27,115 +28,117 @@
 )
 
 const (
-	looks     = 5 // at the files within the grace for drains: what they say counts as told when it is written
-	leastLook = 20 * time.Millisecond
-	mostLook  = 100 * time.Millisecond
-	firstID   = 1 << 40               // apart from the ids of the platform's servers
-	fileClock = 50 * time.Millisecond // two writes closer together may leave a file with the same time
+	pollsPerGrace    = 5 // files are read this often within the drain grace, which starts when a file is written
+	minPollInterval  = 20 * time.Millisecond
+	maxPollInterval  = 100 * time.Millisecond
+	firstServerID    = 1 << 40               // above the ids of the platform's servers
+	mtimeGranularity = 50 * time.Millisecond // two writes closer together may leave the same modification time
 )
 
-// Files say where the resources stand and which cluster is meant.
+// Files names the resource files and the cluster to follow.
 type Files struct {
 	Cluster   string `json:"cluster"`
 	Clusters  string `json:"clusters"`  // CDS resources
-	Endpoints string `json:"endpoints"` // EDS resources; not needed if the cluster holds its endpoints
+	Endpoints string `json:"endpoints"` // EDS resources; not needed if the cluster contains its endpoints
 }
 
-// Addresses learns where endpoints listen, which of them take nothing new, and which are no longer named.
+// Addresses receives the addresses of endpoints. Withdraw stops new requests to an endpoint; Remove is called for one that
+// is no longer listed.
 type Addresses interface {
 	SetAddress(id logic.ServerID, addr string)
 	Withdraw(id logic.ServerID)
 	Remove(id logic.ServerID)
 }
 
-// Group follows one cluster.
+// Group follows one cluster and posts its endpoints as an upstream group.
 type Group struct {
-	files Files
-	group int
-	zones *wire.Names
-	book  Addresses
-	post  func(core.Event)
-	every time.Duration // between two looks at the files
-
-	ids   map[string]logic.ServerID // by address
-	addrs map[logic.ServerID]string
-	named map[string]bool
-	seen  string // what the files looked like
+	files        Files
+	group        int
+	zones        *wire.Names
+	addresses    Addresses
+	post         func(core.Event)
+	pollInterval time.Duration // between two checks of the files
+
+	idByAddr   map[string]logic.ServerID // ids are kept for addresses that are no longer listed
+	addrByID   map[logic.ServerID]string
+	listed     map[string]bool
+	loadedMark string // fileMark at the last Load
 }
 
-// New makes the follower of a cluster, which becomes the upstream group of this number.
-func New(files Files, group int, set logic.Settings, book Addresses, post func(core.Event)) *Group {
-	return &Group{files: files, group: group, zones: wire.NewNames(set.ZoneNames), book: book, post: post,
-		every: min(max(set.DrainGrace/looks, leastLook), mostLook), ids: map[string]logic.ServerID{}, addrs: map[logic.ServerID]string{}, named: map[string]bool{}}
+// New returns a Group that follows a cluster and posts it as the upstream group of the given number.
+func New(files Files, group int, set logic.Settings, addresses Addresses, post func(core.Event)) *Group {
+	return &Group{files: files, group: group, zones: wire.NewNames(set.ZoneNames), addresses: addresses, post: post,
+		pollInterval: min(max(set.DrainGrace/pollsPerGrace, minPollInterval), maxPollInterval), idByAddr: map[string]logic.ServerID{}, addrByID: map[logic.ServerID]string{}, listed: map[string]bool{}}
 }
 
-// Load reads the files and passes their endpoints on as the whole group.
+// Load reads the files and posts their endpoints as the complete upstream group.
 func (g *Group) Load() error {
-	g.seen = g.look()
+	g.loadedMark = g.fileMark()
 	assignment, err := g.assignment()
 	if err != nil {
 		return err
 	}
 	list := logic.ServerList{Group: g.group, Whole: true}
-	named := map[string]bool{}
-	for _, locality := range level(assignment.GetEndpoints()) {
+	listed := map[string]bool{}
+	for _, locality := range activePriority(assignment.GetEndpoints()) {
 		zone := g.zones.Number(locality.GetLocality().GetZone())
 		for _, e := range locality.GetLbEndpoints() {
-			addr, err := address(e)
+			addr, err := endpointAddress(e)
 			if err != nil {
 				return err
 			}
-			if named[addr] {
+			if listed[addr] {
 				continue
 			}
-			named[addr] = true
+			listed[addr] = true
 			list.Servers = append(list.Servers, logic.Server{ID: g.id(addr), Zone: zone,
-				Weight: float64(max(e.GetLoadBalancingWeight().GetValue(), 1)), State: state(e)})
+				Weight: float64(max(e.GetLoadBalancingWeight().GetValue(), 1)), State: serverState(e)})
 		}
 	}
-	for _, s := range list.Servers { // before the module hears of it: from now on nothing new leaves for what drains
-		g.book.SetAddress(s.ID, g.addrs[s.ID])
+	for _, s := range list.Servers { // before the post, so that no new request leaves for a draining endpoint meanwhile
+		g.addresses.SetAddress(s.ID, g.addrByID[s.ID])
 		if s.State != logic.Ready {
-			g.book.Withdraw(s.ID)
+			g.addresses.Withdraw(s.ID)
 		}
 	}
-	for addr := range g.named {
-		if !named[addr] {
-			g.book.Remove(g.ids[addr])
+	for addr := range g.listed {
+		if !listed[addr] {
+			g.addresses.Remove(g.idByAddr[addr])
 		}
 	}
-	g.named = named
+	g.listed = listed
 	g.post(core.UpstreamGroup{ServerList: list})
 	return nil
 }
 
-// Run follows the files until the context ends. What cannot be read changes nothing: the last good group stays.
+// Run reloads the files when they change, until the context ends. Files that cannot be used change nothing: the last good
+// group stays in use.
 func (g *Group) Run(ctx context.Context) {
-	tick := time.NewTicker(g.every)
+	tick := time.NewTicker(g.pollInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			if g.look() == g.seen {
+			if g.fileMark() == g.loadedMark {
 				continue
 			}
 			if err := g.Load(); err != nil {
-				slog.Warn("the cluster's files cannot be used, the last group stays", "err", err)
+				slog.Warn("the cluster's files cannot be used, keeping the last good group", "err", err)
 			}
 		}
 	}
 }
 
-// look is a mark of the files as they are: it changes when one is written or replaced, and while one may still be written again
-// without a sign of it.
-func (g *Group) look() string {
+// fileMark returns a string that changes when a file is written or replaced. It also differs on each call while a file is
+// younger than mtimeGranularity, since another write would not show in its modification time.
+func (g *Group) fileMark() string {
 	mark := ""
 	for _, path := range []string{g.files.Clusters, g.files.Endpoints} {
 		if info, err := os.Stat(path); err == nil {
 			mark += fmt.Sprint(info.ModTime().UnixNano(), " ", info.Size(), " ")
-			if age := time.Since(info.ModTime()).Abs(); age < fileClock {
+			if age := time.Since(info.ModTime()).Abs(); age < mtimeGranularity {
 				mark += fmt.Sprint("written just now: ", age, " ")
 			}
 		}
@@ -144,26 +147,26 @@
 }
 
 func (g *Group) id(addr string) logic.ServerID {
-	if _, ok := g.ids[addr]; !ok {
-		id := logic.ServerID(firstID + len(g.ids))
-		g.ids[addr], g.addrs[id] = id, addr
+	if _, ok := g.idByAddr[addr]; !ok {
+		id := logic.ServerID(firstServerID + len(g.idByAddr))
+		g.idByAddr[addr], g.addrByID[id] = id, addr
 	}
-	return g.ids[addr]
+	return g.idByAddr[addr]
 }
 
-// assignment finds the cluster and its endpoints, in the cluster itself or among the EDS resources.
+// assignment returns the endpoints of the cluster, from the cluster itself or from the EDS resources.
 func (g *Group) assignment() (*endpointv3.ClusterLoadAssignment, error) {
-	clusters, err := resources(g.files.Clusters, func() *clusterv3.Cluster { return &clusterv3.Cluster{} })
+	clusters, err := readResources(g.files.Clusters, func() *clusterv3.Cluster { return &clusterv3.Cluster{} })
 	if err != nil {
 		return nil, err
 	}
 	at := slices.IndexFunc(clusters, func(c *clusterv3.Cluster) bool { return c.GetName() == g.files.Cluster })
 	if at < 0 {
-		return nil, fmt.Errorf("%s: no cluster %q", g.files.Clusters, g.files.Cluster)
+		return nil, fmt.Errorf("%s: cluster %q not found", g.files.Clusters, g.files.Cluster)
 	}
 	c := clusters[at]
-	if c.GetTransportSocket() != nil { // in the clear, the calls would not be what the operator asked for
-		return nil, fmt.Errorf("cluster %q: transport sockets are not supported", c.GetName())
+	if c.GetTransportSocket() != nil { // plaintext calls would not be what the operator configured
+		return nil, fmt.Errorf("cluster %q: has a transport_socket, which is not supported", c.GetName())
 	}
 	if c.GetType() != clusterv3.Cluster_EDS {
 		return c.GetLoadAssignment(), nil
@@ -172,20 +175,20 @@
 	if name == "" {
 		name = c.GetName()
 	}
-	all, err := resources(g.files.Endpoints,
+	all, err := readResources(g.files.Endpoints,
 		func() *endpointv3.ClusterLoadAssignment { return &endpointv3.ClusterLoadAssignment{} })
 	if err != nil {
 		return nil, err
 	}
 	at = slices.IndexFunc(all, func(a *endpointv3.ClusterLoadAssignment) bool { return a.GetClusterName() == name })
 	if at < 0 {
-		return nil, fmt.Errorf("%s: no endpoints of %q", g.files.Endpoints, name)
+		return nil, fmt.Errorf("%s: no ClusterLoadAssignment for %q", g.files.Endpoints, name)
 	}
 	return all[at], nil
 }
 
-// resources reads a file's resources, all of one type.
-func resources[M proto.Message](path string, empty func() M) ([]M, error) {
+// readResources reads the resources of a file, which must all be of type M.
+func readResources[M proto.Message](path string, empty func() M) ([]M, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -205,12 +208,13 @@
 	return all, nil
 }
 
-// level is the first priority that has a usable endpoint: the ones behind it are for its failure.
-func level(all []*endpointv3.LocalityLbEndpoints) []*endpointv3.LocalityLbEndpoints {
+// activePriority returns the localities of the highest priority that has a ready endpoint, or of priority 0 if there is
+// none. Lower priorities are only for failover.
+func activePriority(all []*endpointv3.LocalityLbEndpoints) []*endpointv3.LocalityLbEndpoints {
 	best := uint32(0)
 	found := false
 	for _, l := range all {
-		usable := slices.ContainsFunc(l.GetLbEndpoints(), func(e *endpointv3.LbEndpoint) bool { return state(e) == logic.Ready })
+		usable := slices.ContainsFunc(l.GetLbEndpoints(), func(e *endpointv3.LbEndpoint) bool { return serverState(e) == logic.Ready })
 		if usable && (!found || l.GetPriority() < best) {
 			best, found = l.GetPriority(), true
 		}
@@ -218,18 +222,18 @@
 	return slices.DeleteFunc(slices.Clone(all), func(l *endpointv3.LocalityLbEndpoints) bool { return l.GetPriority() != best })
 }
 
-func state(e *endpointv3.LbEndpoint) logic.ServerState {
+func serverState(e *endpointv3.LbEndpoint) logic.ServerState {
 	switch e.GetHealthStatus() {
 	case corev3.HealthStatus_UNKNOWN, corev3.HealthStatus_HEALTHY, corev3.HealthStatus_DEGRADED:
 		return logic.Ready
 	}
-	return logic.Draining // what it has may finish, nothing new goes there
+	return logic.Draining // requests in flight may finish, new ones go elsewhere
 }
 
-func address(e *endpointv3.LbEndpoint) (string, error) {
+func endpointAddress(e *endpointv3.LbEndpoint) (string, error) {
 	at := e.GetEndpoint().GetAddress().GetSocketAddress()
 	if at.GetAddress() == "" || at.GetPortValue() == 0 {
-		return "", errors.New("an endpoint without an address and port")
+		return "", errors.New("endpoint has no socket_address with both an address and a port_value")
 	}
 	return net.JoinHostPort(at.GetAddress(), strconv.FormatUint(uint64(at.GetPortValue()), 10)), nil
 }
