--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,5 +1,5 @@
-// Package discovery follows the list of servers over HTTP, by a watch that brings the whole list and then the changes.
-// follow.go decides when to ask and which watch to believe, watch.go reads one.
+// Package discovery follows the list of servers over HTTP, by a watch that delivers the whole list first and then changes.
+// follow.go decides when to start a request and which watch to use, watch.go reads one watch.
 package discovery
 
 import (
@@ -20,11 +20,11 @@
 )
 
 const (
-	dialLimit = time.Second
-	logEvery  = time.Second
+	dialTimeout = time.Second
+	logInterval = time.Second // between two log lines about watches that ended
 )
 
-// List is discovery's form of the servers, whole or as changes.
+// List is discovery's list of servers, either complete or as changes to the list before.
 type List struct {
 	Version int64    `json:"version"`
 	Full    bool     `json:"full"`
@@ -43,222 +43,226 @@
 	StartedMS int64   `json:"started_ms"`
 }
 
-// Addresses learns where servers listen, and which of them take nothing new.
+// Addresses receives the addresses of servers. Withdraw stops new requests to a server.
 type Addresses interface {
 	SetAddress(id logic.ServerID, addr string)
 	Withdraw(id logic.ServerID)
 }
 
-// Client follows the list.
+// Client follows discovery's list and posts it as the upstream group of the platform's servers.
 type Client struct {
-	zones *wire.Names
-	kinds *wire.Names
-	book  Addresses
-	post  func(core.Event)
-	terms terms
+	zones     *wire.Names
+	kinds     *wire.Names
+	addresses Addresses
+	post      func(core.Event)
+	timing    timing
 
-	version atomic.Int64
-	stalls  atomic.Int64  // the follower's, for the next watch
-	heard   chan struct{} // closed once discovery has brought a whole word: a list, or an empty line where there is no news
-	hear    func()
+	version    atomic.Int64
+	stalls     atomic.Int64  // the follower's count, read by the next watch
+	synced     chan struct{} // closed once discovery has sent a complete message: a list, or an empty line if there is no news
+	markSynced func()
 
-	reloads chan struct{} // a reload that is to be taken note of
+	reloadSignal chan struct{} // tells follow that lastReload has changed
 
-	mu     sync.Mutex
-	reload time.Time          // the last; zero: none
-	addr   string             // "": there is none
-	moved  context.CancelFunc // ends the watches that the address was followed with
-	ids    map[string]logic.ServerID
-	listed map[string]logic.ServerID // those that the last whole list or a change since has named, but not as gone
-	drains map[string]drain
+	mu           sync.Mutex
+	lastReload   time.Time                 // zero: there was no reload
+	addr         string                    // "": no address is known
+	cancelFollow context.CancelFunc        // ends the watches at the current address
+	ids          map[string]logic.ServerID // of all servers ever named
+	listed       map[string]logic.ServerID // servers named by the last complete list or a later change, except those that are gone
+	drains       map[string]drain          // by the server's name in the list
 }
 
-// drain is what was told of a server that takes nothing new.
+// drain records that a server was reported as draining or gone.
 type drain struct {
-	version, started int64
-	at               time.Time
+	version, startedMS int64
+	recordedAt         time.Time
 }
 
-const anyStart = -1
+// anyStartTime in drain.startedMS: the drain holds whatever start time an older list gives for the server.
+const anyStartTime = -1
 
-const remembered = time.Minute // a list that is older than a drain comes sooner, or is another count of versions
+// drainRetention is how long a drain is remembered. A list older than the drain arrives sooner than that; a lower version
+// that comes later belongs to another sequence of versions.
+const drainRetention = time.Minute
 
-// New makes a client of discovery at an address.
-func New(addr string, set logic.Settings, book Addresses, post func(core.Event)) *Client {
-	heard := make(chan struct{})
+// New returns a client of discovery at addr.
+func New(addr string, set logic.Settings, addresses Addresses, post func(core.Event)) *Client {
+	synced := make(chan struct{})
 	return &Client{
-		zones:   wire.NewNames(set.ZoneNames),
-		kinds:   wire.NewNames(set.KindNames),
-		book:    book,
-		post:    post,
-		terms:   termsOf(set),
-		heard:   heard,
-		hear:    sync.OnceFunc(func() { close(heard) }),
-		reloads: make(chan struct{}, 1),
-		addr:    addr,
-		moved:   func() {},
-		ids:     map[string]logic.ServerID{},
-		listed:  map[string]logic.ServerID{},
-		drains:  map[string]drain{},
+		zones:        wire.NewNames(set.ZoneNames),
+		kinds:        wire.NewNames(set.KindNames),
+		addresses:    addresses,
+		post:         post,
+		timing:       timingOf(set),
+		synced:       synced,
+		markSynced:   sync.OnceFunc(func() { close(synced) }),
+		reloadSignal: make(chan struct{}, 1),
+		addr:         addr,
+		cancelFollow: func() {},
+		ids:          map[string]logic.ServerID{},
+		listed:       map[string]logic.ServerID{},
+		drains:       map[string]drain{},
 	}
 }
 
-// Known takes the list that this limiter last held. It may be old.
-func (c *Client) Known(l List) { c.take(l, true) }
+// Known applies the list that this limiter held before it was restarted, which may be out of date.
+func (c *Client) Known(l List) { c.apply(l, true) }
 
-// Heard is closed once discovery has brought a whole word, and what it says is taken: a list to its end, or an empty line between
-// lists. Guards against a new process that serves by an old list: what the
-// agent has binds it from its first moment.
-func (c *Client) Heard() <-chan struct{} { return c.heard }
+// Heard is closed once a complete message from discovery (a list, or an empty line between lists) has been received and
+// applied. A new process that waits for it does not serve by an old list: it is bound from its first moment by what the
+// discovery agent has.
+func (c *Client) Heard() <-chan struct{} { return c.synced }
 
-// Reload follows the list at the address that a reload names, from now on. Guards against a watch that lives on at an address
-// that tells nothing more: it is left at once, and not asked again after the usual wait. What there is to tell counts soon, also
-// where the address is the same.
+// Reload follows the list at the given address from now on. A watch at the former address, which may send nothing more
+// without ending, is closed at once, and the first request to the new address does not wait for the usual delay. After a
+// reload the current list takes effect within a short time, also if the address is the same.
 func (c *Client) Reload(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.reload = time.Now()
+	c.lastReload = time.Now()
 	select {
-	case c.reloads <- struct{}{}:
+	case c.reloadSignal <- struct{}{}:
 	default:
 	}
 	if addr != c.addr {
 		c.addr = addr
-		c.moved()
+		c.cancelFollow()
 	}
 }
 
-// reloaded tells when the last reload was.
-func (c *Client) reloaded() (at time.Time, ok bool) {
+// lastReloadTime returns the time of the last reload, and whether there was one.
+func (c *Client) lastReloadTime() (at time.Time, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.reload, !c.reload.IsZero()
+	return c.lastReload, !c.lastReload.IsZero()
 }
 
 // Run follows the list until the context ends.
 func (c *Client) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		here, moved := context.WithCancel(ctx)
+		followCtx, cancelFollow := context.WithCancel(ctx)
 		c.mu.Lock()
-		c.moved = moved
+		c.cancelFollow = cancelFollow
 		addr := c.addr
 		c.mu.Unlock()
 		if addr == "" {
-			<-here.Done()
+			<-followCtx.Done()
 		} else {
-			c.follow(here, addr)
+			c.follow(followCtx, addr)
 		}
-		moved()
+		cancelFollow()
 	}
 }
 
-// follow keeps to one address. The watches read, this goroutine alone believes them and begins the next.
+// follow follows the list at one address. Each watch reads in its own goroutine; only this one applies what they report and
+// starts new watches.
 func (c *Client) follow(ctx context.Context, addr string) {
-	f := follower{terms: c.terms}
-	words := make(chan word)
-	watches := map[int]context.CancelFunc{}
-	drop := func(list ...int) {
+	f := follower{timing: c.timing}
+	events := make(chan watchEvent)
+	cancels := map[int]context.CancelFunc{}
+	cancelWatches := func(list ...int) {
 		for _, n := range list {
-			if end, ok := watches[n]; ok {
-				delete(watches, n)
-				end()
+			if cancel, ok := cancels[n]; ok {
+				delete(cancels, n)
+				cancel()
 			}
 		}
 	}
-	began, told, quiet := time.Now(), time.Time{}, 0
-	if at, ok := c.reloaded(); ok {
-		f.reloaded(at.Sub(began))
+	start, lastLogged, unlogged := time.Now(), time.Time{}, 0
+	if at, ok := c.lastReloadTime(); ok {
+		f.noteReload(at.Sub(start))
 	}
-	again := time.NewTimer(0)
-	defer again.Stop()
+	retry := time.NewTimer(0)
+	defer retry.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			for _, end := range watches {
-				end()
+			for _, cancel := range cancels {
+				cancel()
 			}
 			return
-		case <-c.reloads:
-			if at, ok := c.reloaded(); ok && f.reloaded(at.Sub(began)) {
-				again.Reset(0)
+		case <-c.reloadSignal:
+			if at, ok := c.lastReloadTime(); ok && f.noteReload(at.Sub(start)) {
+				retry.Reset(0)
 			}
-		case <-again.C:
-			if f.live != 0 {
-				continue // the one that had fallen silent goes on
+		case <-retry.C:
+			if f.current != 0 {
+				continue // an idle watch has resumed meanwhile
 			}
-			n := f.ask(time.Since(began))
+			n := f.startWatch(time.Since(start))
 			c.stalls.Store(int64(f.stalls))
-			here, end := context.WithCancel(ctx)
-			watches[n] = end
-			path := "http://" + addr + "/registry/instances?watch=1&from=" + strconv.FormatInt(c.version.Load(), 10)
-			crash.Go(func() { c.watch(here, ctx, n, path, words) })
-		case x := <-words:
+			watchCtx, cancel := context.WithCancel(ctx)
+			cancels[n] = cancel
+			url := "http://" + addr + "/registry/instances?watch=1&from=" + strconv.FormatInt(c.version.Load(), 10)
+			crash.Go(func() { c.watch(watchCtx, ctx, n, url, events) })
+		case event := <-events:
 			due := false
-			switch x.kind {
-			case line:
-				believed, others := f.heard(x.watch)
-				drop(others...)
-				if believed && x.list != nil {
-					if err := c.take(*x.list, false); err != nil {
-						due = f.refused(time.Since(began), x.watch)
-						drop(x.watch)
+			switch event.kind {
+			case messageReceived:
+				accepted, superseded := f.noteMessage(event.watch)
+				cancelWatches(superseded...)
+				if accepted && event.list != nil {
+					if err := c.apply(*event.list, false); err != nil {
+						due = f.noteRejection(time.Since(start), event.watch)
+						cancelWatches(event.watch)
 						slog.Warn("a change of discovery's list is left out", "err", err)
 						break
 					}
 				}
-				if believed {
-					c.hear()
+				if accepted {
+					c.markSynced()
 				}
-			case doubt:
+			case watchStalled:
 				var other int
-				if other, due = f.doubted(time.Since(began), x.watch, x.mid); due {
-					slog.Info("discovery says nothing more, it is asked anew", "in the middle of a line", x.mid)
+				if other, due = f.noteStall(time.Since(start), event.watch, event.midMessage); due {
+					slog.Info("discovery says nothing more, it is asked anew", "in the middle of a line", event.midMessage)
 				}
-				drop(other)
-			case over:
-				useless := errors.Is(x.err, errRefused)
-				if useless {
-					due = f.refused(time.Since(began), x.watch)
-					c.onlyKnown(x.list)
-					slog.Warn("the watch of discovery ended", "err", x.err)
+				cancelWatches(other)
+			case watchEnded:
+				rejected := errors.Is(event.err, errListRejected)
+				if rejected {
+					due = f.noteRejection(time.Since(start), event.watch)
+					c.removeUnknown(event.list)
+					slog.Warn("the watch of discovery ended", "err", event.err)
 				} else {
-					due = f.ended(time.Since(began), x.watch, x.mid)
+					due = f.noteEnd(time.Since(start), event.watch, event.midMessage)
 				}
-				drop(x.watch)
-				if x.list != nil {
-					c.salvage(*x.list)
+				cancelWatches(event.watch)
+				if event.list != nil {
+					c.applyPartial(*event.list)
 				}
-				if quiet++; !useless && ctx.Err() == nil && time.Since(told) >= logEvery {
-					slog.Info("the watch of discovery ended", "err", x.err, "times", quiet)
-					told, quiet = time.Now(), 0
+				if unlogged++; !rejected && ctx.Err() == nil && time.Since(lastLogged) >= logInterval {
+					slog.Info("the watch of discovery ended", "err", event.err, "times", unlogged)
+					lastLogged, unlogged = time.Now(), 0
 				}
 			}
 			if due {
-				again.Reset(f.pause(rand.Float64()))
+				retry.Reset(f.nextDelay(rand.Float64()))
 			}
 		}
 	}
 }
 
-var states = map[string]logic.ServerState{"ready": logic.Ready, "draining": logic.Draining, "gone": logic.Gone}
+var stateByName = map[string]logic.ServerState{"ready": logic.Ready, "draining": logic.Draining, "gone": logic.Gone}
 
-// take passes on a list. A server whose state cannot be read is taken for draining: it gets nothing new.
-func (c *Client) take(l List, cached bool) error {
+// apply stores and posts a list. A server with an unknown state is treated as draining, so that it gets nothing new.
+func (c *Client) apply(l List, cached bool) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !l.Full && l.Version < c.version.Load() {
-		c.onlyDrains(l)
+		c.applyDrains(l)
 		return nil
 	}
 	if !l.Full {
-		more := 0
+		added := 0
 		for _, s := range l.Servers {
-			if _, ok := c.listed[s.ID]; !ok && states[s.State] != logic.Gone {
-				more++
+			if _, ok := c.listed[s.ID]; !ok && stateByName[s.State] != logic.Gone {
+				added++
 			}
 		}
-		if more > 0 && len(c.listed)+more > mostServers {
-			return refused("more than %d servers with the changes", mostServers)
+		if added > 0 && len(c.listed)+added > maxServers {
+			return rejectList("more than %d servers with the changes", maxServers)
 		}
 	}
 	c.version.Store(l.Version)
@@ -266,41 +270,41 @@
 	if l.Full {
 		c.listed = make(map[string]logic.ServerID, len(l.Servers))
 	}
-	c.pass(l, cached)
+	c.publish(l, cached)
 	if l.Full {
 		for name, id := range before {
 			if _, ok := c.listed[name]; !ok {
-				c.book.Withdraw(id) // gone: a whole list names no such server
-				c.drains[name] = drain{l.Version, anyStart, time.Now()}
+				c.addresses.Withdraw(id) // a complete list without the server means that it is gone
+				c.drains[name] = drain{l.Version, anyStartTime, time.Now()}
 			}
 		}
 	}
 	return nil
 }
 
-// salvage takes from a line that broke off what must not wait for the next watch: discovery has told of these drains.
-// What is missing from it says nothing, and the next watch asks for all of it.
-func (c *Client) salvage(l List) {
+// applyPartial applies the drains from a truncated message, which must not wait for the next watch: discovery has announced
+// them. That a server is missing from the message means nothing, and the next watch requests all of it again.
+func (c *Client) applyPartial(l List) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if l.Version >= c.version.Load() {
-		c.onlyDrains(l)
+		c.applyDrains(l)
 	}
 }
 
-// onlyDrains passes on what a list says of servers that drain or are gone. Guards against a change of another count of versions,
-// as behind a reload, that is passed over because it looks older than what is known.
-func (c *Client) onlyDrains(l List) {
+// applyDrains applies only the entries of servers that are draining or gone. A change from another sequence of versions, as
+// after a reload, may have a lower version than the list that is known; its drains must not be skipped as outdated.
+func (c *Client) applyDrains(l List) {
 	l.Full = false
-	l.Servers = slices.DeleteFunc(l.Servers, func(s Server) bool { return states[s.State] == logic.Ready })
+	l.Servers = slices.DeleteFunc(l.Servers, func(s Server) bool { return stateByName[s.State] == logic.Ready })
 	if len(l.Servers) > 0 {
-		c.pass(l, false)
+		c.publish(l, false)
 	}
 }
 
-// onlyKnown leaves those servers of a list that others have named. Guards against a list that is refused again and again, each
-// time with other names: names are kept for good.
-func (c *Client) onlyKnown(l *List) {
+// removeUnknown removes servers from l that no accepted list has named. Names are kept for good, so a list that is
+// rejected again and again, with new names each time, would otherwise use up memory.
+func (c *Client) removeUnknown(l *List) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	l.Servers = slices.DeleteFunc(l.Servers, func(s Server) bool {
@@ -309,27 +313,27 @@
 	})
 }
 
-// pass hands entries on. The addresses learn of them first: from then on nothing new leaves for a server that drains,
-// whatever was chosen before.
-func (c *Client) pass(l List, cached bool) {
-	out := logic.ServerList{Whole: l.Full, Cached: cached}
-	var unknown, older said
+// publish hands entries on to the addresses first and then to the reducer: from the Withdraw on, no new request is sent to
+// a draining server, whatever was chosen before.
+func (c *Client) publish(l List, cached bool) {
+	list := logic.ServerList{Whole: l.Full, Cached: cached}
+	var unknown, stale logSummary
 	for _, s := range l.Servers {
 		id, ok := c.ids[s.ID]
 		if !ok {
 			id = logic.ServerID(len(c.ids) + 1)
 			c.ids[s.ID] = id
 		}
-		state, ok := states[s.State]
+		state, ok := stateByName[s.State]
 		if !ok {
-			unknown.note(s)
+			unknown.add(s)
 			state = logic.Draining
 		}
 		switch {
 		case state != logic.Ready:
 			c.drains[s.ID] = drain{max(l.Version, c.drains[s.ID].version), s.StartedMS, time.Now()}
-		case c.stays(s, l.Version):
-			older.note(s)
+		case c.staysWithdrawn(s, l.Version):
+			stale.add(s)
 			state = logic.Draining
 		default:
 			delete(c.drains, s.ID)
@@ -338,54 +342,55 @@
 			delete(c.listed, s.ID)
 		}
 		if state != logic.Ready {
-			c.book.Withdraw(id)
+			c.addresses.Withdraw(id)
 		} else if s.Addr != "" {
-			c.book.SetAddress(id, s.Addr)
+			c.addresses.SetAddress(id, s.Addr)
 		}
 		e := logic.Server{ID: id, Weight: s.Weight, Cell: s.Cell, Kind: c.kinds.Number(s.Kind),
 			Zone: c.zones.Number(s.Zone), State: state}
 		if s.StartedMS > 0 {
 			e.Started = time.Duration(s.StartedMS) * time.Millisecond
 		}
-		out.Servers = append(out.Servers, e)
+		list.Servers = append(list.Servers, e)
 	}
-	if unknown.times > 0 {
-		slog.Warn("unknown state of a server", "id", unknown.first.ID, "state", unknown.first.State, "servers", unknown.times)
+	if unknown.count > 0 {
+		slog.Warn("unknown state of a server, want ready, draining or gone; treated as draining", "id", unknown.first.ID,
+			"state", unknown.first.State, "servers", unknown.count)
 	}
-	if older.times > 0 {
-		slog.Info("an older list says ready of a server that takes nothing new", "id", older.first.ID, "version", l.Version,
-			"told", c.drains[older.first.ID].version, "servers", older.times)
+	if stale.count > 0 {
+		slog.Info("an older list says ready of a server that takes nothing new", "id", stale.first.ID, "version", l.Version,
+			"told", c.drains[stale.first.ID].version, "servers", stale.count)
 	}
-	for id, was := range c.drains {
-		if time.Since(was.at) > remembered {
+	for id, recorded := range c.drains {
+		if time.Since(recorded.recordedAt) > drainRetention {
 			delete(c.drains, id)
 		}
 	}
-	c.post(core.UpstreamGroup{ServerList: out})
+	c.post(core.UpstreamGroup{ServerList: list})
 }
 
-// stays tells whether a server that a list calls ready takes nothing new all the same. Guards against a drain that is taken
-// back by an older word: a list from before it may come behind it, from another watch or another address, or behind a line
-// that broke off.
-func (c *Client) stays(s Server, version int64) bool {
-	was, ok := c.drains[s.ID]
-	if !ok || version >= was.version || time.Since(was.at) > remembered {
+// staysWithdrawn reports whether a server that a list calls ready must still get nothing new, because a newer list reported
+// it as draining or gone. An older list may arrive after the drain: from another watch or address, or after a truncated
+// message.
+func (c *Client) staysWithdrawn(s Server, version int64) bool {
+	recorded, ok := c.drains[s.ID]
+	if !ok || version >= recorded.version || time.Since(recorded.recordedAt) > drainRetention {
 		return false
 	}
-	if was.started != anyStart && was.started != s.StartedMS {
-		return false // it has started anew
+	if recorded.startedMS != anyStartTime && recorded.startedMS != s.StartedMS {
+		return false // the server has been restarted since
 	}
 	return true
 }
 
-// said is what the log says of some servers of a list, in one line for all. Guards against as many lines as a list has servers.
-type said struct {
+// logSummary counts the servers of one list with the same problem, so that they are logged in one line instead of one each.
+type logSummary struct {
 	first Server
-	times int
+	count int
 }
 
-func (s *said) note(of Server) {
-	if s.times++; s.times == 1 {
-		s.first = of
+func (s *logSummary) add(server Server) {
+	if s.count++; s.count == 1 {
+		s.first = server
 	}
 }
--- a/internal/discovery/follow.go
+++ b/internal/discovery/follow.go
@@ -6,205 +6,215 @@
 	"bramblefall/logic"
 )
 
-// The protocol's figures: an empty line comes every 2 s while nothing changes, and what discovery has to tell counts as
-// told 6 s later though it did not arrive. So a watch that says nothing for longer than a beat is doubted, and there is
-// time left to ask anew.
+// Discovery's protocol sends an empty line every 2 s while nothing changes, and a change counts as known to the limiter 6 s
+// after discovery has it, even if it did not arrive. A watch that is silent for longer than one interval is therefore
+// considered stalled, which leaves time for another request.
 const (
-	beat    = 2 * time.Second
-	silence = beat + beat/4
-
-	fleetAsks   = 20.0 // a second, half more by the jitter: of all limiters together while discovery refuses
-	mostRetry   = 4 * time.Second
-	leastWait   = 0.25 // of that, from ask to ask
-	mostWait    = 1.1
-	lastRetry   = 2 * time.Second // a watch that lived for longer had stood
-	refusal     = time.Second     // until a list that was refused is asked for again, half of it at least
-	mostHead    = time.Second
-	leastStuck  = 50 * time.Millisecond
-	mostStuck   = 500 * time.Millisecond // in the middle of a list, after mostStalls watches left there in a row
-	mostStalls  = 8
-	usualGrace  = 500 * time.Millisecond // where the settings name none
-	mostGrace   = 2 * time.Second        // that asks are timed by: 6 s bind with any grace
-	graceSpread = 0.8                    // of the grace, over which a fleet's asks are spread
-	brought     = 0.25                   // of a wait, where the answer began: discovery is up, and what it told binds
-	again       = 0.3                    // of the grace, at most: until an agent that says nothing is asked once more
-
-	reloadCounts = 4 * time.Second        // what there is to tell counts so long after a reload
-	reloadMargin = 200 * time.Millisecond // of that, for an answer
-	leastReload  = 50 * time.Millisecond  // between two asks in that time
+	keepaliveInterval = 2 * time.Second
+	keepaliveTimeout  = keepaliveInterval + keepaliveInterval/4
+
+	fleetRequestsPerSecond = 20.0 // of all limiters together while discovery refuses; about half more with jitter
+	maxRetryInterval       = 4 * time.Second
+	minRetryFactor         = 0.25 // of the retry interval, from the start of one request to the next
+	maxRetryFactor         = 1.1
+	stableAfter            = 2 * time.Second // a watch with messages that lasted longer resets the count of failures
+	rejectedListDelay      = time.Second     // before a rejected list is requested again; with jitter, half of it at least
+	maxHeaderTimeout       = time.Second
+	minStallTimeout        = 50 * time.Millisecond
+	extendedStallTimeout   = 500 * time.Millisecond // within a message, after stallsBeforeExtension watches in a row that stalled there
+	stallsBeforeExtension  = 8
+	defaultGrace           = 500 * time.Millisecond // if the settings have none
+	maxGrace               = 2 * time.Second        // used to time requests: the 6 s apply whatever the grace is
+	graceJitterFactor      = 0.8                    // of the grace, over which the requests of a fleet are spread
+	progressRetryFactor    = 0.25                   // of the retry interval, if a response had begun: discovery is up, and what it has sent is binding
+	unansweredRetryFactor  = 0.3                    // of the grace: the longest delay before an agent that sent nothing is asked again
+
+	reloadDeadline    = 4 * time.Second        // after a reload, by which the list counts as known
+	reloadMargin      = 200 * time.Millisecond // of reloadDeadline, left for the response
+	minReloadInterval = 50 * time.Millisecond  // between two requests until reloadDeadline
 )
 
-// terms are what the settings say about asking discovery.
-type terms struct {
-	grace time.Duration // for a drain, from when it is told
-	fleet int           // limiters that ask the same discovery
+// timing holds the settings by which requests to discovery are timed.
+type timing struct {
+	grace     time.Duration // for a drain, from when discovery announces it
+	fleetSize int           // limiters that follow the same discovery
 }
 
-func termsOf(set logic.Settings) terms {
-	t := terms{set.DrainGrace, max(set.Gateways, 1)}
+func timingOf(set logic.Settings) timing {
+	t := timing{set.DrainGrace, max(set.Gateways, 1)}
 	if t.grace <= 0 {
-		t.grace = usualGrace
+		t.grace = defaultGrace
 	}
-	t.grace = min(t.grace, mostGrace)
+	t.grace = min(t.grace, maxGrace)
 	return t
 }
 
-// share is the time between two asks of one limiter while discovery refuses all.
-func (t terms) share() time.Duration {
-	return time.Duration(min(float64(t.fleet)/fleetAsks, mostRetry.Seconds()) * float64(time.Second))
+// retryInterval is the time between two requests of one limiter while discovery refuses all, before jitter.
+func (t timing) retryInterval() time.Duration {
+	return time.Duration(min(float64(t.fleetSize)/fleetRequestsPerSecond, maxRetryInterval.Seconds()) * float64(time.Second))
 }
 
-// head is how long the beginning of an answer may take: the agent is near and answers at once, or says nothing while
+// headerTimeout is how long the response header may take. The agent is near: it answers at once, or not at all while
 // discovery is down.
-func (t terms) head() time.Duration { return min(t.grace/2, mostHead) }
-
-// stuck is how long the rest of a line may take after its last byte: what has come of it may count as told.
-func (t terms) stuck() time.Duration { return max(t.grace/4, leastStuck) }
-
-// patience is how long it may take behind so many watches in a row that were left in the middle. Guards against a discovery that
-// stops for longer than that within each list, and whose lists would begin anew for good.
-func (t terms) patience(stalls int) time.Duration {
-	if stalls < mostStalls {
-		return t.stuck()
+func (t timing) headerTimeout() time.Duration { return min(t.grace/2, maxHeaderTimeout) }
+
+// stallTimeout is how long the rest of a message may take after its last byte. It is a fraction of the grace, because what
+// was received of the message may already count as known.
+func (t timing) stallTimeout() time.Duration { return max(t.grace/4, minStallTimeout) }
+
+// stallTimeoutAfter is the stall timeout after the given number of watches in a row that stalled within a message. It is
+// extended because a discovery that pauses for longer than stallTimeout within each list would otherwise never get a list
+// through.
+func (t timing) stallTimeoutAfter(stalls int) time.Duration {
+	if stalls < stallsBeforeExtension {
+		return t.stallTimeout()
 	}
-	return max(t.stuck(), mostStuck)
+	return max(t.stallTimeout(), extendedStallTimeout)
 }
 
-// follower decides when discovery is asked and which of at most three watches is believed. It does nothing itself and
-// reads no clock; watches go by their numbers, from 1.
+// follower decides when to start a watch and which of at most three watches to use. It performs no I/O and reads no clock.
+// Watches are numbered from 1; 0 stands for none.
 type follower struct {
-	terms
-	last    int           // the newest watch
-	live    int           // the one that is listened to; 0: none, the next is due
-	kept    int           // one before, which fell silent between two lines and may go on; 0: none
-	pending int           // the last that has brought nothing: its answer may come once discovery is back; 0: none
-	silent  bool          // the last that was left had brought nothing and had not ended
-	lines   bool          // live has brought a whole word
-	some    bool          // the last that ended had brought something
-	useless bool          // a list that is refused
-	began   time.Duration // live
-	tries   int           // in a row that came to little
-	stalls  int           // watches in a row that were left in the middle of a line or list
-	lasted  time.Duration // the last that ended or was left, from its ask
-	hurried time.Duration // what there is to tell has to be known by then; 0: there was no reload
+	timing
+	newest           int           // the watch that was started last
+	current          int           // the watch in use; 0: none, and the next is due
+	idle             int           // an earlier watch that fell silent between two messages and may resume; 0: none
+	unanswered       int           // the last watch without any message: its answer may arrive once discovery is back; 0: none
+	lastUnanswered   bool          // the watch given up last had received no message and was still open
+	receivedMessage  bool          // current has received a complete message
+	lastReceivedData bool          // the watch given up last had received a message or part of one
+	lastRejected     bool          // the watch given up last had brought a list that was rejected
+	startedAt        time.Duration // of current, or of the watch given up last
+	failures         int           // watches in a row that were not stable
+	stalls           int           // watches in a row that were given up within a message, without a complete one between them
+	lastDuration     time.Duration // of the watch given up last, from its start
+	reloadDue        time.Duration // time by which the list must be known after a reload; 0: there was no reload
 }
 
-// reloaded takes note of a reload. It tells whether to ask at once.
-func (f *follower) reloaded(at time.Duration) bool {
-	f.hurried = at + reloadCounts - reloadMargin
-	return f.live == 0
+// noteReload records a reload. It reports whether to start a watch at once.
+func (f *follower) noteReload(at time.Duration) bool {
+	f.reloadDue = at + reloadDeadline - reloadMargin
+	return f.current == 0
 }
 
-// ask begins a watch.
-func (f *follower) ask(now time.Duration) int {
-	f.last++
-	f.live, f.lines, f.began = f.last, false, now
-	return f.live
+// startWatch makes a new watch the current one and returns its number.
+func (f *follower) startWatch(now time.Duration) int {
+	f.newest++
+	f.current, f.receivedMessage, f.startedAt = f.newest, false, now
+	return f.current
 }
 
-// heard takes note of a whole word. It tells whether to believe it and which watches are of no more use.
-func (f *follower) heard(watch int) (believed bool, drop []int) {
-	if watch == 0 || watch != f.live && watch != f.kept && watch != f.pending {
+// noteMessage records a complete message. It reports whether to use it, and which watches are superseded.
+func (f *follower) noteMessage(watch int) (accepted bool, superseded []int) {
+	if watch == 0 || watch != f.current && watch != f.idle && watch != f.unanswered {
 		return false, nil
 	}
-	for _, other := range []int{f.live, f.kept, f.pending} {
+	for _, other := range []int{f.current, f.idle, f.unanswered} {
 		if other != 0 && other != watch {
-			drop = append(drop, other)
+			superseded = append(superseded, other)
 		}
 	}
-	f.live, f.kept, f.pending, f.lines, f.silent, f.stalls = watch, 0, 0, true, false, 0
-	return true, drop
+	f.current, f.idle, f.unanswered, f.receivedMessage, f.lastUnanswered, f.stalls = watch, 0, 0, true, false, 0
+	return true, superseded
 }
 
-// doubted takes note of a watch that has said nothing for too long, perhaps in the middle of a line. One that fell
-// silent between two lines is kept beside the next, and so is the last that has brought nothing yet: that costs nothing,
-// and what the agent has once discovery is back binds at once.
-func (f *follower) doubted(now time.Duration, watch int, mid bool) (drop int, due bool) {
+// noteStall records that a watch has received nothing within its timeout, and whether that was within a message. A watch
+// that fell silent between two messages is kept beside the next one, and so is the last that has received nothing yet: this
+// costs nothing, and what the agent sends once discovery is back is known at once. It returns a watch to close (0: none) and
+// whether the next one is due.
+func (f *follower) noteStall(now time.Duration, watch int, midMessage bool) (drop int, due bool) {
 	switch {
 	case watch == 0:
-	case mid && watch == f.kept:
-		drop, f.kept = f.kept, 0
-	case mid && watch == f.pending:
-		drop, f.pending = f.pending, 0
-	case watch == f.live:
+	case midMessage && watch == f.idle:
+		drop, f.idle = f.idle, 0
+	case midMessage && watch == f.unanswered:
+		drop, f.unanswered = f.unanswered, 0
+	case watch == f.current:
 		switch {
-		case mid:
-			drop = f.live
-		case f.lines:
-			f.kept = f.live
+		case midMessage:
+			drop = f.current
+		case f.receivedMessage:
+			f.idle = f.current
 		default:
-			drop, f.pending = f.pending, f.live
+			drop, f.unanswered = f.unanswered, f.current
 		}
-		silent := !f.lines && !mid
-		f.leave(now, mid)
-		if mid {
+		lastUnanswered := !f.receivedMessage && !midMessage
+		f.endCurrent(now, midMessage)
+		if midMessage {
 			f.stalls++
 		}
-		f.silent, due = silent, true
+		f.lastUnanswered, due = lastUnanswered, true
 	}
 	return drop, due
 }
 
-// ended takes note of a watch whose connection is over, perhaps in the middle of a line. It tells whether the next is due.
-func (f *follower) ended(now time.Duration, watch int, mid bool) (due bool) {
+// noteEnd records that the connection of a watch has ended, and whether that was within a message. It reports whether the
+// next watch is due.
+func (f *follower) noteEnd(now time.Duration, watch int, midMessage bool) (due bool) {
 	switch {
 	case watch == 0:
-	case watch == f.kept:
-		f.kept = 0
-	case watch == f.pending:
-		f.pending = 0
-	case watch == f.live:
-		f.leave(now, mid)
+	case watch == f.idle:
+		f.idle = 0
+	case watch == f.unanswered:
+		f.unanswered = 0
+	case watch == f.current:
+		f.endCurrent(now, midMessage)
 		return true
 	}
 	return false
 }
 
-// refused takes note of a watch whose list is refused, and is left for it.
-func (f *follower) refused(now time.Duration, watch int) (due bool) {
-	due = f.ended(now, watch, true)
-	f.useless = due
+// noteRejection records that a watch is given up because its list was rejected. It reports whether the next watch is due.
+func (f *follower) noteRejection(now time.Duration, watch int) (due bool) {
+	due = f.noteEnd(now, watch, true)
+	f.lastRejected = due
 	return due
 }
 
-func (f *follower) leave(now time.Duration, mid bool) {
-	f.some, f.lasted = f.lines || mid, now-f.began
-	if f.tries++; f.lines && now-f.began > lastRetry {
-		f.tries = 0
+// endCurrent records the outcome of the current watch, after which there is no current one.
+func (f *follower) endCurrent(now time.Duration, midMessage bool) {
+	f.lastReceivedData, f.lastDuration = f.receivedMessage || midMessage, now-f.startedAt
+	if f.failures++; f.receivedMessage && now-f.startedAt > stableAfter {
+		f.failures = 0
 	}
-	f.live, f.lines, f.silent, f.useless = 0, false, false, false
+	f.current, f.receivedMessage, f.lastUnanswered, f.lastRejected = 0, false, false, false
 }
 
-// pause is the wait before the next ask; luck is from 0 to 1. Guards against all limiters of a fleet asking in step, and
-// so often that discovery answers nobody. It is short where a watch had stood or had begun to tell something: what a
-// limiter would have been told had it asked binds it (drains). An agent that says nothing is asked again soon in a fleet of
-// any size: it is this machine's alone, and answers at no cost. A list that is refused comes again as it was, and is dear to
-// read. Asks are counted from one to the next. Guards against a call that hung, and then broke, and a whole wait behind
-// it: the news of a discovery that came back under that call counts as told 6 s later.
+// nextDelay returns the delay before the next request; random is uniform in [0, 1]. Jitter keeps the limiters of a fleet from
+// sending requests in step, and so often that discovery can answer none of them.
 //
-// After a reload asks come closer together until what there is to tell counts.
-func (f *follower) pause(luck float64) time.Duration {
-	wait := f.usualPause(luck)
-	if left := f.hurried - f.began - f.lasted; left > 0 {
-		wait = min(wait, max(time.Duration((1+luck)/4*float64(left)), leastReload))
+// After a reload requests come closer together until the list takes effect.
+func (f *follower) nextDelay(random float64) time.Duration {
+	delay := f.baseDelay(random)
+	if left := f.reloadDue - f.startedAt - f.lastDuration; left > 0 {
+		delay = min(delay, max(time.Duration((1+random)/4*float64(left)), minReloadInterval))
 	}
-	return wait
+	return delay
 }
 
-func (f *follower) usualPause(luck float64) time.Duration {
-	spread := luck * graceSpread * float64(f.grace) * min(1, float64(f.fleet)/fleetAsks)
-	every := (leastWait + luck*(mostWait-leastWait)) * float64(f.share())
-	rest := every - float64(f.lasted)
+// baseDelay is nextDelay without regard to reloads.
+//
+// The delay is short after a stable watch, or one that had begun to receive something: a limiter is bound by the drains that
+// it would have received had it sent a request. An agent that sends nothing is asked again soon in a fleet of any size: it
+// serves this machine alone, and answers at no cost. A rejected list is requested later, because it comes again unchanged and
+// is expensive to read.
+//
+// The interval counts from the start of one request to the start of the next. Otherwise a request that hangs before it fails
+// would be followed by a full delay, while a change at a discovery that came back during that request takes effect 6 s later.
+func (f *follower) baseDelay(random float64) time.Duration {
+	jitter := random * graceJitterFactor * float64(f.grace) * min(1, float64(f.fleetSize)/fleetRequestsPerSecond)
+	interval := (minRetryFactor + random*(maxRetryFactor-minRetryFactor)) * float64(f.retryInterval())
+	remaining := interval - float64(f.lastDuration)
 	switch {
-	case f.silent:
-		return time.Duration(luck * again * float64(f.grace))
-	case f.useless:
-		return time.Duration(max(rest, (1+luck)/2*float64(refusal)))
-	case f.tries == 0:
-		return time.Duration(spread)
-	case f.some:
-		every *= brought
-		rest = every - float64(f.lasted)
+	case f.lastUnanswered:
+		return time.Duration(random * unansweredRetryFactor * float64(f.grace))
+	case f.lastRejected:
+		return time.Duration(max(remaining, (1+random)/2*float64(rejectedListDelay)))
+	case f.failures == 0:
+		return time.Duration(jitter)
+	case f.lastReceivedData:
+		interval *= progressRetryFactor
+		remaining = interval - float64(f.lastDuration)
 	}
-	return time.Duration(max(rest, min(every, spread)))
+	return time.Duration(max(remaining, min(interval, jitter)))
 }
--- a/internal/discovery/return_test.go
+++ b/internal/discovery/return_test.go
@@ -20,138 +20,139 @@
 	"bramblefall/logic"
 )
 
-// call is how one call of discovery goes: what comes of it, how long after the ask, and how it ends.
-type call struct {
-	lines bool          // whole words
-	until time.Duration // its last byte, from the ask; -1: none has come
-	mid   bool          // that byte stands in the middle of a list
-	end   end
-	after time.Duration // from its last byte to its end; it is given up sooner where that is too long
+// callOutcome describes one request to discovery: what it receives, when, and how it ends.
+type callOutcome struct {
+	receivedMessage bool          // it received at least one complete message
+	lastByte        time.Duration // from the request; -1: no byte was received
+	midMessage      bool          // the last byte is within a list
+	end             callEnd
+	endDelay        time.Duration // from the last byte to the end; a timeout may come first
 }
 
-type end uint8
+type callEnd uint8
 
 const (
-	silent  end = iota // nothing more comes: it is given up
-	broken             // refused, reset, at its end, or no 200
-	useless            // what it brings is refused
+	endSilent   callEnd = iota // no more bytes: it times out
+	endBroken                  // refused, reset, ended, or a status other than 200
+	endRejected                // its list is rejected
 )
 
-func (c call) String() string {
-	return fmt.Sprintf("{lines %v, last byte %v, middle %v, end %d after %v}", c.lines, c.until, c.mid, c.end, c.after)
+func (c callOutcome) String() string {
+	return fmt.Sprintf("{message %v, last byte %v, within a list %v, end %d after %v}", c.receivedMessage, c.lastByte, c.midMessage, c.end, c.endDelay)
 }
 
-// calls are all ways in which a call may go wrong, at the limits of what is waited for.
-func calls(m terms) []call {
-	const little = time.Millisecond
-	list := []call{{until: -1}, {until: -1, end: broken}, {until: -1, end: broken, after: m.head()}}
-	for _, until := range []time.Duration{0, m.head() - little} { // of the answer's head, or of the first of a list
-		for _, mid := range []bool{false, true} {
-			limit := silence
-			if mid {
-				limit = m.stuck()
+// callOutcomes returns all ways in which a request may fail, with times just within the timeouts.
+func callOutcomes(m timing) []callOutcome {
+	const margin = time.Millisecond
+	list := []callOutcome{{lastByte: -1}, {lastByte: -1, end: endBroken}, {lastByte: -1, end: endBroken, endDelay: m.headerTimeout()}}
+	for _, lastByte := range []time.Duration{0, m.headerTimeout() - margin} { // last byte of the header, or of the start of a list
+		for _, midMessage := range []bool{false, true} {
+			limit := keepaliveTimeout
+			if midMessage {
+				limit = m.stallTimeout()
 			}
-			list = append(list, call{until: until, mid: mid}, call{until: until, mid: mid, end: broken},
-				call{until: until, mid: mid, end: broken, after: limit - little})
+			list = append(list, callOutcome{lastByte: lastByte, midMessage: midMessage}, callOutcome{lastByte: lastByte, midMessage: midMessage, end: endBroken},
+				callOutcome{lastByte: lastByte, midMessage: midMessage, end: endBroken, endDelay: limit - margin})
 		}
 	}
-	// The head comes late, and a first piece behind it as late as is waited for.
-	late := m.head() + silence - 2*little
-	list = append(list, call{until: late, mid: true}, call{until: late, mid: true, end: broken, after: m.stuck() - little},
-		call{until: late, mid: true, end: useless, after: m.stuck() - little}, call{until: m.head(), mid: true, end: useless})
-	for _, until := range []time.Duration{0, lastRetry, lastRetry + little, time.Minute} { // a watch that stood falls silent or breaks
-		for _, mid := range []bool{false, true} {
-			limit := silence
-			if mid {
-				limit = m.stuck()
+	// The header arrives late, and the first part of the body as late as its timeout allows.
+	late := m.headerTimeout() + keepaliveTimeout - 2*margin
+	list = append(list, callOutcome{lastByte: late, midMessage: true}, callOutcome{lastByte: late, midMessage: true, end: endBroken, endDelay: m.stallTimeout() - margin},
+		callOutcome{lastByte: late, midMessage: true, end: endRejected, endDelay: m.stallTimeout() - margin}, callOutcome{lastByte: m.headerTimeout(), midMessage: true, end: endRejected})
+	for _, lastByte := range []time.Duration{0, stableAfter, stableAfter + margin, time.Minute} { // a watch that worked falls silent or fails
+		for _, midMessage := range []bool{false, true} {
+			limit := keepaliveTimeout
+			if midMessage {
+				limit = m.stallTimeout()
 			}
-			list = append(list, call{lines: true, until: until, mid: mid}, call{lines: true, until: until, mid: mid, end: broken},
-				call{lines: true, until: until, mid: mid, end: broken, after: limit - little},
-				call{lines: true, until: until, mid: mid, end: useless})
+			list = append(list, callOutcome{receivedMessage: true, lastByte: lastByte, midMessage: midMessage}, callOutcome{receivedMessage: true, lastByte: lastByte, midMessage: midMessage, end: endBroken},
+				callOutcome{receivedMessage: true, lastByte: lastByte, midMessage: midMessage, end: endBroken, endDelay: limit - margin},
+				callOutcome{receivedMessage: true, lastByte: lastByte, midMessage: midMessage, end: endRejected})
 		}
 	}
 	return list
 }
 
-// play takes a follower through a call that is asked at a time, to when it is over for the follower.
-func (c call) play(t require.TestingT, f *follower, now time.Duration) time.Duration {
-	n := f.ask(now)
-	if c.lines {
-		believed, _ := f.heard(n)
-		require.True(t, believed)
+// play takes a follower through a request that starts at now, and returns the time when the follower gives it up.
+func (c callOutcome) play(t require.TestingT, f *follower, now time.Duration) time.Duration {
+	n := f.startWatch(now)
+	if c.receivedMessage {
+		accepted, _ := f.noteMessage(n)
+		require.True(t, accepted)
 	}
-	limit := f.head()
+	limit := f.headerTimeout()
 	switch {
-	case c.until >= 0 && c.mid:
-		limit = f.patience(f.stalls)
-	case c.until >= 0:
-		limit = silence
+	case c.lastByte >= 0 && c.midMessage:
+		limit = f.stallTimeoutAfter(f.stalls)
+	case c.lastByte >= 0:
+		limit = keepaliveTimeout
 	}
-	now += max(c.until, 0)
-	after, due := c.after, false
-	if c.mid && after > 0 && limit > f.stuck() { // as late as is waited for, which is longer now
-		after += limit - f.stuck()
+	now += max(c.lastByte, 0)
+	endDelay, due := c.endDelay, false
+	if c.midMessage && endDelay > 0 && limit > f.stallTimeout() { // the timeout is the extended one, so end as late as that allows
+		endDelay += limit - f.stallTimeout()
 	}
 	switch {
-	case c.end == silent || after > limit:
+	case c.end == endSilent || endDelay > limit:
 		now += limit
-		_, due = f.doubted(now, n, c.mid)
-	case c.end == broken:
-		now += after
-		due = f.ended(now, n, c.mid)
+		_, due = f.noteStall(now, n, c.midMessage)
+	case c.end == endBroken:
+		now += endDelay
+		due = f.noteEnd(now, n, c.midMessage)
 	default:
-		now += after
-		due = f.refused(now, n)
+		now += endDelay
+		due = f.noteRejection(now, n)
 	}
 	require.True(t, due, c)
 	return now
 }
 
-// A change counts as told 6 s after discovery had it and could be reached, whatever came of the calls before: after
-// calls that fail, are refused or given up, fall silent or break, early or as late as is waited for, the next one
-// begins so early that its answer has most of a second, with the worst of luck. Discovery comes back right behind the
-// ask of the last of them, which goes wrong all the same, or behind its end; of a watch that stood, right behind its last
-// byte. A call that was asked when it was back brings the list.
-func TestTheNextCallBeginsInTimeAfterAnyCalls(t *testing.T) {
-	worst := map[bool]late{}
-	for n := range 2 * len(manyTerms()) {
-		m, stalls := manyTerms()[n/2], n%2*mostStalls
-		for _, c := range calls(m) {
-			for _, luck := range []float64{0, 1} {
-				f := follower{terms: m, stalls: stalls}
-				next, l := c.then(t, &f, 0, luck)
-				for _, d := range calls(m) {
-					for _, luck := range []float64{0, 1} {
+// A change counts as known 6 s after discovery has it and is reachable, whatever happened to the requests before. After any
+// two requests that fail, are refused, time out, fall silent or break, early or as late as the timeouts allow, the next one
+// starts early enough to leave most of a second for its response, with the worst random delay. In the worst case discovery
+// returns right after the start of the last failing request, or right after the last byte of a watch that worked. A request
+// that starts once discovery is back receives the list.
+func TestNextRequestStartsInTimeAfterTwoFailures(t *testing.T) {
+	worst := map[bool]delay{}
+	for n := range 2 * len(allTimings()) {
+		m, stalls := allTimings()[n/2], n%2*stallsBeforeExtension
+		for _, c := range callOutcomes(m) {
+			for _, random := range []float64{0, 1} {
+				f := follower{timing: m, stalls: stalls}
+				next, l := c.playWithDelay(t, &f, 0, random)
+				for _, d := range callOutcomes(m) {
+					for _, random := range []float64{0, 1} {
 						g := f
-						_, l := d.then(t, &g, next, luck)
-						l.how += " after " + c.String()
-						worst[m.grace <= usualGrace] = worse(worst[m.grace <= usualGrace], l)
+						_, l := d.playWithDelay(t, &g, next, random)
+						l.description += " after " + c.String()
+						worst[m.grace <= defaultGrace] = longer(worst[m.grace <= defaultGrace], l)
 					}
 				}
-				worst[m.grace <= usualGrace] = worse(worst[m.grace <= usualGrace], l)
+				worst[m.grace <= defaultGrace] = longer(worst[m.grace <= defaultGrace], l)
 			}
 		}
 	}
-	t.Logf("the next call begins so long after discovery's return at most, grace up to %v: %v; and above: %v", usualGrace, worst[true], worst[false])
-	require.Less(t, worst[true].by, 4500*ms, worst[true].how)
-	require.Less(t, worst[false].by, 5200*ms, worst[false].how)
+	t.Logf("longest time from discovery's return to the next request, grace up to %v: %v; and above: %v", defaultGrace, worst[true], worst[false])
+	require.Less(t, worst[true].duration, 4500*ms, worst[true].description)
+	require.Less(t, worst[false].duration, 5200*ms, worst[false].description)
 }
 
-// So it does after long rows of calls, with any luck, and with calls that were left and break or go on meanwhile.
-func TestTheNextCallBeginsInTimeAfterLongRowsOfCalls(t *testing.T) {
-	all := manyTerms()
+// The same holds after many failed requests in a row, with any random delays, while earlier watches that were kept fail or
+// stall meanwhile.
+func TestNextRequestStartsInTimeAfterManyFailures(t *testing.T) {
+	all := allTimings()
 	rapid.Check(t, func(t *rapid.T) {
-		m := rapid.SampledFrom(all).Draw(t, "terms")
-		f, now := follower{terms: m}, time.Duration(0)
-		for range rapid.IntRange(1, 20).Draw(t, "calls") {
-			c := rapid.SampledFrom(calls(m)).Draw(t, "call")
-			next, l := c.then(t, &f, now, rapid.Float64Range(0, 1).Draw(t, "luck"))
-			require.Less(t, l.by, 5200*ms, l.how)
-			if old := rapid.SampledFrom([]int{0, f.kept, f.pending}).Draw(t, "old"); old != 0 {
-				if rapid.Bool().Draw(t, "breaks") {
-					require.False(t, f.ended(now, old, false), "the next is due by itself")
+		m := rapid.SampledFrom(all).Draw(t, "timing")
+		f, now := follower{timing: m}, time.Duration(0)
+		for range rapid.IntRange(1, 20).Draw(t, "failures") {
+			c := rapid.SampledFrom(callOutcomes(m)).Draw(t, "outcome")
+			next, l := c.playWithDelay(t, &f, now, rapid.Float64Range(0, 1).Draw(t, "random"))
+			require.Less(t, l.duration, 5200*ms, l.description)
+			if earlier := rapid.SampledFrom([]int{0, f.idle, f.unanswered}).Draw(t, "earlier watch"); earlier != 0 {
+				if rapid.Bool().Draw(t, "ends") {
+					require.False(t, f.noteEnd(now, earlier, false), "the next request is due without this one")
 				} else {
-					_, due := f.doubted(now, old, true)
+					_, due := f.noteStall(now, earlier, true)
 					require.False(t, due)
 				}
 			}
@@ -160,76 +161,77 @@
 	})
 }
 
-func manyTerms() (all []terms) {
+func allTimings() (all []timing) {
 	for _, grace := range []time.Duration{0, 50 * ms, 250 * ms, 500 * ms, 2 * time.Second, 20 * time.Second} {
 		for _, fleet := range []int{0, 1, 3, 20, 79, 80, 300, 5000} {
-			all = append(all, termsOf(logic.Settings{DrainGrace: grace, Gateways: fleet}))
+			all = append(all, timingOf(logic.Settings{DrainGrace: grace, Gateways: fleet}))
 		}
 	}
 	return all
 }
 
-type late struct {
-	by  time.Duration
-	how string
+type delay struct {
+	duration    time.Duration
+	description string
 }
 
-func (l late) String() string { return fmt.Sprintf("%v (%s)", l.by, l.how) }
+func (l delay) String() string { return fmt.Sprintf("%v (%s)", l.duration, l.description) }
 
-func worse(a, b late) late {
-	if a.by > b.by {
+func longer(a, b delay) delay {
+	if a.duration > b.duration {
 		return a
 	}
 	return b
 }
 
-// then plays a call and the wait behind it. It gives the time of the next one, and how late that is where discovery came back
-// right behind this one's ask, or its last whole word.
-func (c call) then(t require.TestingT, f *follower, now time.Duration, luck float64) (time.Duration, late) {
-	over := c.play(t, f, now)
-	wait := f.pause(luck)
+// playWithDelay plays a request and the delay after it. It returns the time of the next request, and how long that is after
+// discovery returned: right after the start of this request, or its last complete message.
+func (c callOutcome) playWithDelay(t require.TestingT, f *follower, now time.Duration, random float64) (time.Duration, delay) {
+	end := c.play(t, f, now)
+	wait := f.nextDelay(random)
 	require.GreaterOrEqual(t, wait, time.Duration(0))
-	back := now
-	if c.lines {
-		back += c.until
+	returned := now
+	if c.receivedMessage {
+		returned += c.lastByte
 	}
-	return over + wait, late{over + wait - back, fmt.Sprintf("grace %v, fleet of %d, luck %v, %v", f.grace, f.fleet, luck, c)}
+	return end + wait, delay{end + wait - returned, fmt.Sprintf("grace %v, fleet of %d, random %v, %v", f.grace, f.fleetSize, random, c)}
 }
 
-// On real sockets: discovery comes back right behind an ask that goes wrong all the same. Another ask brings the list, for
-// a limiter of a large fleet, after each way to go wrong; how long that took, and how many asks, is in the log.
-func TestTheNextCallBringsTheListAfterAnyOther(t *testing.T) {
+// On real sockets, discovery returns right after the start of a request that still fails. A further request receives the
+// list, for a limiter in a large fleet and after each kind of failure. The test logs how long that took, and after how many
+// requests.
+func TestNextRequestReceivesListAfterAnyFailure(t *testing.T) {
 	const part = `{"version":41,"full":true,"servers":[` + "\n"
-	head := func(conn net.Conn, more string) {
+	sendHeader := func(conn net.Conn, chunk string) {
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-		if more != "" {
-			_, _ = fmt.Fprintf(conn, "%x\r\n%s\r\n", len(more), more)
+		if chunk != "" {
+			_, _ = fmt.Fprintf(conn, "%x\r\n%s\r\n", len(chunk), chunk)
 		}
 	}
-	stays := func(conn net.Conn) { _, _ = conn.Read(make([]byte, 1)) } // until it is given up
-	for name, wrong := range map[string]func(net.Conn){
-		"nothing":           stays,
-		"reset":             func(conn net.Conn) { _ = conn.(*net.TCPConn).SetLinger(0) },
-		"closed":            func(net.Conn) {},
-		"refused":           func(conn net.Conn) { _, _ = io.WriteString(conn, "HTTP/1.1 503 No\r\nContent-Length: 2\r\n\r\nno") },
-		"half a head":       func(conn net.Conn) { _, _ = io.WriteString(conn, "HTTP/1.1 200"); stays(conn) },
-		"a head":            func(conn net.Conn) { head(conn, ""); stays(conn) },
-		"a head, closed":    func(conn net.Conn) { head(conn, "") },
-		"part of a list":    func(conn net.Conn) { head(conn, part); stays(conn) },
-		"a list cut short":  func(conn net.Conn) { head(conn, part) },
-		"an empty line":     func(conn net.Conn) { head(conn, "\n"); stays(conn) },
-		"garbage":           func(conn net.Conn) { head(conn, "garbage\n"); stays(conn) },
-		"no HTTP":           func(conn net.Conn) { _, _ = io.WriteString(conn, "-ERR\r\n") },
-		"a list refused":    func(conn net.Conn) { head(conn, "{"+fmt.Sprintf("%5000s", "")); stays(conn) },
-		"closed by its end": func(conn net.Conn) { head(conn, "\n"); _, _ = io.WriteString(conn, "0\r\n\r\n") },
+	waitForClose := func(conn net.Conn) { _, _ = conn.Read(make([]byte, 1)) } // until the limiter closes it
+	for name, fail := range map[string]func(net.Conn){
+		"nothing":               waitForClose,
+		"reset":                 func(conn net.Conn) { _ = conn.(*net.TCPConn).SetLinger(0) },
+		"closed":                func(net.Conn) {},
+		"refused":               func(conn net.Conn) { _, _ = io.WriteString(conn, "HTTP/1.1 503 No\r\nContent-Length: 2\r\n\r\nno") },
+		"half a header":         func(conn net.Conn) { _, _ = io.WriteString(conn, "HTTP/1.1 200"); waitForClose(conn) },
+		"a header":              func(conn net.Conn) { sendHeader(conn, ""); waitForClose(conn) },
+		"a header, closed":      func(conn net.Conn) { sendHeader(conn, "") },
+		"part of a list":        func(conn net.Conn) { sendHeader(conn, part); waitForClose(conn) },
+		"a truncated list":      func(conn net.Conn) { sendHeader(conn, part) },
+		"an empty line":         func(conn net.Conn) { sendHeader(conn, "\n"); waitForClose(conn) },
+		"garbage":               func(conn net.Conn) { sendHeader(conn, "garbage\n"); waitForClose(conn) },
+		"no HTTP":               func(conn net.Conn) { _, _ = io.WriteString(conn, "-ERR\r\n") },
+		"a list rejected":       func(conn net.Conn) { sendHeader(conn, "{"+fmt.Sprintf("%5000s", "")); waitForClose(conn) },
+		"an empty line, closed": func(conn net.Conn) { sendHeader(conn, "\n"); _, _ = io.WriteString(conn, "0\r\n\r\n") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			l, err := loopback.Listen()
 			require.NoError(t, err)
 			defer l.Close()
-			var asks atomic.Int64
-			back := make(chan time.Time, 1)
+			var requests atomic.Int64
+			returned := make(chan time.Time, 1)
 			go func() {
 				for {
 					conn, err := l.Accept()
@@ -239,25 +241,26 @@
 					go func() {
 						defer conn.Close()
 						_, _ = conn.Read(make([]byte, 4<<10))
-						if asks.Add(1) == 1 {
-							back <- time.Now()
-							wrong(conn)
+						if requests.Add(1) == 1 {
+							returned <- time.Now()
+							fail(conn)
 							return
 						}
-						head(conn, part+entry(1, "")+"]}\n")
-						stays(conn)
+						sendHeader(conn, part+entry(1, "")+"]}\n")
+						waitForClose(conn)
 					}()
 				}
 			}()
-			b := followLarge(t, l.Addr().String())
-			wait(t, "the list", func() bool { return b.size() == 1 })
-			t.Log(time.Since(<-back).Round(time.Millisecond), asks.Load(), "asks")
+			b := followInLargeFleet(t, l.Addr().String())
+			eventually(t, "the list", func() bool { return b.size() == 1 })
+			t.Log(time.Since(<-returned).Round(time.Millisecond), requests.Load(), "requests")
 		})
 	}
 }
 
-// A machine that was cut off answers no dial: it hangs, and so do all that are begun meanwhile.
-func TestDialsThatNeverComeUpEndWithDiscoverysReturn(t *testing.T) {
+// Dials to a machine that is cut off from the network hang. The list is received soon after it answers again. The test uses
+// a listening socket whose accept queue is full.
+func TestHangingDialsRecoverWhenDiscoveryReturns(t *testing.T) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	require.NoError(t, err)
 	defer syscall.Close(fd)
@@ -269,17 +272,17 @@
 	at, err := syscall.Getsockname(fd)
 	require.NoError(t, err)
 	addr := netip.AddrPortFrom(host, uint16(at.(*syscall.SockaddrInet4).Port)).String()
-	for { // until its queue is full
+	for { // until the accept queue is full
 		conn, err := net.DialTimeout("tcp", addr, 200*time.Millisecond)
 		if err != nil {
 			break
 		}
 		defer conn.Close()
 	}
-	b := followLarge(t, addr)
-	time.Sleep(2 * time.Second) // some asks that hang
+	b := followInLargeFleet(t, addr)
+	time.Sleep(2 * time.Second) // enough for some dials to hang
 	require.Zero(t, b.size())
-	back := time.Now()
+	returned := time.Now()
 	go func() {
 		for {
 			nfd, _, err := syscall.Accept(fd)
@@ -289,14 +292,14 @@
 			_, _ = syscall.Write(nfd, []byte("HTTP/1.1 200 OK\r\n\r\n"+`{"version":41,"full":true,"servers":[`+entry(1, "")+"]}\n"))
 		}
 	}()
-	wait(t, "the list", func() bool { return b.size() == 1 })
-	t.Log(time.Since(back).Round(time.Millisecond))
+	eventually(t, "the list", func() bool { return b.size() == 1 })
+	t.Log(time.Since(returned).Round(time.Millisecond))
 	require.NoError(t, syscall.Shutdown(fd, syscall.SHUT_RDWR))
 }
 
-// followLarge follows the list at an address as a limiter of a fleet of 300 does.
-func followLarge(t *testing.T, addr string) *book {
-	b := &book{ready: addresses{}}
+// followInLargeFleet follows the list at an address as a limiter in a fleet of 300.
+func followInLargeFleet(t *testing.T, addr string) *recorder {
+	b := &recorder{ready: addresses{}}
 	client := New(addr, logic.Settings{Gateways: 300, DrainGrace: 250 * ms}, b, b.post)
 	ctx, end := context.WithCancel(context.Background())
 	go client.Run(ctx)
@@ -304,32 +307,33 @@
 	return b
 }
 
-// The text of a refusal is no beginning of a list, which would be asked for again soon by each limiter of a fleet.
-func TestARefusalIsNotTheBeginningOfAList(t *testing.T) {
+// The body of an HTTP error is not taken for the start of a list, after which every limiter of a fleet would soon send
+// another request.
+func TestHTTPErrorBodyIsNotStartOfList(t *testing.T) {
 	url := serve(t, func(_ *http.Request, out io.Writer) {
-		w := out.(flushed).ResponseWriter // head and text come at once
+		w := out.(flushingWriter).ResponseWriter // unwrapped, so that header and body are sent together
 		w.Header().Set("Content-Length", "4")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		_, _ = io.WriteString(w, "busy")
 	})
 	client := New("", logic.Settings{}, addresses{}, nil)
-	words := make(chan word)
-	go client.watch(t.Context(), t.Context(), 1, url, words)
-	x := <-words
-	for x.kind != over {
-		x = <-words
+	events := make(chan watchEvent)
+	go client.watch(t.Context(), t.Context(), 1, url, events)
+	event := <-events
+	for event.kind != watchEnded {
+		event = <-events
 	}
-	require.ErrorContains(t, x.err, "503")
-	require.False(t, x.mid)
+	require.ErrorContains(t, event.err, "503")
+	require.False(t, event.midMessage)
 }
 
-// A discovery that stops within each list, for longer than a list may stand still, is heard all the same.
-func TestADiscoveryThatStopsWithinEachListIsHeard(t *testing.T) {
-	b := followLarge(t, strings.TrimPrefix(serve(t, func(ask *http.Request, out io.Writer) {
+// A discovery that pauses within each list, for longer than the stall timeout, is still read in the end.
+func TestDiscoveryThatPausesWithinEachListIsRead(t *testing.T) {
+	b := followInLargeFleet(t, strings.TrimPrefix(serve(t, func(req *http.Request, out io.Writer) {
 		_, _ = io.WriteString(out, `{"version":41,"full":true,`)
-		time.Sleep(200 * time.Millisecond) // three times as long
+		time.Sleep(200 * time.Millisecond) // three times the stall timeout
 		_, _ = io.WriteString(out, `"servers":[`+entry(1, "")+"]}\n")
-		<-ask.Context().Done()
+		<-req.Context().Done()
 	}), "http://"))
-	wait(t, "the list", func() bool { return b.size() == 1 })
+	eventually(t, "the list", func() bool { return b.size() == 1 })
 }
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -15,113 +15,115 @@
 	"bramblefall/internal/socket"
 )
 
-// word is what a watch has to say.
-type word struct {
-	watch int
-	kind  kind
-	mid   bool  // it stands in the middle of a line
-	list  *List // of a whole line; of one that broke off, what had come
-	err   error
+// watchEvent is what a watch reports to Client.follow.
+type watchEvent struct {
+	watch      int
+	kind       eventKind
+	midMessage bool  // the watch stopped within a line, or within a list of several lines
+	list       *List // messageReceived: the list, nil for an empty line; watchEnded: the complete entries of a truncated list
+	err        error
 }
 
-type kind uint8
+type eventKind uint8
 
 const (
-	line  kind = iota // a whole list has come; without one: an empty line between lists
-	doubt             // nothing has come for too long
-	over              // the connection has ended
+	messageReceived eventKind = iota // a complete list, or an empty line between lists
+	watchStalled                     // nothing was received within the timeout
+	watchEnded                       // the connection has ended
 )
 
 const (
-	lastLook = 5 * time.Millisecond
-	never    = time.Hour
+	finalCheckDelay = 5 * time.Millisecond // lets bytes that are already on the connection be read before a stall is reported
+	noTimeout       = time.Hour            // the timer is reset right after it is created
 )
 
-// What one list may hold. The need is 57,000 servers, of 127 bytes each in a line and 180 indented. There is room for 4.6 times
-// as many and for entries 32 times as large. Guards against a list, or something else, that never ends: it is refused, and the
-// servers known stay.
+// Limits of one list. The largest expected list has 57,000 servers, of 127 bytes each on one line or 180 indented; the limits
+// allow 4.6 times as many and entries 32 times as large. A response that exceeds them, for instance one that never ends, is
+// rejected, and the servers known before are kept.
 const (
-	mostServers = 1 << 18  // of one list, and of all changes to it
-	mostText    = 32 << 20 // their names, addresses and words; 57,000 of the usual ones have 2 MB
-	mostEntry   = 4 << 10  // in bytes, with what stands before it; so may any other key's value be, or blanks
-	mostKeys    = 64       // of the list itself: it has three
-	mostHeader  = 64 << 10 // of the answer
+	maxServers     = 1 << 18  // in a list, and with all changes to it
+	maxTextBytes   = 32 << 20 // of all strings in the servers' entries; 57,000 usual entries have 2 MB
+	maxValueBytes  = 4 << 10  // of one server's entry or any other key's value, with what precedes it, and of blanks between lists
+	maxKeys        = 64       // of the list object, which has three
+	maxHeaderBytes = 64 << 10 // of the response
 )
 
 var (
-	errRefused = errors.New("discovery's list is refused")
-	errStatus  = errors.New("discovery refuses")
+	errListRejected = errors.New("discovery's list is refused")
+	errHTTPStatus   = errors.New("discovery did not answer with status 200")
 )
 
-func refused(text string, most int) error { return fmt.Errorf("%w: "+text, errRefused, most) }
+// rejectList returns an errListRejected whose text has the limit that was exceeded.
+func rejectList(text string, limit int) error { return fmt.Errorf("%w: "+text, errListRejected, limit) }
 
-// watch reads one watch until it ends or here does. Words are said as long as the address is followed.
-func (c *Client) watch(here, followed context.Context, n int, url string, words chan<- word) {
-	say := func(w word) {
+// watch reads one watch until it ends or ctx does, and sends its events until followCtx ends.
+func (c *Client) watch(ctx, followCtx context.Context, n int, url string, events chan<- watchEvent) {
+	send := func(w watchEvent) {
 		w.watch = n
 		select {
-		case words <- w:
-		case <-followed.Done():
+		case events <- w:
+		case <-followCtx.Done():
 		}
 	}
-	p := &pulse{terms: c.terms, stalls: int(c.stalls.Load())}
-	p.timer = crash.AfterFunc(never, func() {
-		if !p.late() {
-			say(word{kind: doubt, mid: p.mid()})
+	p := &activityMonitor{timing: c.timing, stalls: int(c.stalls.Load())}
+	p.timer = crash.AfterFunc(noTimeout, func() {
+		if !p.beginFinalCheck() {
+			send(watchEvent{kind: watchStalled, midMessage: p.midMessage()})
 		}
 	})
 	defer p.timer.Stop()
-	p.timer.Reset(c.terms.head())
-	l, err := lists(here, url, p, func(l *List) { say(word{kind: line, list: l}) })
-	// Guards against the text of a refusal that is taken for the beginning of a list, and asked for again as soon.
-	mid := p.mid() && !errors.Is(err, errStatus)
-	say(word{kind: over, mid: mid, list: l, err: err})
+	p.timer.Reset(c.timing.headerTimeout())
+	l, err := readLists(ctx, url, p, func(l *List) { send(watchEvent{kind: messageReceived, list: l}) })
+	// The body of an HTTP error is not the start of a list, after which the next request would come sooner.
+	midMessage := p.midMessage() && !errors.Is(err, errHTTPStatus)
+	send(watchEvent{kind: watchEnded, midMessage: midMessage, list: l, err: err})
 }
 
-// lists hands on the lists of an answer as they come, and nil for an empty line between them. With the error comes what had
-// come of the last.
-func lists(ctx context.Context, url string, p *pulse, take func(*List)) (*List, error) {
+// readLists requests url and calls handle for each list of the response, and with nil for an empty line between lists. With
+// the error it returns the complete entries of a list that was truncated.
+func readLists(ctx context.Context, url string, p *activityMonitor, handle func(*List)) (*List, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return nil, err
 	}
 	answer, err := (&http.Transport{DialContext: p.dial, DisableKeepAlives: true, DisableCompression: true,
-		MaxResponseHeaderBytes: mostHeader}).RoundTrip(req)
+		MaxResponseHeaderBytes: maxHeaderBytes}).RoundTrip(req)
 	if err != nil {
 		return nil, err
 	}
 	defer answer.Body.Close()
 	if answer.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("%w: %s", errStatus, answer.Status)
+		return nil, fmt.Errorf("%w: %s", errHTTPStatus, answer.Status)
 	}
-	in := decoder(&body{from: answer.Body, pulse: p, empty: func() { take(nil) }})
+	in := newDecoder(&listReader{source: answer.Body, monitor: p, onEmptyLine: func() { handle(nil) }})
 	for {
-		l, err := next(in)
+		l, err := readList(in)
 		if err != nil {
 			return &l, errors.Join(err, ctx.Err())
 		}
-		take(&l)
+		handle(&l)
 	}
 }
 
-func decoder(r *body) *json.Decoder {
+// newDecoder returns a decoder of the lists that r delivers, and lets r limit the size of values by the decoder's offset.
+func newDecoder(r *listReader) *json.Decoder {
 	in := json.NewDecoder(r)
-	r.used = in.InputOffset
+	r.consumed = in.InputOffset
 	return in
 }
 
-// next reads one list, entry by entry: what came before it broke off is not lost.
-func next(in *json.Decoder) (l List, err error) {
-	if err = open(in, '{'); err != nil {
+// readList reads one list entry by entry, so that the entries before a truncation are kept.
+func readList(in *json.Decoder) (l List, err error) {
+	if err = expectDelim(in, '{'); err != nil {
 		return l, err
 	}
 	for keys := 0; in.More(); keys++ {
 		key, err := in.Token()
 		if err != nil {
-			return l, cut(err)
+			return l, truncated(err)
 		}
-		if keys == mostKeys {
-			return l, refused("more than %d keys", mostKeys)
+		if keys == maxKeys {
+			return l, rejectList("more than %d keys", maxKeys)
 		}
 		switch key {
 		case "version":
@@ -129,217 +131,224 @@
 		case "full":
 			err = in.Decode(&l.Full)
 		case "servers":
-			err = l.entries(in)
+			err = l.readServers(in)
 		default:
 			var other json.RawMessage
 			err = in.Decode(&other)
 		}
 		if err != nil {
-			return l, cut(err)
+			return l, truncated(err)
 		}
 	}
 	_, err = in.Token()
-	return l, cut(err)
+	return l, truncated(err)
 }
 
-func (l *List) entries(in *json.Decoder) error {
-	if err := open(in, '['); err != nil {
-		return cut(err)
+func (l *List) readServers(in *json.Decoder) error {
+	if err := expectDelim(in, '['); err != nil {
+		return truncated(err)
 	}
 	for text := 0; in.More(); {
 		var s Server
 		if err := in.Decode(&s); err != nil {
-			return cut(err)
+			return truncated(err)
 		}
 		text += len(s.ID) + len(s.Addr) + len(s.Zone) + len(s.Kind) + len(s.State)
-		if len(l.Servers) == mostServers {
-			return refused("more than %d servers", mostServers)
+		if len(l.Servers) == maxServers {
+			return rejectList("more than %d servers", maxServers)
 		}
-		if text > mostText {
-			return refused("its servers have more than %d bytes of text", mostText)
+		if text > maxTextBytes {
+			return rejectList("its servers have more than %d bytes of text", maxTextBytes)
 		}
 		l.Servers = append(l.Servers, s)
 	}
 	_, err := in.Token()
-	return cut(err)
+	return truncated(err)
 }
 
-func open(in *json.Decoder, d json.Delim) error {
+// expectDelim reads the next token and returns an error unless it is d.
+func expectDelim(in *json.Decoder, d json.Delim) error {
 	t, err := in.Token()
 	if err == nil && t != d {
-		err = fmt.Errorf("discovery's list: %v where %v belongs", t, d)
+		err = fmt.Errorf("discovery's list: got %v, want %v", t, d)
 	}
 	return err
 }
 
-// cut names an end in the middle of a list for what it is.
-func cut(err error) error {
+// truncated turns io.EOF within a list into io.ErrUnexpectedEOF.
+func truncated(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// pulse notes whether an answer lives, on the bare connection: net/http hands on a chunk once it is whole, so that one
-// which stops short looks to a reader of the body like none.
-type pulse struct {
-	terms  terms
-	stalls int // of watches before
-	timer  *time.Timer
-	look   atomic.Bool // the time is over, and the connection is given a last look
-	open   atomic.Bool // the last byte on the connection ended no line
-	list   atomic.Bool // a list has begun in the body, and not ended
+// activityMonitor detects a response that has stalled. It watches the connection itself: net/http passes on a chunk only when
+// it is complete, so that a reader of the body cannot tell a chunk that stops short from no data at all.
+type activityMonitor struct {
+	timing     timing
+	stalls     int // watches in a row that stalled within a message before this one
+	timer      *time.Timer
+	finalCheck atomic.Bool // the timeout has passed, and the connection is checked once more
+	midLine    atomic.Bool // the last byte read from the connection was no line end
+	inList     atomic.Bool // the body is within a list
 }
 
-// mid tells whether the answer stands in the middle of a line, or of a list that goes over several. Guards against an
-// indented list that stops at the end of one of its lines and is waited for as if it stood between two lists.
-func (p *pulse) mid() bool { return p.open.Load() || p.list.Load() }
+// midMessage reports whether the response is within a line, or within a list of several lines. An indented list that stops
+// at the end of one of its lines must not get the longer timeout that applies between two lists.
+func (p *activityMonitor) midMessage() bool { return p.midLine.Load() || p.inList.Load() }
 
-// late tells, where the time is over, whether the connection may have bytes that were not read yet. Guards against a limiter
-// that stood still, or without its processor, and doubts an answer that came meanwhile: a long list would begin anew.
-func (p *pulse) late() bool {
-	if p.look.Swap(true) {
+// beginFinalCheck is called when the timeout has passed. The first time it restarts the timer with finalCheckDelay and
+// returns true, since the connection may have bytes that were not read yet. A limiter that was paused, or got no processor
+// time, would otherwise drop a response that arrived meanwhile, and a long list would start from the beginning. The second time
+// without activity in between it returns false, and the stall is reported.
+func (p *activityMonitor) beginFinalCheck() bool {
+	if p.finalCheck.Swap(true) {
 		return false
 	}
-	p.timer.Reset(lastLook)
+	p.timer.Reset(finalCheckDelay)
 	return true
 }
 
-func (p *pulse) beat() {
-	p.look.Store(false)
-	if p.mid() {
-		p.timer.Reset(p.terms.patience(p.stalls))
+// noteActivity restarts the timer after bytes were received, or a list began or ended.
+func (p *activityMonitor) noteActivity() {
+	p.finalCheck.Store(false)
+	if p.midMessage() {
+		p.timer.Reset(p.timing.stallTimeoutAfter(p.stalls))
 	} else {
-		p.timer.Reset(silence)
+		p.timer.Reset(keepaliveTimeout)
 	}
 }
 
-// within notes whether the body stands in a list.
-func (p *pulse) within(list bool) {
-	if p.list.Swap(list) != list {
-		p.beat()
+// setInList records whether the body is within a list.
+func (p *activityMonitor) setInList(inList bool) {
+	if p.inList.Swap(inList) != inList {
+		p.noteActivity()
 	}
 }
 
-func (p *pulse) dial(ctx context.Context, network, addr string) (net.Conn, error) {
-	// The standard library's connections: net/http closes one while it reads from it, which netpoll's do not bear.
-	// Guards against a failure of a moment that is taken for discovery's refusal: the next ask could be seconds away.
-	conn, err := socket.RetryDial(ctx, dialLimit, func() (net.Conn, error) {
-		return (&net.Dialer{Timeout: dialLimit}).DialContext(ctx, network, addr)
+func (p *activityMonitor) dial(ctx context.Context, network, addr string) (net.Conn, error) {
+	// This uses the standard library's connections: net/http closes a connection while reading from it, which netpoll's
+	// connections do not support. It retries, because a transient local failure would count as a refusal by discovery, and
+	// the next request could be seconds away.
+	conn, err := socket.RetryDial(ctx, dialTimeout, func() (net.Conn, error) {
+		return (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, network, addr)
 	})
 	if err != nil {
 		return nil, err
 	}
-	return beating{conn, p}, nil
+	return monitoredConn{conn, p}, nil
 }
 
-type beating struct {
+// monitoredConn reports what it reads to an activityMonitor.
+type monitoredConn struct {
 	net.Conn
-	pulse *pulse
+	monitor *activityMonitor
 }
 
-func (c beating) Read(b []byte) (int, error) {
+func (c monitoredConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
-		c.pulse.open.Store(b[n-1] != '\n')
-		c.pulse.beat()
+		c.monitor.midLine.Store(b[n-1] != '\n')
+		c.monitor.noteActivity()
 	}
 	return n, err
 }
 
-// body hands on the lists of an answer, and tells of the empty lines between them in their turn: a read ends with a list,
-// so that the next one comes when that list has been taken. Guards against the end of any line being heard as a whole word.
-type body struct {
-	from  io.Reader
-	pulse *pulse
-	empty func()
-	used  func() int64 // bytes of what was handed on of which the decoder has made something
+// listReader passes on the lists of a response body and calls onEmptyLine for the empty lines between them, in order: a Read
+// returns at the end of a list, so that the next one starts only after that list has been handled. The end of a line that
+// holds part of a list is not a message.
+type listReader struct {
+	source      io.Reader
+	monitor     *activityMonitor
+	onEmptyLine func()
+	consumed    func() int64 // bytes that the decoder has consumed of those delivered
 
-	buf  [4 << 10]byte
-	left []byte // of buf: what is not handed on yet
-	err  error  // behind left
+	buf    [4 << 10]byte
+	unread []byte // the part of buf that was not delivered yet
+	err    error  // returned after unread
 
-	list   bool // one has begun
-	depth  int  // of its objects and arrays that are open
-	text   bool // a string is
-	escape bool // and its next byte ends nothing
-	words  bool // something stands on this line
-	blanks int  // on this line, beside lists
-	handed int64
+	inList      bool // within a list
+	depth       int  // objects and arrays that are open in the list
+	inString    bool
+	escaped     bool  // the next byte of the string follows a backslash
+	lineHasText bool  // the current line is not empty
+	blanks      int   // on the current line, outside of lists
+	delivered   int64 // bytes passed on by Read
 }
 
-func (r *body) Read(b []byte) (int, error) {
+func (r *listReader) Read(b []byte) (int, error) {
 	for {
 		switch {
-		case len(r.left) > 0 && !r.list:
-			r.between()
-		case len(r.left) > 0:
-			room := mostEntry - (r.handed - r.used())
+		case len(r.unread) > 0 && !r.inList:
+			r.skipToList()
+		case len(r.unread) > 0:
+			room := maxValueBytes - (r.delivered - r.consumed())
 			if room > 0 {
-				return r.hand(b[:min(int64(len(b)), room)]), nil
+				return r.copyList(b[:min(int64(len(b)), room)]), nil
 			}
-			r.left, r.err = nil, refused("a value of more than %d bytes", mostEntry)
+			r.unread, r.err = nil, rejectList("a value of more than %d bytes", maxValueBytes)
 		case r.err != nil:
-			return 0, r.err // alone: json's decoder drops an error beside bytes that end a value
+			return 0, r.err // without bytes: json.Decoder drops an error that comes with the bytes that end a value
 		default:
-			r.pulse.within(r.list)
-			n, err := r.from.Read(r.buf[:])
-			r.left, r.err = r.buf[:n], err
+			r.monitor.setInList(r.inList)
+			n, err := r.source.Read(r.buf[:])
+			r.unread, r.err = r.buf[:n], err
 		}
 	}
 }
 
-// between passes over what stands between two lists, up to the next.
-func (r *body) between() {
+// skipToList consumes what is between two lists, up to the start of the next.
+func (r *listReader) skipToList() {
 	empty := false
 	defer func() {
 		if empty {
-			r.empty()
+			r.onEmptyLine()
 		}
 	}()
-	for len(r.left) > 0 {
-		switch c := r.left[0]; c {
+	for len(r.unread) > 0 {
+		switch c := r.unread[0]; c {
 		case '\n':
-			empty = empty || !r.words
-			r.words, r.blanks = false, 0
+			empty = empty || !r.lineHasText
+			r.lineHasText, r.blanks = false, 0
 		case ' ', '\t', '\r':
-			if r.blanks++; r.blanks > mostEntry {
-				r.left, r.err = nil, refused("more than %d blanks where a list belongs", mostEntry)
+			if r.blanks++; r.blanks > maxValueBytes {
+				r.unread, r.err = nil, rejectList("more than %d blanks before a list", maxValueBytes)
 				return
 			}
 		case '{':
-			r.list, r.words = true, true
+			r.inList, r.lineHasText = true, true
 			return
 		default:
-			r.left, r.err = nil, fmt.Errorf("discovery's list: %q where { belongs", c)
+			r.unread, r.err = nil, fmt.Errorf("discovery's list: got %q, want {", c)
 			return
 		}
-		r.left = r.left[1:]
+		r.unread = r.unread[1:]
 	}
 }
 
-// hand copies what has come of a list, up to its end. Whether it is in order is the decoder's to say.
-func (r *body) hand(b []byte) int {
+// copyList copies the unread part of a list, up to its end. Whether the list is valid JSON is left to the decoder.
+func (r *listReader) copyList(b []byte) int {
 	n := 0
-	for r.list && n < min(len(b), len(r.left)) {
-		c := r.left[n]
+	for r.inList && n < min(len(b), len(r.unread)) {
+		c := r.unread[n]
 		n++
 		switch {
-		case r.escape:
-			r.escape = false
-		case r.text:
-			r.text, r.escape = c != '"', c == '\\'
+		case r.escaped:
+			r.escaped = false
+		case r.inString:
+			r.inString, r.escaped = c != '"', c == '\\'
 		case c == '"':
-			r.text = true
+			r.inString = true
 		case c == '{' || c == '[':
 			r.depth++
 		case c == '}' || c == ']':
 			r.depth--
-			r.list = r.depth > 0
+			r.inList = r.depth > 0
 		}
 	}
-	copy(b, r.left[:n])
-	r.left = r.left[n:]
-	r.handed += int64(n)
+	copy(b, r.unread[:n])
+	r.unread = r.unread[n:]
+	r.delivered += int64(n)
 	return n
 }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -17,19 +17,19 @@
 	"bramblefall/logic"
 )
 
-const patience = 20 * time.Second // a test that waits so long has failed; no verdict depends on less
+const testTimeout = 20 * time.Second // long enough that no result depends on the machine's speed
 
-// serve answers every ask by a function that writes the body, and says where.
-func serve(t *testing.T, answer func(ask *http.Request, out io.Writer)) (url string) {
-	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { answer(r, flushed{w}) }))
-	begin(t, s)
+// serve starts a server that answers every request by a function that writes the body, and returns its URL.
+func serve(t *testing.T, answer func(req *http.Request, out io.Writer)) (url string) {
+	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { answer(r, flushingWriter{w}) }))
+	startServer(t, s)
 	t.Cleanup(s.Close)
 	t.Cleanup(s.CloseClientConnections)
 	return s.URL
 }
 
-// begin starts a server at an address that nobody else on the machine is given.
-func begin(t *testing.T, s *httptest.Server) {
+// startServer starts a server at a loopback address that nothing else on the machine uses.
+func startServer(t *testing.T, s *httptest.Server) {
 	listener, err := loopback.Listen()
 	require.NoError(t, err)
 	require.NoError(t, s.Listener.Close())
@@ -37,36 +37,37 @@
 	s.Start()
 }
 
-// flushed sends each write on its way by itself.
-type flushed struct{ http.ResponseWriter }
+// flushingWriter flushes after each write.
+type flushingWriter struct{ http.ResponseWriter }
 
-func (w flushed) Write(b []byte) (int, error) {
+func (w flushingWriter) Write(b []byte) (int, error) {
 	n, err := w.ResponseWriter.Write(b)
 	w.ResponseWriter.(http.Flusher).Flush()
 	return n, err
 }
 
-func idle(m terms) *pulse {
-	p := &pulse{terms: m, timer: time.NewTimer(time.Hour)}
+func idleMonitor(m timing) *activityMonitor {
+	p := &activityMonitor{timing: m, timer: time.NewTimer(time.Hour)}
 	return p
 }
 
-func indented(t *testing.T, line string) string {
+func indentJSON(t *testing.T, line string) string {
 	var b bytes.Buffer
 	require.NoError(t, json.Indent(&b, []byte(line), "", "  "))
 	return b.String()
 }
 
-// Only a whole word is heard: a list to its end, in however many lines and pieces it comes, and an empty line between lists.
-func TestOnlyWholeWordsAreHeard(t *testing.T) {
+// Only complete messages are reported: a list at its end, however many lines and pieces it arrives in, and an empty line
+// between lists.
+func TestOnlyCompleteMessagesAreReported(t *testing.T) {
 	one := `{"version":41,"more":["\"}]{[\\"],"full":true,"servers":[{"id":"s-1","state":"ready"}]}`
 	two := strings.Replace(one, "41", "42", 1)
 	for name, c := range map[string]struct {
 		text string
-		said string
+		want string
 	}{
 		"lines":                 {one + "\n\n" + two + "\n", "41 - 42"},
-		"indented":              {indented(t, one) + "\n\n" + indented(t, two) + "\n", "41 - 42"},
+		"indented":              {indentJSON(t, one) + "\n\n" + indentJSON(t, two) + "\n", "41 - 42"},
 		"empty lines":           {"\n \r\n" + one + "\r\n" + two + "\n\t\n", "- 41 42 -"},
 		"without a last end":    {one + "\n" + two, "41 42"},
 		"two on a line":         {one + " " + two + "\n", "41 42"},
@@ -78,63 +79,63 @@
 					_, _ = io.WriteString(out, c.text[:at])
 					_, _ = io.WriteString(out, c.text[at:])
 				})
-				var said []string
-				_, err := lists(t.Context(), url, idle(termsOf(logic.Settings{})), func(l *List) {
+				var got []string
+				_, err := readLists(t.Context(), url, idleMonitor(timingOf(logic.Settings{})), func(l *List) {
 					switch {
 					case l != nil:
-						said = append(said, map[int64]string{41: "41", 42: "42"}[l.Version])
-					case len(said) == 0 || said[len(said)-1] != "-": // some empty lines in a row are as good as one
-						said = append(said, "-")
+						got = append(got, map[int64]string{41: "41", 42: "42"}[l.Version])
+					case len(got) == 0 || got[len(got)-1] != "-": // empty lines in a row count as one
+						got = append(got, "-")
 					}
 				})
 				require.ErrorIs(t, err, io.EOF)
-				require.Equal(t, c.said, strings.Join(said, " "), "in pieces at %d", at)
+				require.Equal(t, c.want, strings.Join(got, " "), "split at byte %d", at)
 			}
 		})
 	}
 }
 
-// A list that stops at the end of one of its lines stands in the middle, however many lines it has: what it has begun to
-// tell binds, and the next ask does not wait for an empty line that will not come.
-func TestAnIndentedListThatStopsIsDoubtedAsInTheMiddle(t *testing.T) {
-	text := indented(t, `{"version":41,"full":true,"servers":[{"id":"s-1","state":"draining"},{"id":"s-2","state":"ready"}]}`)
+// A list that stalls at the end of one of its lines is reported as stalled within a message: what it has begun to deliver is
+// binding, and the next request does not wait for an empty line that will not arrive.
+func TestStalledIndentedListIsReportedMidMessage(t *testing.T) {
+	text := indentJSON(t, `{"version":41,"full":true,"servers":[{"id":"s-1","state":"draining"},{"id":"s-2","state":"ready"}]}`)
 	part := text[:strings.LastIndex(text, "},")+3]
 	require.True(t, strings.HasSuffix(part, "\n"))
-	url := serve(t, func(ask *http.Request, out io.Writer) {
+	url := serve(t, func(req *http.Request, out io.Writer) {
 		_, _ = io.WriteString(out, part)
-		<-ask.Context().Done()
+		<-req.Context().Done()
 	})
 	client := New("", logic.Settings{}, addresses{}, nil)
-	words := make(chan word)
-	here, end := context.WithCancel(t.Context())
-	go client.watch(here, t.Context(), 1, url, words)
-	x := <-words
-	require.Equal(t, doubt, x.kind, "nothing in it is a whole word")
-	require.True(t, x.mid)
-	end()
-	for x = range words {
-		if x.kind == over {
+	events := make(chan watchEvent)
+	ctx, cancel := context.WithCancel(t.Context())
+	go client.watch(ctx, t.Context(), 1, url, events)
+	event := <-events
+	require.Equal(t, watchStalled, event.kind, "it contains no complete message")
+	require.True(t, event.midMessage)
+	cancel()
+	for event = range events {
+		if event.kind == watchEnded {
 			break
 		}
 	}
-	require.Equal(t, []Server{{ID: "s-1", State: "draining"}}, x.list.Servers, "what it has told")
+	require.Equal(t, []Server{{ID: "s-1", State: "draining"}}, event.list.Servers, "complete entries of the stalled list")
 }
 
-// Before an answer is doubted the connection is looked at once more: bytes may have come while the limiter stood still.
-func TestAnAnswerThatCameWhileTheLimiterStoodStillIsNotDoubted(t *testing.T) {
-	p := idle(termsOf(logic.Settings{}))
+// Before a stall is reported the connection is checked once more: bytes may have arrived while the limiter was paused.
+func TestAnswerReceivedWhilePausedIsNotReportedStalled(t *testing.T) {
+	p := idleMonitor(timingOf(logic.Settings{}))
 	fired := 0
 	fire := func() { // what the timer does
-		if !p.late() {
+		if !p.beginFinalCheck() {
 			fired++
 		}
 	}
-	p.open.Store(true)
+	p.midLine.Store(true)
 	fire()
-	require.Zero(t, fired, "the first time is for a last look")
-	p.beat() // which finds something
+	require.Zero(t, fired, "the first timeout only starts the final check")
+	p.noteActivity() // the final check finds bytes
 	fire()
 	require.Zero(t, fired)
 	fire()
-	require.Equal(t, 1, fired, "which finds nothing")
+	require.Equal(t, 1, fired, "the final check finds nothing")
 }
