--- a/internal/counter/set_test.go
+++ b/internal/counter/set_test.go
@@ -32,24 +32,24 @@
 }
 
 // waitTurn waits until the calls before this one, and this one, have been processed.
-func (h *fakeCounter) waitTurn() {
-	if h.callDuration == 0 {
+func (f *fakeCounter) waitTurn() {
+	if f.callDuration == 0 {
 		return
 	}
-	h.mu.Lock()
-	if now := time.Now(); h.freeAt.Before(now.Add(-10 * h.callDuration)) {
-		h.freeAt = now
+	f.mu.Lock()
+	if now := time.Now(); f.freeAt.Before(now.Add(-10 * f.callDuration)) {
+		f.freeAt = now
 	}
-	h.freeAt = h.freeAt.Add(h.callDuration)
-	at := h.freeAt
-	h.mu.Unlock()
+	f.freeAt = f.freeAt.Add(f.callDuration)
+	at := f.freeAt
+	f.mu.Unlock()
 	time.Sleep(time.Until(at))
 }
 
 func newFakeCounter(t testing.TB) *fakeCounter {
 	l, err := loopback.Listen()
 	require.NoError(t, err)
-	h := &fakeCounter{addr: l.Addr().String()}
+	f := &fakeCounter{addr: l.Addr().String()}
 	t.Cleanup(func() { _ = l.Close() })
 	go func() {
 		for {
@@ -57,16 +57,16 @@
 			if err != nil {
 				return
 			}
-			h.accepted.Add(1)
-			h.open.Add(1)
+			f.accepted.Add(1)
+			f.open.Add(1)
 			go func() {
-				defer h.open.Add(-1)
+				defer f.open.Add(-1)
 				defer conn.Close()
 				for lines := bufio.NewScanner(conn); lines.Scan(); {
 					answer := "pong"
 					if strings.HasPrefix(lines.Text(), "add ") {
-						h.waitTurn()
-						h.calls.Add(1)
+						f.waitTurn()
+						f.calls.Add(1)
 						answer = "ok 1"
 					}
 					if _, err := fmt.Fprintf(conn, "%s\r\n", answer); err != nil {
@@ -76,7 +76,7 @@
 			}()
 		}
 	}()
-	return h
+	return f
 }
 
 // testSet is a Set that records the status of each call by its id.
@@ -143,8 +143,8 @@
 	const counters, maxOpen = 48, 8
 	list, fakes := map[int]string{}, []*fakeCounter{}
 	for k := range counters {
-		h := newFakeCounter(t)
-		fakes, list[k] = append(fakes, h), h.addr
+		f := newFakeCounter(t)
+		fakes, list[k] = append(fakes, f), f.addr
 	}
 	c := newTestSet(t, maxOpen, list[0])
 	c.Reach(list)
@@ -157,8 +157,8 @@
 				c.call(id, k)
 			}
 		}
-		for k, h := range fakes {
-			reached[k] = reached[k] || h.calls.Load() > 0
+		for k, f := range fakes {
+			reached[k] = reached[k] || f.calls.Load() > 0
 		}
 		require.LessOrEqual(t, c.open.Load(), int64(maxOpen))
 		return len(reached) == counters && allTrue(reached)
@@ -167,8 +167,8 @@
 	c.Reach(map[int]string{0: list[0]})
 	require.Eventually(t, func() bool {
 		open := int64(0)
-		for _, h := range fakes[1:] {
-			open += h.open.Load()
+		for _, f := range fakes[1:] {
+			open += f.open.Load()
 		}
 		return open == 0
 	}, testTimeout, time.Millisecond, "removed counters have no connection")
@@ -190,9 +190,9 @@
 		b.Run(fmt.Sprintf("counters=%d", n), func(b *testing.B) {
 			var list []string
 			for range n {
-				h := newFakeCounter(b)
-				h.callDuration = time.Second / 660
-				list = append(list, h.addr)
+				f := newFakeCounter(b)
+				f.callDuration = time.Second / 660
+				list = append(list, f.addr)
 			}
 			ring := sharding.New(list)
 			var made atomic.Int64
--- a/internal/discovery/bounds_test.go
+++ b/internal/discovery/bounds_test.go
@@ -28,39 +28,39 @@
 	lists int
 }
 
-func (b *recorder) SetAddress(id logic.ServerID, addr string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.ready[id] = addr
+func (r *recorder) SetAddress(id logic.ServerID, addr string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.ready[id] = addr
 }
 
-func (b *recorder) Withdraw(id logic.ServerID) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	delete(b.ready, id)
+func (r *recorder) Withdraw(id logic.ServerID) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	delete(r.ready, id)
 }
 
-func (b *recorder) post(core.Event) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.lists++
+func (r *recorder) post(core.Event) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.lists++
 }
 
-func (b *recorder) posts() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.lists
+func (r *recorder) posts() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.lists
 }
 
-func (b *recorder) size() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return len(b.ready)
+func (r *recorder) size() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return len(r.ready)
 }
 
 // startClient follows the list at a URL until the test ends.
-func startClient(t *testing.T, b *recorder, url string) *Client {
-	client := New(strings.TrimPrefix(url, "http://"), logic.Settings{}, b, b.post)
+func startClient(t *testing.T, r *recorder, url string) *Client {
+	client := New(strings.TrimPrefix(url, "http://"), logic.Settings{}, r, r.post)
 	ctx, end := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -115,12 +115,12 @@
 	for name, extra := range map[string]string{"usual": "", "large entries": `"note":"` + strings.Repeat("n", 2<<10) + `",`} {
 		t.Run(name, func(t *testing.T) {
 			before := heapInUse()
-			b := &recorder{ready: addresses{}}
-			client := startClient(t, b, serve(t, func(req *http.Request, out io.Writer) {
+			r := &recorder{ready: addresses{}}
+			client := startClient(t, r, serve(t, func(req *http.Request, out io.Writer) {
 				writeList(out, 41, expected, extra)
 				<-req.Context().Done()
 			}))
-			eventually(t, "the list", func() bool { return b.size() == expected })
+			eventually(t, "the list", func() bool { return r.size() == expected })
 			require.Less(t, heapInUse()-before, uint64(expected*600), "bytes kept")
 			require.EqualValues(t, 41, client.version.Load())
 		})
@@ -177,22 +177,22 @@
 			t.Parallel()
 			var sentBad, sentGood atomic.Bool // set when written, since a request may fail while this machine is paused
 			between := make(chan [2]int, 1)
-			b := &recorder{ready: addresses{}}
-			client := startClient(t, b, serve(t, func(req *http.Request, out io.Writer) {
+			r := &recorder{ready: addresses{}}
+			client := startClient(t, r, serve(t, func(req *http.Request, out io.Writer) {
 				switch {
-				case b.posts() == 0:
+				case r.posts() == 0:
 					writeList(out, 41, 3, "")
 				case !sentBad.Swap(true):
 					c.write(out)
 				default: // the bad list has been accepted or rejected by now
 					if !sentGood.Swap(true) {
-						between <- [2]int{b.size(), b.posts()}
+						between <- [2]int{r.size(), r.posts()}
 					}
 					writeList(out, 43, 5, "")
 					<-req.Context().Done()
 				}
 			}))
-			eventually(t, "the list after", func() bool { return b.size() == 5 })
+			eventually(t, "the list after", func() bool { return r.size() == 5 })
 			require.Equal(t, [2]int{3, 1}, <-between, "servers and posted lists before the last list")
 			require.EqualValues(t, 43, client.version.Load())
 		})
@@ -207,12 +207,12 @@
 
 // A list with exactly maxServers servers is accepted.
 func TestListAtServerLimitIsAccepted(t *testing.T) {
-	b := &recorder{ready: addresses{}}
-	startClient(t, b, serve(t, func(req *http.Request, out io.Writer) {
+	r := &recorder{ready: addresses{}}
+	startClient(t, r, serve(t, func(req *http.Request, out io.Writer) {
 		writeList(out, 41, maxServers, "")
 		<-req.Context().Done()
 	}))
-	eventually(t, "the list", func() bool { return b.size() == maxServers })
+	eventually(t, "the list", func() bool { return r.size() == maxServers })
 }
 
 // Memory is bounded while an endless list is read, and is freed afterwards.
@@ -253,8 +253,8 @@
 
 // Changes that would make the list exceed maxServers are rejected, and the list before them stays in use.
 func TestChangesCannotExceedServerLimit(t *testing.T) {
-	b := &recorder{ready: addresses{}}
-	client := New("", logic.Settings{}, b, b.post)
+	r := &recorder{ready: addresses{}}
+	client := New("", logic.Settings{}, r, r.post)
 	change := func(version int64, from, to int) error {
 		l := List{Version: version}
 		for n := from; n < to; n++ {
@@ -264,11 +264,11 @@
 	}
 	require.NoError(t, change(1, 0, maxServers-1))
 	require.ErrorIs(t, change(2, maxServers-1, maxServers+1), errListRejected)
-	require.Equal(t, maxServers-1, b.size())
+	require.Equal(t, maxServers-1, r.size())
 	require.EqualValues(t, 1, client.version.Load())
 	require.NoError(t, change(2, maxServers-1, maxServers))
 	require.NoError(t, change(3, 0, 10), "a change of known servers")
-	require.Equal(t, maxServers, b.size())
+	require.Equal(t, maxServers, r.size())
 }
 
 // A rejected list is not requested again at once: it is expensive to read, and will be the same.
@@ -334,8 +334,8 @@
 	previous := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(&log, nil)))
 	defer slog.SetDefault(previous)
-	b := &recorder{ready: addresses{}}
-	client := New("", logic.Settings{}, b, b.post)
+	r := &recorder{ready: addresses{}}
+	client := New("", logic.Settings{}, r, r.post)
 	l := List{Version: 1}
 	for n := range 1000 {
 		l.Servers = append(l.Servers, Server{ID: fmt.Sprint(n), Addr: "a", State: "asleep"})
@@ -347,14 +347,14 @@
 	}
 	require.NoError(t, client.apply(List{Version: 0, Full: true, Servers: l.Servers}, false))
 	require.Equal(t, 2, strings.Count(log.String(), "\n"), log.String())
-	require.Zero(t, b.size())
+	require.Zero(t, r.size())
 }
 
 // Drains in a rejected list are applied to known servers; the names of other servers are not stored.
 func TestRejectedListAppliesDrainsAndStoresNoNames(t *testing.T) {
 	var requests atomic.Int64
-	b := &recorder{ready: addresses{}}
-	client := startClient(t, b, serve(t, func(req *http.Request, out io.Writer) {
+	r := &recorder{ready: addresses{}}
+	client := startClient(t, r, serve(t, func(req *http.Request, out io.Writer) {
 		if requests.Add(1) == 1 {
 			writeList(out, 41, 3, "")
 			return
@@ -363,7 +363,7 @@
 		_, _ = io.WriteString(out, entry(7, `"note":"`+strings.Repeat("n", maxValueBytes)+`",`)+"]}\n")
 		<-req.Context().Done()
 	}))
-	eventually(t, "the drain", func() bool { return b.size() == 2 })
+	eventually(t, "the drain", func() bool { return r.size() == 2 })
 	client.mu.Lock()
 	defer client.mu.Unlock()
 	require.Len(t, client.ids, 3)
--- a/internal/discovery/return_test.go
+++ b/internal/discovery/return_test.go
@@ -251,8 +251,8 @@
 					}()
 				}
 			}()
-			b := followInLargeFleet(t, l.Addr().String())
-			eventually(t, "the list", func() bool { return b.size() == 1 })
+			r := followInLargeFleet(t, l.Addr().String())
+			eventually(t, "the list", func() bool { return r.size() == 1 })
 			t.Log(time.Since(<-returned).Round(time.Millisecond), requests.Load(), "requests")
 		})
 	}
@@ -279,9 +279,9 @@
 		}
 		defer conn.Close()
 	}
-	b := followInLargeFleet(t, addr)
+	r := followInLargeFleet(t, addr)
 	time.Sleep(2 * time.Second) // enough for some dials to hang
-	require.Zero(t, b.size())
+	require.Zero(t, r.size())
 	returned := time.Now()
 	go func() {
 		for {
@@ -292,19 +292,19 @@
 			_, _ = syscall.Write(nfd, []byte("HTTP/1.1 200 OK\r\n\r\n"+`{"version":41,"full":true,"servers":[`+entry(1, "")+"]}\n"))
 		}
 	}()
-	eventually(t, "the list", func() bool { return b.size() == 1 })
+	eventually(t, "the list", func() bool { return r.size() == 1 })
 	t.Log(time.Since(returned).Round(time.Millisecond))
 	require.NoError(t, syscall.Shutdown(fd, syscall.SHUT_RDWR))
 }
 
 // followInLargeFleet follows the list at an address as a limiter in a fleet of 300.
 func followInLargeFleet(t *testing.T, addr string) *recorder {
-	b := &recorder{ready: addresses{}}
-	client := New(addr, logic.Settings{Gateways: 300, DrainGrace: 250 * ms}, b, b.post)
+	r := &recorder{ready: addresses{}}
+	client := New(addr, logic.Settings{Gateways: 300, DrainGrace: 250 * ms}, r, r.post)
 	ctx, end := context.WithCancel(context.Background())
 	go client.Run(ctx)
 	t.Cleanup(end)
-	return b
+	return r
 }
 
 // The body of an HTTP error is not taken for the start of a list, after which every limiter of a fleet would soon send
@@ -329,11 +329,11 @@
 
 // A discovery that pauses within each list, for longer than the stall timeout, is still read in the end.
 func TestDiscoveryThatPausesWithinEachListIsRead(t *testing.T) {
-	b := followInLargeFleet(t, strings.TrimPrefix(serve(t, func(req *http.Request, out io.Writer) {
+	r := followInLargeFleet(t, strings.TrimPrefix(serve(t, func(req *http.Request, out io.Writer) {
 		_, _ = io.WriteString(out, `{"version":41,"full":true,`)
 		time.Sleep(200 * time.Millisecond) // three times the stall timeout
 		_, _ = io.WriteString(out, `"servers":[`+entry(1, "")+"]}\n")
 		<-req.Context().Done()
 	}), "http://"))
-	eventually(t, "the list", func() bool { return b.size() == 1 })
+	eventually(t, "the list", func() bool { return r.size() == 1 })
 }
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -65,28 +65,28 @@
 		case <-followCtx.Done():
 		}
 	}
-	p := &activityMonitor{timing: c.timing, stalls: int(c.stalls.Load())}
-	p.timer = crash.AfterFunc(noTimeout, func() {
-		if !p.beginFinalCheck() {
-			send(watchEvent{kind: watchStalled, midMessage: p.midMessage()})
+	m := &activityMonitor{timing: c.timing, stalls: int(c.stalls.Load())}
+	m.timer = crash.AfterFunc(noTimeout, func() {
+		if !m.beginFinalCheck() {
+			send(watchEvent{kind: watchStalled, midMessage: m.midMessage()})
 		}
 	})
-	defer p.timer.Stop()
-	p.timer.Reset(c.timing.headerTimeout())
-	l, err := readLists(ctx, url, p, func(l *List) { send(watchEvent{kind: messageReceived, list: l}) })
+	defer m.timer.Stop()
+	m.timer.Reset(c.timing.headerTimeout())
+	l, err := readLists(ctx, url, m, func(l *List) { send(watchEvent{kind: messageReceived, list: l}) })
 	// The body of an HTTP error is not the start of a list, after which the next request would come sooner.
-	midMessage := p.midMessage() && !errors.Is(err, errHTTPStatus)
+	midMessage := m.midMessage() && !errors.Is(err, errHTTPStatus)
 	send(watchEvent{kind: watchEnded, midMessage: midMessage, list: l, err: err})
 }
 
 // readLists requests url and calls handle for each list of the response, and with nil for an empty line between lists. With
 // the error it returns the complete entries of a list that was truncated.
-func readLists(ctx context.Context, url string, p *activityMonitor, handle func(*List)) (*List, error) {
+func readLists(ctx context.Context, url string, m *activityMonitor, handle func(*List)) (*List, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return nil, err
 	}
-	answer, err := (&http.Transport{DialContext: p.dial, DisableKeepAlives: true, DisableCompression: true,
+	answer, err := (&http.Transport{DialContext: m.dial, DisableKeepAlives: true, DisableCompression: true,
 		MaxResponseHeaderBytes: maxHeaderBytes}).RoundTrip(req)
 	if err != nil {
 		return nil, err
@@ -95,7 +95,7 @@
 	if answer.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("%w: %s", errHTTPStatus, answer.Status)
 	}
-	in := newDecoder(&listReader{source: answer.Body, monitor: p, onEmptyLine: func() { handle(nil) }})
+	in := newDecoder(&listReader{source: answer.Body, monitor: m, onEmptyLine: func() { handle(nil) }})
 	for {
 		l, err := readList(in)
 		if err != nil {
@@ -196,38 +196,38 @@
 
 // midMessage reports whether the response is within a line, or within a list of several lines. An indented list that stops
 // at the end of one of its lines must not get the longer timeout that applies between two lists.
-func (p *activityMonitor) midMessage() bool { return p.midLine.Load() || p.inList.Load() }
+func (m *activityMonitor) midMessage() bool { return m.midLine.Load() || m.inList.Load() }
 
 // beginFinalCheck is called when the timeout has passed. The first time it restarts the timer with finalCheckDelay and
 // returns true, since the connection may have bytes that were not read yet. A limiter that was paused, or got no processor
 // time, would otherwise drop a response that arrived meanwhile, and a long list would start from the beginning. The second time
 // without activity in between it returns false, and the stall is reported.
-func (p *activityMonitor) beginFinalCheck() bool {
-	if p.finalCheck.Swap(true) {
+func (m *activityMonitor) beginFinalCheck() bool {
+	if m.finalCheck.Swap(true) {
 		return false
 	}
-	p.timer.Reset(finalCheckDelay)
+	m.timer.Reset(finalCheckDelay)
 	return true
 }
 
 // noteActivity restarts the timer after bytes were received, or a list began or ended.
-func (p *activityMonitor) noteActivity() {
-	p.finalCheck.Store(false)
-	if p.midMessage() {
-		p.timer.Reset(p.timing.stallTimeoutAfter(p.stalls))
+func (m *activityMonitor) noteActivity() {
+	m.finalCheck.Store(false)
+	if m.midMessage() {
+		m.timer.Reset(m.timing.stallTimeoutAfter(m.stalls))
 	} else {
-		p.timer.Reset(keepaliveTimeout)
+		m.timer.Reset(keepaliveTimeout)
 	}
 }
 
 // setInList records whether the body is within a list.
-func (p *activityMonitor) setInList(inList bool) {
-	if p.inList.Swap(inList) != inList {
-		p.noteActivity()
+func (m *activityMonitor) setInList(inList bool) {
+	if m.inList.Swap(inList) != inList {
+		m.noteActivity()
 	}
 }
 
-func (p *activityMonitor) dial(ctx context.Context, network, addr string) (net.Conn, error) {
+func (m *activityMonitor) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	// This uses the standard library's connections: net/http closes a connection while reading from it, which netpoll's
 	// connections do not support. It retries, because a transient local failure would count as a refusal by discovery, and
 	// the next request could be seconds away.
@@ -237,7 +237,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return monitoredConn{conn, p}, nil
+	return monitoredConn{conn, m}, nil
 }
 
 // monitoredConn reports what it reads to an activityMonitor.
