--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -35,7 +35,7 @@
 	lastCall time.Time
 	addr     string      // "": no address is known
 	current  *connection // new calls are sent on it
-	previous *connection // to the address before the last SetAddress: kept only for its pending answers
+	previous *connection // to an earlier address, kept only for its pending answers
 	dialing  bool
 	lastDial time.Time
 	queued   []core.Count // calls that wait for a connection
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -68,7 +68,7 @@
 	lastReload   time.Time                 // zero: there was no reload
 	addr         string                    // "": no address is known
 	cancelFollow context.CancelFunc        // ends the watches at the current address
-	ids          map[string]logic.ServerID // of all servers ever named
+	ids          map[string]logic.ServerID // of all servers ever published; kept for good
 	listed       map[string]logic.ServerID // servers named by the last complete list or a later change, except those that are gone
 	drains       map[string]drain          // by the server's name in the list
 }
@@ -188,7 +188,7 @@
 			}
 		case <-retry.C:
 			if f.current != 0 {
-				continue // an idle watch has resumed meanwhile
+				continue // an earlier watch has brought a message meanwhile and is the current one again
 			}
 			n := f.startWatch(time.Since(start))
 			c.stalls.Store(int64(f.stalls))
--- a/internal/discovery/follow.go
+++ b/internal/discovery/follow.go
@@ -80,14 +80,14 @@
 	current          int           // the watch in use; 0: none, and the next is due
 	idle             int           // an earlier watch that fell silent between two messages and may resume; 0: none
 	unanswered       int           // the last watch without any message: its answer may arrive once discovery is back; 0: none
-	lastUnanswered   bool          // the watch given up last had received no message and was still open
+	lastUnanswered   bool          // the watch given up last had received neither a message nor part of one, and was still open
 	receivedMessage  bool          // current has received a complete message
 	lastReceivedData bool          // the watch given up last had received a message or part of one
 	lastRejected     bool          // the watch given up last had brought a list that was rejected
-	startedAt        time.Duration // of current, or of the watch given up last
+	startedAt        time.Duration // of newest, even where an earlier watch has become current again
 	failures         int           // watches in a row that were not stable
-	stalls           int           // watches in a row that were given up within a message, without a complete one between them
-	lastDuration     time.Duration // of the watch given up last, from its start
+	stalls           int           // watches in a row that were given up within a message; any complete message sets it to 0
+	lastDuration     time.Duration // from startedAt to the last call of endCurrent
 	reloadDue        time.Duration // time by which the list must be known after a reload; 0: there was no reload
 }
 
@@ -180,8 +180,9 @@
 	f.current, f.receivedMessage, f.lastUnanswered, f.lastRejected = 0, false, false, false
 }
 
-// nextDelay returns the delay before the next request; random is uniform in [0, 1]. Jitter keeps the limiters of a fleet from
-// sending requests in step, and so often that discovery can answer none of them.
+// nextDelay returns the delay before the next request; random is uniform in [0, 1]. Its jitter keeps the limiters of a
+// fleet from sending requests in step; the interval, which grows with the fleet, keeps them from sending so many that
+// discovery can answer none of them.
 //
 // After a reload requests come closer together until the list takes effect.
 func (f *follower) nextDelay(random float64) time.Duration {
--- a/internal/discovery/return_test.go
+++ b/internal/discovery/return_test.go
@@ -41,7 +41,7 @@
 	return fmt.Sprintf("{message %v, last byte %v, within a list %v, end %d after %v}", c.receivedMessage, c.lastByte, c.midMessage, c.end, c.endDelay)
 }
 
-// callOutcomes returns all ways in which a request may fail, with times just within the timeouts.
+// callOutcomes returns all ways in which a request may fail, early as well as at or just within the timeouts.
 func callOutcomes(m timing) []callOutcome {
 	const margin = time.Millisecond
 	list := []callOutcome{{lastByte: -1}, {lastByte: -1, end: endBroken}, {lastByte: -1, end: endBroken, endDelay: m.headerTimeout()}}
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -17,7 +17,7 @@
 	"bramblefall/logic"
 )
 
-const testTimeout = 20 * time.Second // long enough that no result depends on the machine's speed
+const testTimeout = 20 * time.Second // a test that waits this long has failed; no result depends on a shorter wait
 
 // serve starts a server that answers every request by a function that writes the body, and returns its URL.
 func serve(t *testing.T, answer func(req *http.Request, out io.Writer)) (url string) {
--- a/internal/xds/xds.go
+++ b/internal/xds/xds.go
@@ -28,7 +28,7 @@
 )
 
 const (
-	pollsPerGrace    = 5 // files are read this often within the drain grace, which starts when a file is written
+	pollsPerGrace    = 5 // checks of the files within the drain grace, which starts when a file is written
 	minPollInterval  = 20 * time.Millisecond
 	maxPollInterval  = 100 * time.Millisecond
 	firstServerID    = 1 << 40               // above the ids of the platform's servers
