--- a/logic/counters.go
+++ b/logic/counters.go
@@ -7,65 +7,68 @@
 	"time"
 )
 
-// Several counters: what is known of each. What that means for calls is decided in logic.go, and which holds a name by the list
-// (Counters).
+// The records of the quota counters, where there may be several. What they mean for calls is decided in logic.go; which counter
+// holds a name is told by the list of counters (Counters).
 
 // counter is what is known of one quota counter.
 type counter struct {
-	number             int
-	callsLeft, calling float64       // calling: share of the calls that are made
-	failed             int           // calls in a row
-	borne              float64       // calling, before these
-	away               bool          // the last of them met nobody
-	counterUp, backoff time.Duration // no calls before
+	number              int
+	callsLeft           float64       // calls that may be made at once: requests earn them, calls use them up
+	callShare           float64       // share of the wanted calls that is made
+	failures            int           // failed calls in a row
+	shareBeforeFailures float64       // callShare before these
+	unreachable         bool          // the last of them could not connect
+	noCallsUntil        time.Duration // no calls before
+	backoff             time.Duration // mean length of the next pause in calls
 }
 
-// Spread sets where names are dealt out to several counters; nil: there is one. It is called before the first event.
-func (g *Gateway) Spread(c Counters) { g.spread = c }
+// Spread sets where names are spread over several counters; nil: there is one. It is called before the first event.
+func (g *Gateway) Spread(c Counters) { g.counterMap = c }
 
-// untold is a counter that has not been called.
-func (g *Gateway) untold(number int) *counter {
-	k := &counter{number: number, callsLeft: callsSaved, calling: 1 / (1 + 2*g.blind), backoff: 500 * ms}
-	if g.blind > 0 {
-		k.callsLeft = callsStored / 2
+// newCounter is the record of a counter that has not been called.
+func (g *Gateway) newCounter(number int) *counter {
+	k := &counter{number: number, callsLeft: counterCallBurst, callShare: 1 / (1 + 2*g.unseenShare), backoff: 500 * ms}
+	if g.unseenShare > 0 {
+		k.callsLeft = manyGatewaysCallBurst / 2
 	}
 	return k
 }
 
-// at finds a counter.
-func (g *Gateway) at(number int) *counter {
+// counterNumbered finds a counter's record, or makes one.
+func (g *Gateway) counterNumbered(number int) *counter {
 	at, found := slices.BinarySearchFunc(g.counters, number, func(k *counter, n int) int { return cmp.Compare(k.number, n) })
 	if !found {
-		g.counters = slices.Insert(g.counters, at, g.untold(number))
+		g.counters = slices.Insert(g.counters, at, g.newCounter(number))
 	}
 	return g.counters[at]
 }
 
-// started is when the interval of a count began, at all gateways.
-func (c *customer) started(what int64) time.Duration {
-	if what == tickets {
-		return c.filled - c.begun(c.filled)
+// countStart is when a count's interval began, at all gateways.
+func (c *customer) countStart(what int64) time.Duration {
+	if what == bucketDraws {
+		return c.filledAt - c.totalAge(c.filledAt)
 	}
-	return time.Duration(c.number)*c.span - c.phase
+	return time.Duration(c.intervalNumber)*c.interval - c.phase
 }
 
-// heard learns from what the counters of a call said, each by itself. It tells the least share of calls that is made to them.
-func (g *Gateway) heard(e CountResult) float64 {
+// observeCounters learns from what each counter of a call said, and returns the lowest share of calls that is made to one of
+// them.
+func (g *Gateway) observeCounters(e CountResult) float64 {
 	if e.Parts == nil {
-		g.counter.judge(g, e.Status, e.Latency)
-		return g.calling
+		g.counter.observe(g, e.Status, e.Latency)
+		return g.callShare
 	}
 	least := math.Inf(1)
 	for _, p := range e.Parts {
-		k := g.at(p.Counter)
-		k.judge(g, p.Status, p.Latency)
-		least = min(least, k.calling)
+		k := g.counterNumbered(p.Counter)
+		k.observe(g, p.Status, p.Latency)
+		least = min(least, k.callShare)
 	}
 	return min(least, 1)
 }
 
-// recounted takes a changed list: what is known of counters that are not on it any more is forgotten.
-func (g *Gateway) recounted(e CountersChanged) {
+// onCountersChanged takes a changed list of counters: what is known of those that are no longer on it is forgotten.
+func (g *Gateway) onCountersChanged(e CountersChanged) {
 	g.counters = slices.DeleteFunc(g.counters, func(k *counter) bool { return !slices.Contains(e.Listed, k.number) })
-	g.among = max(e.Among, 1)
+	g.counterCount = max(e.Among, 1)
 }
--- a/logic/counters_test.go
+++ b/logic/counters_test.go
@@ -32,7 +32,7 @@
 // Guards against a hot counter that gets what was earned for all.
 func TestNamesOnOneCounterGetItsShareOfCalls(t *testing.T) {
 	b := severally(t, 3)
-	b.g.at(3).calling = 1
+	b.g.counterNumbered(3).callShare = 1
 	made := 0
 	for k := range 400 {
 		b.arrive(Request{Customer: uint64(100 + k), Units: 1})
@@ -40,7 +40,7 @@
 		b.said(OK, 1, CountPart{Counter: 3})
 		b.run(10*ms, func() { b.answer(0) })
 	}
-	if most := 400*mostCalls*2/8 + callsStored; float64(made) > most || float64(made) < most/3 {
+	if most := 400*counterCallsPerRequest*2/8 + manyGatewaysCallBurst; float64(made) > most || float64(made) < most/3 {
 		t.Errorf("%d calls, of %v", made, most)
 	}
 }
@@ -53,11 +53,11 @@
 		b.arrive(Request{Customer: uint64(100 + k), Units: 1})
 		b.said(Timeout, 0, CountPart{Counter: 1}, CountPart{Counter: 2, Status: ConnectFailed})
 	}
-	one, two := b.g.at(1), b.g.at(2)
-	if one.failed != 0 || one.counterUp > 0 || one.calling < 0.33 {
+	one, two := b.g.counterNumbered(1), b.g.counterNumbered(2)
+	if one.failures != 0 || one.noCallsUntil > 0 || one.callShare < 0.33 {
 		t.Errorf("the one that answers: %+v", one)
 	}
-	if two.failed < silence || two.counterUp <= b.now || !two.away {
+	if two.failures < failuresBeforeBackoff || two.noCallsUntil <= b.now || !two.unreachable {
 		t.Errorf("the one that is away: %+v", two)
 	}
 	for k := range 20 {
@@ -70,7 +70,7 @@
 		b.said(Timeout, 0, CountPart{Counter: 1})
 	}
 	b.handle(CountersChanged{Listed: []int{1, 5}, Among: 2})
-	if slices.ContainsFunc(b.g.counters, func(k *counter) bool { return k.number == 2 }) || b.g.at(1) != one {
+	if slices.ContainsFunc(b.g.counters, func(k *counter) bool { return k.number == 2 }) || b.g.counterNumbered(1) != one {
 		t.Error("the list's counters are not those known")
 	}
 }
@@ -94,7 +94,7 @@
 		made += len(b.counts)
 		b.counts = nil
 	}
-	if most := callsStored/2 + 40*mostCalls*2/8*0.34; float64(made) > most || made == 0 {
+	if most := manyGatewaysCallBurst/2 + 40*counterCallsPerRequest*2/8*0.34; float64(made) > most || made == 0 {
 		t.Errorf("%d calls at once, of %v", made, most)
 	}
 }
--- a/logic/customers.go
+++ b/logic/customers.go
@@ -7,46 +7,83 @@
 	"bramblefall/internal/schedule"
 )
 
-// What is known of customers: their stores, intervals and counts, and what is kept of those that are quiet.
+// The records of customers: their token buckets, intervals and counts, and what is kept of those that are dormant.
 
+// customer is what a gateway knows of one customer (a firm).
 type customer struct {
 	schedule.Place
-	id                      uint64
-	plan                    Plan
-	tier, figured           int           // its tier's number; the change that plan is from
-	print                   uint64        // of the figures that counts are told in
-	n, place                float64       // gateways the customer may use; this one's place among them
-	parts, unseen           float64       // that the quota is dealt to; units passed here that no count holds
-	sparse                  bool          // the part cannot hold a request: drawn on demand
-	ticketed                bool          // the part is too coarse for sums: drawn ahead from one store for all
-	stamp                   stamp         // the last total of that store
-	credit                  float64       // units drawn and not used, the last of them due then
-	due, blind              time.Duration // blind: no draws before
-	asking                  bool          // a draw is out
-	shut                    time.Duration // nothing is left of the quota until then
-	span, phase             time.Duration // phase: with ahead
-	ahead                   time.Duration // of the shared clock
-	seen, filled            time.Duration
-	level, part, ceiling    float64 // the local store; part: units a second, or attempts out
-	held                    []*request
-	out, open               int           // attempts out; requests not over yet
-	release                 time.Duration // the next held request leaves no earlier
-	rate, excess            float64       // S and E
-	asked, last             float64       // demand of this interval and the one before
-	intervals               int
-	drift, spread, forecast float64 // smoothed change, smoothed positive change, f
-	best                    float64 // worth of the best that it has asked for
-	number                  int64   // of the interval
-	told                    float64 // the packed value added, 0: none
-	readAt                  time.Duration
+	id   uint64
+	plan Plan
+	tier int // number of the tier that its requests name
+
+	// planRevision is the change of plans that plan is from (see Gateway.planRevision).
+	planRevision int
+
+	// fingerprint is that of the plan's figures that counts depend on.
+	fingerprint uint64
+
+	gateways float64 // gateways that the customer's requests may come through
+	rank     float64 // this gateway's place among them
+	shares   float64 // number of even shares that the quota is dealt out in
+
+	// uncounted is the units let through here in this interval that no count holds.
+	uncounted float64
+
+	// onDemand: a share cannot hold a request, so the quota is drawn from the counter by each request.
+	onDemand bool
+
+	// sharedBucket: a share is too coarse for a split by sums, so units are drawn ahead from one bucket for all gateways.
+	sharedBucket bool
+
+	bucket     bucketState   // the shared bucket, by its last total
+	drawnUnits float64       // units drawn from it and not used
+	drawnDueAt time.Duration // when the last of them are due
+
+	noDrawsUntil   time.Duration // after a failed call
+	drawPending    bool          // the answer to a draw has not come yet
+	exhaustedUntil time.Duration // nothing is left of the quota until then
+
+	interval   time.Duration // length of the forecast intervals
+	phase      time.Duration // added to the time before it is divided into intervals; clockAhead is in it
+	clockAhead time.Duration // how far the shared clock is ahead of the gateway's time
+
+	lastSeen time.Duration // its last request
+	filledAt time.Duration // the last refill of its buckets
+
+	level   float64 // units in the local bucket
+	share   float64 // this gateway's share of the quota: units a second, or attempts in flight
+	ceiling float64 // units in the local bucket of the ceiling
+
+	held     []*request // in the order of their arrival
+	inFlight int        // attempts in flight
+	pending  int        // requests that are not over yet
+
+	nextRelease time.Duration // the next held request leaves no earlier
+
+	recentRate   float64 // S of the pacing: units a second, decaying over an interval
+	recentExcess float64 // E of the pacing: units beyond the share that were let through of late
+
+	demanded       float64 // demand in this interval so far: units, or seconds of attempts in flight
+	lastDemand     float64 // demand a second in the interval before
+	intervalsEnded int     // 0 or more; the first tells no change
+	meanChange     float64 // smoothed change of the demand from interval to interval
+	meanRise       float64 // the same of the rises alone
+	forecast       float64 // f: forecast of the demand a second in this interval
+
+	bestWorth      float64       // highest worth of a request that it has sent
+	intervalNumber int64         // of the current interval
+	reported       float64       // the packed value added to the interval's sums; 0: none
+	rereadAt       time.Duration // when the sums are read, or the report made, again; 0: not
 }
 
-// ends is when the interval is over.
-func (c *customer) ends() time.Duration { return time.Duration(c.number+1)*c.span - c.phase }
+// intervalEnd is when the current interval is over.
+func (c *customer) intervalEnd() time.Duration {
+	return time.Duration(c.intervalNumber+1)*c.interval - c.phase
+}
 
-func (c *customer) interval(now time.Duration) int64 { return int64((now + c.phase) / c.span) }
+func (c *customer) intervalAt(now time.Duration) int64 { return int64((now + c.phase) / c.interval) }
 
-// quota is what is split: units a second, or attempts out where the plan has no rate.
+// quota is what is split between the gateways: units a second, or attempts in flight where the plan has no rate.
 func (c *customer) quota() float64 {
 	if c.plan.Rate > 0 {
 		return c.plan.Rate
@@ -54,19 +91,20 @@
 	return float64(c.plan.Open)
 }
 
-// even is g: the part of a gateway that knows nothing of the others.
-func (c *customer) even() float64 { return c.quota() / c.parts }
+// evenShare is g: the share of a gateway that knows nothing of the others.
+func (c *customer) evenShare() float64 { return c.quota() / c.shares }
 
-// name is that of one of the interval's counts: gateways agree on it without talk. Those that hold the firm to other
-// figures count in other steps and intervals, so theirs have other names.
-func (c *customer) name(what int64) uint64 {
-	if what == tickets {
-		return mix(c.id ^ c.print ^ mix(uint64(int64((c.filled+c.ahead)/c.lasts(tickets))<<2|what)))
+// countName is the counter's name for one of the interval's counts. Gateways agree on it without talk. Those that hold the
+// firm to other figures count in other steps and intervals, so their names differ.
+func (c *customer) countName(what int64) uint64 {
+	if what == bucketDraws {
+		return mix(c.id ^ c.fingerprint ^ mix(uint64(int64((c.filledAt+c.clockAhead)/c.countLength(bucketDraws))<<2|what)))
 	}
-	return mix(c.id ^ c.print ^ mix(uint64(c.number<<2|what)))
+	return mix(c.id ^ c.fingerprint ^ mix(uint64(c.intervalNumber<<2|what)))
 }
 
-// One float of 24 bits carries three sums: two up to 127, one up to 1023.
+// pack puts three sums into one number: two up to 127, one up to 1023. They take the 24 bits that a float of single precision
+// holds exactly.
 func pack(gateways, within, forecasts float64) float64 {
 	return gateways*(1<<17) + within*(1<<10) + forecasts
 }
@@ -76,57 +114,66 @@
 	return float64(n >> 17), float64(n >> 10 & 127), float64(n & 1023)
 }
 
-// store is the size of the local store: the burst's share.
-func (c *customer) store() float64 { return c.plan.Burst / c.parts }
+// bucketSize is the size of the local bucket: this gateway's share of the burst.
+func (c *customer) bucketSize() float64 { return c.plan.Burst / c.shares }
 
-// lasts is how long a count is added to.
-func (c *customer) lasts(what int64) time.Duration {
-	if what != tickets {
-		return c.span
+// countLength is how long a count is added to before the next begins.
+func (c *customer) countLength(what int64) time.Duration {
+	if what != bucketDraws {
+		return c.interval
 	}
-	return min(time.Duration(epochs*float64(c.span)), maxEpoch)
+	return min(time.Duration(epochBursts*float64(c.interval)), maxEpochLength)
 }
 
-// begun is how long the running total of a customer's store has been added to.
-func (c *customer) begun(now time.Duration) time.Duration { return (now + c.ahead) % c.lasts(tickets) }
+// totalAge is how long the running total of a customer's shared bucket has been added to.
+func (c *customer) totalAge(now time.Duration) time.Duration {
+	return (now + c.clockAhead) % c.countLength(bucketDraws)
+}
 
 const (
-	epochs     = 8.0              // bursts that a total spans
-	maxEpoch   = 20 * time.Second // a name lives three times as long, and 60 s at most
-	stampLasts = 8 * time.Second  // that a total tells of the next
+	// epochBursts is the length of a running total (an epoch) in intervals of the customer: the time to fill a burst.
+	epochBursts = 8.0
+
+	// maxEpochLength bounds it: the counter keeps a name three times as long, and for 60 s at most.
+	maxEpochLength = 20 * time.Second
+
+	// bucketStateTTL is how long a total says something about the next one.
+	bucketStateTTL = 8 * time.Second
 )
 
-// stamp is a store that all gateways draw on, as the last total told it.
-type stamp struct {
-	at           time.Duration
-	name         uint64
-	total, level float64
-	drain        float64 // units a second that all draw
+// bucketState is the state of a token bucket that all gateways draw on, by the last total that the counter gave.
+type bucketState struct {
+	readAt time.Duration // when that total came; 0: none has come
+	name   uint64        // of its count
+	total  float64       // units drawn by all
+	level  float64       // units in the bucket; below 0: drawn and not filled yet
+	drain  float64       // units a second that all draw, smoothed
 }
 
-// known tells whether so little time has gone by since the last total that no rush can have passed unseen.
-func (s *stamp) known(now time.Duration, p Plan) bool {
-	return s.at > 0 && (now-s.at).Seconds()*p.Rate <= p.Burst
+// isFresh tells whether so little time has passed since the last total that no burst can have been drawn without notice.
+func (s *bucketState) isFresh(now time.Duration, p Plan) bool {
+	return s.readAt > 0 && (now-s.readAt).Seconds()*p.Rate <= p.Burst
 }
 
-// rush is the time in which the ceiling bears a request from each gateway, 0 where what was drawn lately is known.
-func (c *customer) rush(now time.Duration, units float64) float64 {
-	if c.plan.CeilingRate <= 0 || c.stamp.known(now, c.plan) {
+// rushTime is the time over which the ceiling bears one request from each gateway; 0 if it is known what was drawn of late.
+// After a pause all gateways may start to draw at once.
+func (c *customer) rushTime(now time.Duration, units float64) float64 {
+	if c.plan.CeilingRate <= 0 || c.bucket.isFresh(now, c.plan) {
 		return 0
 	}
-	return max(0, c.n*units-c.plan.CeilingBurst) / c.plan.CeilingRate
+	return max(0, c.gateways*units-c.plan.CeilingBurst) / c.plan.CeilingRate
 }
 
-// read takes a total that holds this gateway's own draw. A total of a new name, or one that an emptied counter lowered,
-// tells little: what was drawn unseen is taken to have gone on as before.
-func (s *stamp) read(now time.Duration, name uint64, total float64, p Plan, since time.Duration) {
-	dt := (now - s.at).Seconds()
-	most, whole := p.Burst, p.Burst+p.Rate*since.Seconds()-total // whole: if a full store lost nothing
-	if !s.known(now, p) {
-		most /= 2 // the time between may hide a rush at its end
+// update takes a total that includes this gateway's own draw. A total under a new name, or one that is lower since the counter
+// lost its state, tells little: the draws that were not seen are taken to have gone on as before.
+func (s *bucketState) update(now time.Duration, name uint64, total float64, p Plan, since time.Duration) {
+	dt := (now - s.readAt).Seconds()
+	most, whole := p.Burst, p.Burst+p.Rate*since.Seconds()-total // whole: the level if a full bucket never overflowed
+	if !s.isFresh(now, p) {
+		most /= 2 // a burst at the end of the time between may have gone unnoticed
 	}
 	switch {
-	case s.at == 0 || dt > stampLasts.Seconds():
+	case s.readAt == 0 || dt > bucketStateTTL.Seconds():
 		s.level, s.drain = whole, 0
 	case name == s.name && total >= s.total:
 		s.level += p.Rate*dt - (total - s.total)
@@ -135,79 +182,82 @@
 		s.level = min(s.level+max(0, p.Rate-s.drain)*dt, whole)
 	}
 	s.level = max(min(s.level, most), -p.Burst)
-	s.at, s.name, s.total = now, name, total
+	s.readAt, s.name, s.total = now, name, total
 }
 
-// load is a customer's demand over its quota as last heard, 0 if nobody found it busy.
-func (g *Gateway) load(c *customer) float64 {
-	if w := g.loads[c.id]; g.now < w.until {
+// quotaLoad is a customer's demand over its quota as last counted, 0 if it was not found busy.
+func (g *Gateway) quotaLoad(c *customer) float64 {
+	if w := g.loadEstimates[c.id]; g.now < w.expires {
 		return w.load
 	}
 	return 0
 }
 
-// most is the use that the quota allows in an interval: units, or attempts begun.
-func (c *customer) most(g *Gateway) float64 {
-	most := c.quota() * c.span.Seconds()
+// intervalQuota is the use that the quota allows in an interval: units, or attempts begun.
+func (c *customer) intervalQuota(g *Gateway) float64 {
+	most := c.quota() * c.interval.Seconds()
 	if c.plan.Rate <= 0 {
 		most /= g.latency / float64(time.Second)
 	}
 	return most
 }
 
-func (c *customer) fill(now time.Duration) {
-	dt := (now - c.filled).Seconds()
-	c.filled = now
+// refill fills the local buckets for the time since they were filled last, and lets the recent rate decay.
+func (c *customer) refill(now time.Duration) {
+	dt := (now - c.filledAt).Seconds()
+	c.filledAt = now
 	p := c.plan
 	if p.Rate > 0 {
-		c.level = min(c.level+c.part*dt, c.store())
-		c.excess = min(max(0, c.excess-c.part*dt), c.store())
+		c.level = min(c.level+c.share*dt, c.bucketSize())
+		c.recentExcess = min(max(0, c.recentExcess-c.share*dt), c.bucketSize())
 	}
-	if now > c.due+c.span { // units drawn for requests that are gone: all gateways' together would be a burst of their own
-		c.credit = 0
+	// Units drawn for requests that are gone lapse: those of all gateways together would be another burst.
+	if now > c.drawnDueAt+c.interval {
+		c.drawnUnits = 0
 	}
-	c.rate *= math.Exp(-dt / c.span.Seconds())
+	c.recentRate *= math.Exp(-dt / c.interval.Seconds())
 	if p.CeilingRate > 0 {
-		c.ceiling = min(c.ceiling+p.CeilingRate/c.n*dt, p.CeilingBurst/c.n)
+		c.ceiling = min(c.ceiling+p.CeilingRate/c.gateways*dt, p.CeilingBurst/c.gateways)
 	}
 }
 
-// Due is a customer's place among those that something is due for.
+// Due is the place of a customer in the schedule of those that something is due for.
 func (c *customer) Due() *schedule.Place { return &c.Place }
 
-func (g *Gateway) add(c *customer) {
-	g.numbered++
-	c.Number = g.numbered // a map's order must not reach an action
+// addCustomer adds a new record.
+func (g *Gateway) addCustomer(c *customer) {
+	g.customersNumbered++
+	c.Number = g.customersNumbered // the order of a map must not decide the order of actions
 	g.customers[c.id] = c
 }
 
-// current ends the intervals that were over at the last tick, and tells whether there were any. Of a quiet firm they are
+// catchUp ends the intervals that were over at the last tick, and tells whether there were any. Those of a quiet firm are
 // made up for when it is next looked at.
-func (g *Gateway) current(c *customer) bool {
-	n := c.interval(g.ticked)
-	if n <= c.number {
+func (g *Gateway) catchUp(c *customer) bool {
+	n := c.intervalAt(g.tickedAt)
+	if n <= c.intervalNumber {
 		return false
 	}
-	c.roll(int(min(n-c.number, 100)))
-	c.unseen, c.number = 0, n
+	c.updateForecast(int(min(n-c.intervalNumber, 100)))
+	c.uncounted, c.intervalNumber = 0, n
 	return true
 }
 
-// quietly tells whether the ends of a firm's intervals change nothing: it tells no forecast and has the even part, and
+// isQuiet tells whether the ends of a firm's intervals change nothing: it reports no forecast and has the even share, and
 // without requests that stays so.
-func (c *customer) quietly() bool {
-	even := c.even()
-	return c.asked == 0 && c.unseen == 0 && c.told == 0 && c.readAt == 0 && c.part == even && (c.forecast < quiet*even || even <= 0)
+func (c *customer) isQuiet() bool {
+	even := c.evenShare()
+	return c.demanded == 0 && c.uncounted == 0 && c.reported == 0 && c.rereadAt == 0 && c.share == even && (c.forecast < minReportedShare*even || even <= 0)
 }
 
-// await sets when a firm is looked at next.
-func (g *Gateway) await(c *customer) {
-	at := max(c.seen+idle+1, g.now+1) // it is forgotten then
-	if g.resting != nil || !c.quietly() || c.last > 0 {
-		at = min(at, c.ends()) // it rests then, unless something of it is still under way
+// schedule sets when a firm is looked at next.
+func (g *Gateway) schedule(c *customer) {
+	at := max(c.lastSeen+customerIdleTimeout+1, g.now+1) // then the firm is forgotten
+	if g.dormant != nil || !c.isQuiet() || c.lastDemand > 0 {
+		at = min(at, c.intervalEnd()) // then the firm becomes dormant, unless something of it is still pending
 	}
-	if c.readAt > 0 {
-		at = min(at, c.readAt)
+	if c.rereadAt > 0 {
+		at = min(at, c.rereadAt)
 	}
 	if len(c.held) > 0 {
 		at = g.now
@@ -215,71 +265,80 @@
 	g.firms.Set(c, at)
 }
 
-// reread sets when a firm's sums are read again.
-func (g *Gateway) reread(c *customer, after time.Duration) {
-	c.readAt = g.now + after
-	g.firms.Sooner(c, c.readAt)
+// scheduleReread sets when a firm's sums are read again.
+func (g *Gateway) scheduleReread(c *customer, after time.Duration) {
+	c.rereadAt = g.now + after
+	g.firms.Sooner(c, c.rereadAt)
 }
 
-// rest is what is kept of a quiet customer, in a tenth of the memory: asked again, it goes on as if it had been kept whole.
-type rest struct {
-	number                                            int64
-	filled                                            time.Duration
-	level, ceiling, excess, rate, drift, spread, best float32
-	tier, figured                                     int32
-	order                                             uint32 // Number
+// dormantCustomer is what is kept of a quiet customer, in a tenth of the memory. With its next request the customer goes on as
+// if its whole record had been kept.
+type dormantCustomer struct {
+	intervalNumber int64
+	filledAt       time.Duration
+	level          float32
+	ceiling        float32
+	recentExcess   float32
+	recentRate     float32
+	meanChange     float32
+	meanRise       float32
+	bestWorth      float32
+	tier           int32
+	planRevision   int32
+	queueNumber    uint32 // Place.Number
 }
 
-// idly tells whether nothing of a customer is under way and no more is known of it than a rest keeps.
-func (c *customer) idly(g *Gateway) bool {
-	return c.open == 0 && !c.asking && g.now >= max(c.release, c.shut, c.blind) &&
-		(!c.ticketed || c.stamp.at == 0 || g.now-c.stamp.at > stampLasts && !c.stamp.known(g.now, c.plan)) &&
-		(c.credit == 0 || g.now > c.due+c.span)
+// nothingPending tells whether nothing of a customer is pending and no more is known of it than a dormantCustomer keeps.
+func (c *customer) nothingPending(g *Gateway) bool {
+	return c.pending == 0 && !c.drawPending && g.now >= max(c.nextRelease, c.exhaustedUntil, c.noDrawsUntil) &&
+		(!c.sharedBucket || c.bucket.readAt == 0 || g.now-c.bucket.readAt > bucketStateTTL && !c.bucket.isFresh(g.now, c.plan)) &&
+		(c.drawnUnits == 0 || g.now > c.drawnDueAt+c.interval)
 }
 
-// rest puts a customer to rest if it is quiet. It tells whether the customer's record is gone.
-func (g *Gateway) rest(c *customer) bool {
-	over := g.now-c.seen > idle && c.open == 0
-	if !over && (g.resting == nil || !c.quietly() || c.last > 0 || c.figured != g.figured || !c.idly(g)) {
+// makeDormant makes a customer dormant if it is quiet, or forgets it if it is idle for long. It tells whether the customer's
+// record is gone.
+func (g *Gateway) makeDormant(c *customer) bool {
+	forgotten := g.now-c.lastSeen > customerIdleTimeout && c.pending == 0
+	if !forgotten && (g.dormant == nil || !c.isQuiet() || c.lastDemand > 0 || c.planRevision != g.planRevision || !c.nothingPending(g)) {
 		return false
 	}
 	delete(g.customers, c.id)
 	g.firms.Remove(c) // a change of plans may have put it back
-	if !over {
-		g.resting[c.id] = rest{c.number, c.filled, float32(c.level), float32(c.ceiling), float32(c.excess), float32(c.rate),
-			float32(c.drift), float32(c.spread), float32(c.best), int32(c.tier), int32(c.figured), uint32(c.Number)}
+	if !forgotten {
+		g.dormant[c.id] = dormantCustomer{c.intervalNumber, c.filledAt, float32(c.level), float32(c.ceiling), float32(c.recentExcess), float32(c.recentRate),
+			float32(c.meanChange), float32(c.meanRise), float32(c.bestWorth), int32(c.tier), int32(c.planRevision), uint32(c.Number)}
 	}
 	return true
 }
 
-// wake gives a new customer what is kept of it from before. A change of plans since can only take from it: what it
-// would have had between two of them is not known.
-func (g *Gateway) wake(c *customer) {
-	r, ok := g.resting[c.id]
+// restoreDormant gives a new customer what was kept of it from before. A change of plans since then can only take from it: what
+// it would have had between two changes is not known.
+func (g *Gateway) restoreDormant(c *customer) {
+	r, ok := g.dormant[c.id]
 	if !ok {
-		if r, ok = g.rested[c.id]; !ok {
+		if r, ok = g.dormantBefore[c.id]; !ok {
 			return
 		}
 	}
-	delete(g.resting, c.id)
-	delete(g.rested, c.id)
-	changes := g.figured - int(r.figured)
+	delete(g.dormant, c.id)
+	delete(g.dormantBefore, c.id)
+	changes := g.planRevision - int(r.planRevision)
 	if changes > 1 {
 		r.level, r.ceiling = 0, min(r.ceiling, 0)
 	}
-	c.level, c.ceiling = min(float64(r.level), c.store()), min(float64(r.ceiling), c.plan.CeilingBurst/c.n)
-	c.Number, c.filled, c.best = uint64(r.order), r.filled, float64(r.best)
+	c.level, c.ceiling = min(float64(r.level), c.bucketSize()), min(float64(r.ceiling), c.plan.CeilingBurst/c.gateways)
+	c.Number, c.filledAt, c.bestWorth = uint64(r.queueNumber), r.filledAt, float64(r.bestWorth)
 	if changes > 0 {
-		c.filled = max(r.filled, g.changed)
+		c.filledAt = max(r.filledAt, g.plansChangedAt)
 		return
 	}
-	c.number, c.intervals = min(r.number, c.interval(g.now)), 1 // the shared clock may have stepped back
-	c.excess, c.rate, c.drift, c.spread = float64(r.excess), float64(r.rate), float64(r.drift), float64(r.spread)
+	c.intervalNumber, c.intervalsEnded = min(r.intervalNumber, c.intervalAt(g.now)), 1 // the shared clock may have stepped back
+	c.recentExcess, c.recentRate, c.meanChange, c.meanRise = float64(r.recentExcess), float64(r.recentRate), float64(r.meanChange), float64(r.meanRise)
 }
 
-// turn forgets those that have rested for long.
-func (g *Gateway) turn() {
-	if g.resting != nil && g.now-g.turned > idle {
-		g.turned, g.rested, g.resting = g.now, g.resting, map[uint64]rest{}
+// rotateDormant forgets the customers that have been dormant for long.
+func (g *Gateway) rotateDormant() {
+	if g.dormant != nil && g.now-g.dormantRotatedAt > customerIdleTimeout {
+		g.dormantRotatedAt, g.dormantBefore, g.dormant = g.now, g.dormant, map[uint64]dormantCustomer{}
 	}
 }
--- a/logic/due_test.go
+++ b/logic/due_test.go
@@ -42,7 +42,7 @@
 		pair[k] = New(set, 1)
 		if seed%2 == 1 {
 			pair[k].Use(book, nil)
-			pair[k].resting = nil // a change takes from those at rest, which the two put to rest at different times
+			pair[k].dormant = nil // a change takes from those at rest, which the two put to rest at different times
 		}
 	}
 	now, id := 3*time.Second, uint64(0)
@@ -134,31 +134,31 @@
 
 // checkSums holds what is kept of servers against a walk over all of them.
 func checkSums(t *testing.T, g *Gateway) {
-	f := g.fleet
+	f := g.upstream
 	var busy, usable, power float64
 	var list, working, cold []*server
 	readyIn := map[int]int{}
 	for _, id := range slices.Sorted(maps.Keys(g.servers)) {
 		s := g.servers[id]
-		if len(s.work) > 0 {
+		if len(s.attemptsInFlight) > 0 {
 			working = append(working, s)
 		}
 		if !s.listed {
-			if s.out == 0 {
+			if s.inFlight == 0 {
 				t.Fatalf("server %d is gone and kept", s.ID)
 			}
 			continue
 		}
-		if list = append(list, s); s.State == Ready && !s.ejected && !f.lost(s.Zone, g.now) {
-			busy, usable, power = busy+float64(s.out), usable+1, power+max(g.warmth(s), 1-g.blind)
+		if list = append(list, s); s.State == Ready && !s.ejected && !f.zoneLost(s.Zone, g.now) {
+			busy, usable, power = busy+float64(s.inFlight), usable+1, power+max(g.warmShare(s), 1-g.unseenShare)
 		}
 		if s.State == Ready {
 			readyIn[s.Zone]++
 		}
-		if !s.warm && s.Started+g.set.Cold <= g.ticked {
+		if !s.countedWarm && s.Started+g.set.Cold <= g.tickedAt {
 			t.Fatalf("server %d is warm and still counted as cold", s.ID)
 		}
-		if !s.warm {
+		if !s.countedWarm {
 			cold = append(cold, s)
 		}
 	}
@@ -167,10 +167,10 @@
 			t.Fatalf("zone %d: %d servers are counted as ready, %d are", zone, h.ready, readyIn[zone])
 		}
 	}
-	was := [...]float64{f.busy, f.usable, f.power}
-	f.count(g)
-	is := [...]float64{f.busy, f.usable, f.power}
-	f.busy, f.usable, f.power = was[0], was[1], was[2]
+	was := [...]float64{f.inFlight, f.usableServers, f.warmCapacity}
+	f.sumUsable(g)
+	is := [...]float64{f.inFlight, f.usableServers, f.warmCapacity}
+	f.inFlight, f.usableServers, f.warmCapacity = was[0], was[1], was[2]
 	if is[0] != busy || is[1] != usable || math.Abs(is[2]-power) > 1e-9 {
 		t.Fatalf("kept: %v busy, %v usable, %v power; a walk: %v, %v, %v", is[0], is[1], is[2], busy, usable, power)
 	}
@@ -180,10 +180,10 @@
 	if g.firms.Len() != len(g.customers) {
 		t.Fatalf("%d firms are looked at, %d are known", g.firms.Len(), len(g.customers))
 	}
-	near := slices.Clone(f.near)
+	near := slices.Clone(f.nearestFirst)
 	slices.SortFunc(near, byID)
-	if !slices.Equal(f.list, list) || !slices.Equal(near, list) || !slices.Equal(f.working, working) || !slices.Equal(f.cold, cold) ||
-		!slices.IsSortedFunc(f.near, func(a, b *server) int { return cmp.Compare(g.distance(a), g.distance(b)) }) {
+	if !slices.Equal(f.list, list) || !slices.Equal(near, list) || !slices.Equal(f.withAttempts, working) || !slices.Equal(f.cold, cold) ||
+		!slices.IsSortedFunc(f.nearestFirst, func(a, b *server) int { return cmp.Compare(g.rendezvousRank(a), g.rendezvousRank(b)) }) {
 		t.Fatal("the lists of servers are not those of a walk")
 	}
 }
@@ -209,24 +209,24 @@
 		}
 	}
 	ticks(5 * time.Second)
-	if looks, whole, rest := len(g.firms.Take(now+time.Second)), len(g.customers), len(g.resting); looks != 0 || whole != 0 || rest != 100_000 {
+	if looks, whole, rest := len(g.firms.Take(now+time.Second)), len(g.customers), len(g.dormant); looks != 0 || whole != 0 || rest != 100_000 {
 		t.Errorf("%d looks in a second at firms that are quiet; %d kept whole, %d at rest", looks, whole, rest)
 	}
-	ticks(2*idle + time.Second)
-	if len(g.resting)+len(g.rested) != 0 {
+	ticks(2*customerIdleTimeout + time.Second)
+	if len(g.dormant)+len(g.dormantBefore) != 0 {
 		t.Error("firms at rest are never forgotten")
 	}
 }
 
 // A firm that rests or is forgotten must not be looked at again: a second record of it would hold a second store.
 func TestAFirmAtRestIsLookedAtNoMore(t *testing.T) {
-	for _, after := range []time.Duration{0, 2 * idle} {
+	for _, after := range []time.Duration{0, 2 * customerIdleTimeout} {
 		g := New(testSettings(), 1)
 		g.now = time.Hour
-		c := g.customer(&request{Request: Request{Customer: 7, Spread: 3}, plan: g.set.Plans[0]})
-		c.open = 0
+		c := g.customerOf(&request{Request: Request{Customer: 7, Spread: 3}, plan: g.set.Plans[0]})
+		c.pending = 0
 		g.now += after
-		if !g.rest(c) || len(g.customers) != 0 || g.firms.Len() != 0 {
+		if !g.makeDormant(c) || len(g.customers) != 0 || g.firms.Len() != 0 {
 			t.Errorf("%v: %d known, %d are looked at", after, len(g.customers), g.firms.Len())
 		}
 	}
@@ -243,7 +243,7 @@
 			g, now, id := New(set, 1), time.Second, uint64(0)
 			g.Use(book, nil)
 			if k == 1 {
-				g.resting = nil
+				g.dormant = nil
 			}
 			ticks := func(d time.Duration) {
 				for end := now + d; now < end; now += tick {
@@ -265,7 +265,7 @@
 			g.Handle(now, ServerList{Whole: true, Servers: ready(4)})
 			burst(1)
 			ticks(5 * time.Second)
-			if rest := len(g.resting); rest != 1-k {
+			if rest := len(g.dormant); rest != 1-k {
 				t.Fatalf("%s: %d at rest", name, rest)
 			}
 			for _, rate := range rates {
@@ -400,7 +400,7 @@
 		}
 		waiting := 0
 		for _, r := range b.g.queue {
-			if r.ran {
+			if r.mayHaveRun {
 				waiting++
 			}
 		}
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -14,7 +14,7 @@
 func near(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
 
 func TestForecastByHand(t *testing.T) {
-	c := &customer{span: 2 * time.Second}
+	c := &customer{interval: 2 * time.Second}
 	steps := []struct{ asked, drift, spread, forecast float64 }{
 		{20, 0, 0, 10},                                                  // a newcomer's first interval is no rise
 		{28, 1.2, 1.2, 14 + 1.2 + 2},                                    // change 4
@@ -23,25 +23,25 @@
 		{8, 0.7*-3.432 + 1.2, 0.7*0.588 + 1.2, 4 - 1.2024 + 1.6116/0.6}, // change 4
 	}
 	for k, s := range steps {
-		c.asked = s.asked
-		c.roll(1)
-		if !near(c.drift, s.drift) || !near(c.spread, s.spread) || !near(c.forecast, s.forecast) {
-			t.Errorf("interval %d: drift %v spread %v forecast %v, want %+v", k, c.drift, c.spread, c.forecast, s)
+		c.demanded = s.asked
+		c.updateForecast(1)
+		if !near(c.meanChange, s.drift) || !near(c.meanRise, s.spread) || !near(c.forecast, s.forecast) {
+			t.Errorf("interval %d: drift %v spread %v forecast %v, want %+v", k, c.meanChange, c.meanRise, c.forecast, s)
 		}
 	}
 }
 
 func TestSplitByHand(t *testing.T) {
 	cases := []struct{ n, k, within, forecasts, f, want float64 }{
-		{3, 3, 16, 20, 12, 16},                           // g = 8: forecasts 12, 4, 4; left 8, short 4: 12 and a third of 4... and so on
-		{3, 3, 24, 48, 32, 8},                            // all want more than g: g
-		{2, 2, 11, 27, 24, 8 + 5},                        // forecasts 24 and 3: left 5, all of it to the one that is short
-		{3, 3, 20, 32, 16, 8 + 4*8/12.0},                 // forecasts 16, 12, 4: left 4, short 12, pro rata to f - min(f, g)
-		{3, 1, 8, 12, 12, 12 + (24 - 8 - 2*quiet*8 - 4)}, // the quiet two are left their room
+		{3, 3, 16, 20, 12, 16},                                      // g = 8: forecasts 12, 4, 4; left 8, short 4: 12 and a third of 4... and so on
+		{3, 3, 24, 48, 32, 8},                                       // all want more than g: g
+		{2, 2, 11, 27, 24, 8 + 5},                                   // forecasts 24 and 3: left 5, all of it to the one that is short
+		{3, 3, 20, 32, 16, 8 + 4*8/12.0},                            // forecasts 16, 12, 4: left 4, short 12, pro rata to f - min(f, g)
+		{3, 1, 8, 12, 12, 12 + (24 - 8 - 2*minReportedShare*8 - 4)}, // the quiet two are left their room
 	}
 	cases[0].want = 12 + (24-16-4)/3.0
 	for _, c := range cases {
-		if got := split(c.n, c.k, c.within, c.forecasts, c.f, quanta); !near(got, c.want) {
+		if got := splitQuota(c.n, c.k, c.within, c.forecasts, c.f, stepsPerEvenShare); !near(got, c.want) {
 			t.Errorf("%+v: %v", c, got)
 		}
 	}
@@ -58,7 +58,7 @@
 		var k, within, forecasts float64
 		for _, v := range raw {
 			if f := float64(v % 65); f > 0 {
-				k, within, forecasts = k+1, within+min(f, quanta), forecasts+f
+				k, within, forecasts = k+1, within+min(f, stepsPerEvenShare), forecasts+f
 			}
 		}
 		k2, within2, forecasts2 := unpack(pack(k, within, forecasts))
@@ -68,10 +68,10 @@
 		sum := 0.0
 		for _, v := range raw {
 			if f := float64(v % 65); f > 0 {
-				sum += split(n, k, within, forecasts, f, quanta)
+				sum += splitQuota(n, k, within, forecasts, f, stepsPerEvenShare)
 			}
 		}
-		return sum <= n*quanta+1e-6
+		return sum <= n*stepsPerEvenShare+1e-6
 	}
 	if err := quick.Check(check, &quick.Config{MaxCount: 5000}); err != nil {
 		t.Error(err)
@@ -79,14 +79,14 @@
 }
 
 func TestSpacing(t *testing.T) {
-	c := &customer{n: 2, parts: 2, part: 4, plan: Plan{Rate: 8, Burst: 10}}
+	c := &customer{gateways: 2, shares: 2, share: 4, plan: Plan{Rate: 8, Burst: 10}}
 	for _, s := range []struct{ rate, excess, want float64 }{
-		{0, 0, 0.25},                       // 1/B
-		{2, 0, 0.25},                       // below the part: no bonus
-		{8, 0, 0.25 * (1 + paceP)},         // S = 2B
-		{8, 5, 0.25 * (1 + paceP + paceI)}, // E at its bound
+		{0, 0, 0.25},                            // 1/B
+		{2, 0, 0.25},                            // below the part: no bonus
+		{8, 0, 0.25 * (1 + pacingProportional)}, // S = 2B
+		{8, 5, 0.25 * (1 + pacingProportional + pacingIntegral)}, // E at its bound
 	} {
-		c.rate, c.excess = s.rate, s.excess
+		c.recentRate, c.recentExcess = s.rate, s.excess
 		if got := c.spacing(); !near(got, s.want) {
 			t.Errorf("S %v, E %v: %v, want %v", s.rate, s.excess, got, s.want)
 		}
@@ -104,8 +104,8 @@
 		answer()
 	})
 	c := b.g.customers[1]
-	if c.excess > c.store() {
-		t.Errorf("E is %.1f, the store %.1f", c.excess, c.store())
+	if c.recentExcess > c.bucketSize() {
+		t.Errorf("E is %.1f, the store %.1f", c.recentExcess, c.bucketSize())
 	}
 	b.run(2*time.Second, answer)
 	if p := b.arrive(Request{Customer: 1, Units: 2}); !p.out {
@@ -139,12 +139,12 @@
 // All gateways' turns add to the cap at any time: no two of them think that a slot is theirs.
 func TestTurnsAddToTheCap(t *testing.T) {
 	for _, open := range []int{1, 2, 3, 5} {
-		for n := 2; n <= ownView; n++ {
+		for n := 2; n <= ownViewGateways; n++ {
 			for at := time.Duration(0); at < 3*time.Second; at += 7 * ms {
 				sum := 0
 				for place := range n {
-					c := &customer{n: float64(n), place: float64(place), plan: Plan{Open: open}, part: float64(open) / float64(n), forecast: 1000}
-					sum += c.slots(&Gateway{now: at, turnTime: turnTime})
+					c := &customer{gateways: float64(n), rank: float64(place), plan: Plan{Open: open}, share: float64(open) / float64(n), forecast: 1000}
+					sum += c.slotLimit(&Gateway{now: at, turnTime: maxTurnTime})
 				}
 				if sum != open {
 					t.Fatalf("cap %d, %d gateways, at %v: %d slots", open, n, at, sum)
@@ -158,12 +158,12 @@
 // two. Where a part is a whole attempt or more, quiet gateways keep to it.
 func TestQuietGatewaysKeepTheCap(t *testing.T) {
 	for _, open := range []int{1, 2, 3, 5, 9} {
-		for n := 2; n <= ownView; n++ {
+		for n := 2; n <= ownViewGateways; n++ {
 			for at := time.Duration(0); at < 3*time.Second; at += 7 * ms {
 				sum := 0
 				for place := range n {
-					c := &customer{n: float64(n), place: float64(place), plan: Plan{Rate: 5, Open: open}}
-					sum += c.slots(&Gateway{now: at, turnTime: turnTime, fleet: &fleet{latency: float64(100 * ms)}})
+					c := &customer{gateways: float64(n), rank: float64(place), plan: Plan{Rate: 5, Open: open}}
+					sum += c.slotLimit(&Gateway{now: at, turnTime: maxTurnTime, upstream: &upstream{latency: float64(100 * ms)}})
 				}
 				if sum > open || sum < open-open%n && open >= n || open < n && sum != open {
 					t.Fatalf("cap %d, %d gateways, at %v: %d slots", open, n, at, sum)
@@ -177,18 +177,18 @@
 func TestALargeAttemptWeighsMore(t *testing.T) {
 	for seed := range uint64(20) {
 		g := New(testSettings(), seed)
-		f := g.group(0)
-		f.units = 2
+		f := g.upstreamNumbered(0)
+		f.meanUnits = 2
 		g.servers = map[ServerID]*server{}
-		large, small := &server{fleet: f, Server: Server{ID: 1, State: Ready}}, &server{fleet: f, Server: Server{ID: 2, State: Ready}}
-		f.list, f.usable, f.power = []*server{large, small}, 2, 2
-		large.on(&request{Request: Request{Units: 8}})
-		small.on(&request{Request: Request{Units: 1}})
-		small.on(&request{Request: Request{Units: 1}})
-		if g.best(&request{fleet: f}, f.list, true) != small {
+		large, small := &server{upstream: f, Server: Server{ID: 1, State: Ready}}, &server{upstream: f, Server: Server{ID: 2, State: Ready}}
+		f.list, f.usableServers, f.warmCapacity = []*server{large, small}, 2, 2
+		large.addAttempt(&request{Request: Request{Units: 8}})
+		small.addAttempt(&request{Request: Request{Units: 1}})
+		small.addAttempt(&request{Request: Request{Units: 1}})
+		if g.leastLoaded(&request{upstream: f}, f.list, true) != small {
 			t.Fatalf("seed %d: the large attempt's server was chosen", seed)
 		}
-		if f.latency = float64(100 * ms); g.expected(&request{fleet: f, Request: Request{Units: 8}, class: Class{Aim: time.Second}}) != 400*ms {
+		if f.latency = float64(100 * ms); g.expectedLatency(&request{upstream: f, Request: Request{Units: 8}, class: Class{Aim: time.Second}}) != 400*ms {
 			t.Fatal("an attempt of four times the mean's units is expected to take four times as long")
 		}
 	}
@@ -198,8 +198,8 @@
 func TestUnitsKeptFollowTheSizeOfRequests(t *testing.T) {
 	// For one of half the best's worth, of a store of 10: half of two mean requests, and of half the store at most.
 	for units, want := range map[float64]float64{1: 1, 2: 2, 100: 2.5} {
-		c := &customer{plan: Plan{Rate: 10, Burst: 10}, n: 1, parts: 1, part: 1, asked: 10, span: time.Second, best: 2}
-		if got := c.kept(&request{class: Class{Worth: 1}}, &Gateway{units: units}); !near(got, want) {
+		c := &customer{plan: Plan{Rate: 10, Burst: 10}, gateways: 1, shares: 1, share: 1, demanded: 10, interval: time.Second, bestWorth: 2}
+		if got := c.keptForWorth(&request{class: Class{Worth: 1}}, &Gateway{meanRequestUnits: units}); !near(got, want) {
 			t.Errorf("%v units a request: %v kept, not %v", units, got, want)
 		}
 	}
@@ -240,8 +240,8 @@
 		sums[c.Name] += c.Amount
 		return OK, sums[c.Name]
 	})
-	if c := b.g.customers[1]; c.part < 18 {
-		t.Errorf("part %.1f of 30 after six seconds alone, asks 20", c.part)
+	if c := b.g.customers[1]; c.share < 18 {
+		t.Errorf("part %.1f of 30 after six seconds alone, asks 20", c.share)
 	}
 }
 
@@ -256,8 +256,8 @@
 		"stolen":  func(c Count) (Status, float64) { return OK, pack(2, 3, 3) },
 	} {
 		b := one(t, answer)
-		if c := b.g.customers[1]; !near(c.part, 10) {
-			t.Errorf("%s: part %.2f, want the even 10", name, c.part)
+		if c := b.g.customers[1]; !near(c.share, 10) {
+			t.Errorf("%s: part %.2f, want the even 10", name, c.share)
 		}
 		if name == "timeout" && len(b.counts) > 0 {
 			t.Errorf("calls left")
--- a/logic/many_test.go
+++ b/logic/many_test.go
@@ -28,7 +28,7 @@
 func TestDrawDecidesForASparsePart(t *testing.T) {
 	for total, goes := range map[float64]bool{2: true, 30: true, 31: false} {
 		b := many(t, false)
-		b.g.calling = 1
+		b.g.callShare = 1
 		p := b.arrive(Request{Customer: 7, Units: 2})
 		if len(b.counts) != 1 || b.counts[0].Amount != 2 || p.out || p.answer != "" {
 			t.Fatalf("calls %+v, out %v, answer %q", b.counts, p.out, p.answer)
@@ -43,7 +43,7 @@
 // A counter that fails must not stop the first request that the even part, grown to its size, would let go.
 func TestDrawWithoutACounter(t *testing.T) {
 	b := many(t, false)
-	b.g.calling = 1
+	b.g.callShare = 1
 	p := b.arrive(Request{Customer: 7, Units: 1})
 	b.reply(Timeout, 0)
 	if !p.out {
@@ -53,10 +53,10 @@
 		b.arrive(Request{Customer: 7, Units: 1})
 		b.reply(Timeout, 0)
 	}
-	if out := b.g.customers[7].out; out < 1 || out > 30/busiest {
+	if out := b.g.customers[7].inFlight; out < 1 || out > 30/maxOnDemandShares {
 		t.Errorf("%d requests out on a sixth of a burst of 30", out)
 	}
-	if b.g.counterUp <= b.now {
+	if b.g.noCallsUntil <= b.now {
 		t.Error("calls go on to a silent counter")
 	}
 }
@@ -64,8 +64,8 @@
 // A slot of a cap is given back once, when its attempt ends, to the count that it came from.
 func TestSlotIsGivenBack(t *testing.T) {
 	b := many(t, true)
-	b.g.calling = 1
-	b.g.loads[9] = word{0.9, b.now + time.Hour}
+	b.g.callShare = 1
+	b.g.loadEstimates[9] = loadEstimate{0.9, b.now + time.Hour}
 	p := b.arrive(Request{Customer: 9, Plan: 1, Units: 1})
 	var name uint64
 	for _, c := range b.counts {
@@ -116,9 +116,9 @@
 // Sums of many gateways fit one number that single precision holds, and their parts add to the quota at most.
 func TestSumsOfManyGateways(t *testing.T) {
 	for _, n := range []float64{3, 15, 16, 21, 63, 127} {
-		c := &customer{n: n}
-		steps := c.steps()
-		f := min(mostQuanta, float64(int(1023/n)))
+		c := &customer{gateways: n}
+		steps := c.forecastSteps()
+		f := min(maxForecastSteps, float64(int(1023/n)))
 		total := pack(n, n*min(f, steps), n*f)
 		if float64(float32(total)) != total {
 			t.Errorf("%v gateways: %v does not fit", n, total)
@@ -127,7 +127,7 @@
 		if k != n || within != n*min(f, steps) || forecasts != n*f {
 			t.Errorf("%v gateways: read %v %v %v", n, k, within, forecasts)
 		}
-		if part := split(n, k, within, forecasts, f, steps); n*part > n*steps+1e-9 {
+		if part := splitQuota(n, k, within, forecasts, f, steps); n*part > n*steps+1e-9 {
 			t.Errorf("%v gateways: parts add to %v of %v", n, n*part, n*steps)
 		}
 	}
@@ -141,13 +141,13 @@
 	if !p.out {
 		t.Fatal("not sent")
 	}
-	b.g.strain = 2
-	before := b.g.limit
+	b.g.aimShare = 2
+	before := b.g.limitPerServer
 	b.run(500*ms, nil)
 	b.end(p, OK)
 	b.run(3*time.Second, nil)
-	if b.g.limit < 0.75*before { // a second cut would leave less
-		t.Errorf("bound %.4f, before %.4f", b.g.limit, before)
+	if b.g.limitPerServer < 0.75*before { // a second cut would leave less
+		t.Errorf("bound %.4f, before %.4f", b.g.limitPerServer, before)
 	}
 }
 
@@ -164,7 +164,7 @@
 		{"all slow", 0, 550 * ms, 0, 0.5},
 	} {
 		b := many(t, true)
-		start := b.g.limit
+		start := b.g.limitPerServer
 		for k := range 200 {
 			p := b.arrive(Request{Customer: uint64(k), Units: 1})
 			if !p.out { // no room
@@ -180,7 +180,7 @@
 			}
 			b.run(1200*ms, nil)
 		}
-		if share := b.g.limit / start; share < c.least || share > c.most {
+		if share := b.g.limitPerServer / start; share < c.least || share > c.most {
 			t.Errorf("%s: the bound is %.2f of its start", c.name, share)
 		}
 	}
@@ -190,28 +190,28 @@
 // gateway has few of them, and one failure in twenty must not press it to its floor.
 func TestCallsComeBack(t *testing.T) {
 	b := many(t, false)
-	b.g.calling = leastCalling
+	b.g.callShare = minCallShare
 	play := func(calls, fullEvery int) { // 0: none turned away
 		for k := range calls {
 			st := OK
 			if fullEvery > 0 && k%fullEvery == 0 {
 				st = Full
 			}
-			b.g.calls[1] = append(b.g.calls[1], call{cust: &customer{n: 2, span: time.Second}})
+			b.g.calls[1] = append(b.g.calls[1], call{customer: &customer{gateways: 2, interval: time.Second}})
 			b.handle(CountResult{Name: 1, Status: st})
 		}
 	}
 	play(160, 0)
-	if b.g.calling < 0.9 {
-		t.Errorf("%.2f of the calls after 160 answers", b.g.calling)
+	if b.g.callShare < 0.9 {
+		t.Errorf("%.2f of the calls after 160 answers", b.g.callShare)
 	}
 	play(2000, 20)
-	if b.g.calling < 0.7 {
-		t.Errorf("%.2f of the calls with one in twenty turned away", b.g.calling)
+	if b.g.callShare < 0.7 {
+		t.Errorf("%.2f of the calls with one in twenty turned away", b.g.callShare)
 	}
 	play(100, 2)
-	if b.g.calling > 2*leastCalling {
-		t.Errorf("%.2f of the calls with every second turned away", b.g.calling)
+	if b.g.callShare > 2*minCallShare {
+		t.Errorf("%.2f of the calls with every second turned away", b.g.callShare)
 	}
 }
 
@@ -220,12 +220,12 @@
 func TestCallsAfterAnOutageAreThoseBefore(t *testing.T) {
 	for st, after := range map[Status]float64{ConnectFailed: 0.6, Full: 0.2, Timeout: 0.2} {
 		b := many(t, false)
-		b.g.calling = 0.6
+		b.g.callShare = 0.6
 		for _, got := range []Status{Timeout, Timeout, Reset, st, st, st, st, st, OK} {
-			b.g.calls[1] = append(b.g.calls[1], call{cust: &customer{n: 2, span: time.Second}})
+			b.g.calls[1] = append(b.g.calls[1], call{customer: &customer{gateways: 2, interval: time.Second}})
 			b.handle(CountResult{Name: 1, Status: got})
 		}
-		if got := b.g.calling; math.Abs(got-after) > 0.1 {
+		if got := b.g.callShare; math.Abs(got-after) > 0.1 {
 			t.Errorf("after an outage that ended in %v the share of calls is %.2f, not about %.1f", st, got, after)
 		}
 	}
@@ -234,13 +234,13 @@
 // Intervals are calls: in a large fleet the sums of customers with few gateways must not take the counter from the
 // others' draws, so their interval is the burst length; few gateways have calls to spare and follow sooner.
 func TestIntervalsSpareTheCounter(t *testing.T) {
-	for gateways, span := range map[int]time.Duration{3: maxSpan, 200: 5 * time.Second} {
+	for gateways, span := range map[int]time.Duration{3: maxInterval, 200: 5 * time.Second} {
 		set := testSettings()
 		set.Gateways = gateways
 		set.Plans[0].Burst = 5 * set.Plans[0].Rate
 		b := newBench(t, set, ready(3)...)
 		b.arrive(Request{Customer: 1, Units: 1, Spread: 3})
-		if got := b.g.customers[1].span; got != span {
+		if got := b.g.customers[1].interval; got != span {
 			t.Errorf("%d gateways: interval %v, want %v", gateways, got, span)
 		}
 	}
@@ -265,7 +265,7 @@
 			}
 			b.sent = b.sent[:0]
 		}
-		if len(own) > nearest {
+		if len(own) > nearbyServers {
 			t.Fatalf("gateway %d used %d of 60 servers", rank, len(own))
 		}
 	}
@@ -279,11 +279,11 @@
 // A gateway's own servers stay its own while others come and go: or each change would cost all gateways handshakes.
 func TestOwnServersStayWhenOthersGo(t *testing.T) {
 	b := many(t, false)
-	before := slices.Clone(b.g.near[:nearest])
-	gone := b.g.near[nearest+3].Server
+	before := slices.Clone(b.g.nearestFirst[:nearbyServers])
+	gone := b.g.nearestFirst[nearbyServers+3].Server
 	gone.State = Gone
 	b.list(ServerList{Servers: []Server{gone}})
-	if !slices.Equal(before, b.g.near[:nearest]) || len(b.g.near) != 29 {
+	if !slices.Equal(before, b.g.nearestFirst[:nearbyServers]) || len(b.g.nearestFirst) != 29 {
 		t.Error("the order of those that stay has changed")
 	}
 }
@@ -299,7 +299,7 @@
 	for rank := range gates {
 		set.Rank = rank
 		gates[rank] = newBench(t, set, ready(60)...)
-		gates[rank].g.calling = 1 // a counter with room
+		gates[rank].g.callShare = 1 // a counter with room
 		weights += 1 / float64(rank+1)
 	}
 	totals, rng := map[uint64]float64{}, rand.New(rand.NewPCG(7, 7))
@@ -426,7 +426,7 @@
 		}
 		b.run(200*ms, nil)
 		for _, s := range b.g.list { // each is met once in a long while
-			s.ejected, s.fails, s.backoff = false, 0, firstEject
+			s.ejected, s.failureRate, s.backoff = false, 0, minEjectTime
 		}
 	}
 	if served < 55 {
@@ -473,17 +473,17 @@
 		}
 		b.run(20*ms, nil)
 	}
-	if toLost < hallSilent || toLost > 2*hallSilent || after > 1 {
+	if toLost < lostZoneFailures || toLost > 2*lostZoneFailures || after > 1 {
 		t.Errorf("%d tries to the lost hall, %d after half of the time", toLost, after)
 	}
-	b.run(hallForgets, nil)
+	b.run(lostZoneRetry, nil)
 	for range 40 {
 		if p := send(); p.out {
 			b.end(p, OK)
 		}
 		b.run(20*ms, nil)
 	}
-	if b.g.lost(1, b.now) || b.g.halls[1].silent > 0 {
+	if b.g.zoneLost(1, b.now) || b.g.halls[1].failures > 0 {
 		t.Error("the hall is not used again")
 	}
 }
@@ -536,8 +536,8 @@
 		book.plan = next
 		b.handle(PlansChanged{})
 		b.handle(CountResult{Name: b.counts[0].Name, Status: OK, Total: 1})
-		if c := b.g.customers[7]; c.credit != 0 || c.asking && next.Rate <= 0 {
-			t.Errorf("%+v: %v units are left of the old figures", next, c.credit)
+		if c := b.g.customers[7]; c.drawnUnits != 0 || c.drawPending && next.Rate <= 0 {
+			t.Errorf("%+v: %v units are left of the old figures", next, c.drawnUnits)
 		}
 	}
 }
@@ -549,12 +549,12 @@
 		set := testSettings()
 		set.Gateways, set.Plans = 6, append(set.Plans, p)
 		b := newBench(t, set, ready(30)...)
-		b.g.calling = 1
+		b.g.callShare = 1
 		for k := range 200 {
 			b.arrive(Request{Customer: uint64(100 + k), Plan: 2, Units: met, Spread: 2})
 			b.run(60*ms, func() { b.answer(50 * ms) })
 		}
-		b.g.callsLeft, b.counts = callsSaved, nil
+		b.g.callsLeft, b.counts = counterCallBurst, nil
 		b.arrive(Request{Customer: 7, Plan: len(set.Plans) - 1, Units: 1})
 		return len(b.counts) == 0
 	}
--- a/logic/plans.go
+++ b/logic/plans.go
@@ -6,16 +6,17 @@
 	"time"
 )
 
-// How a change of plans reaches what is known of firms, and how reservations are used. Which figures are in force is
-// the book's choice, what is leased the reserves'.
+// How a change of plans reaches the records of firms, and how reservations are used. The book decides which plans are in
+// force, the reserves what is leased here.
 
-const leaseWait = 150 * ms // for more of a reservation to come
+// leaseWait is how long a request is held for more of a reservation to be leased.
+const leaseWait = 150 * ms
 
 // Use sets where the plans in force and the leases of reservations come from; nil: the settings' plans stay, and there
 // are no reservations. It is called before the first event.
 func (g *Gateway) Use(book Book, reserves Reserves) { g.book, g.reserves = book, reserves }
 
-// planOf is the plan in force for a firm's request that names a tier.
+// planOf is the plan in force for a firm's request that names a tier; false: there is no such tier.
 func (g *Gateway) planOf(firm uint64, tier int) (Plan, bool) {
 	if g.book != nil {
 		return g.book.Plan(firm, tier)
@@ -26,13 +27,14 @@
 	return g.set.Plans[tier], true
 }
 
-// InUse counts the firms known here by the tier that their requests name; tiers are those of the book by name.
+// InUse counts the firms known here by the tier that their requests name. The numbers of the tiers are those of the book, by
+// name.
 func (g *Gateway) InUse(tiers map[string]int) func(tier string) int {
 	firms := map[int]int{}
 	for _, c := range g.customers {
 		firms[c.tier]++
 	}
-	for _, list := range []map[uint64]rest{g.resting, g.rested} {
+	for _, list := range []map[uint64]dormantCustomer{g.dormant, g.dormantBefore} {
 		for _, r := range list {
 			firms[int(r.tier)]++
 		}
@@ -46,102 +48,105 @@
 	}
 }
 
-// replan takes up a change of plans. Firms with requests held are looked at now, the others when they are next or in the
-// ticks to come, a part in each: what nobody took up of one change is before the next.
-func (g *Gateway) replan() {
-	for _, c := range g.stale {
-		g.refigure(c)
-	}
-	g.figured++
-	g.changed = g.now
+// onPlansChanged takes a change of plans. Firms with held requests take it up now; the others with their next request, or in
+// the ticks to come, some in each. What firms have not taken up of the last change they take up before the next.
+func (g *Gateway) onPlansChanged() {
+	for _, c := range g.awaitingPlans {
+		g.applyPlan(c)
+	}
+	g.planRevision++
+	g.plansChangedAt = g.now
 	for _, c := range g.firms.Take(g.now) {
 		if len(c.held) > 0 {
-			g.refigure(c)
+			g.applyPlan(c)
 		}
 		g.firms.Sooner(c, g.now)
 	}
-	g.stale = g.firms.All()
+	g.awaitingPlans = g.firms.All()
 	g.dispatch()
 }
 
-const mostSwept = 1000 // firms that take up a change in one tick
+// plansAppliedPerTick is how many firms take up a change of plans in one tick.
+const plansAppliedPerTick = 1000
 
-func (g *Gateway) sweep() {
-	n := min(mostSwept, len(g.stale))
-	for _, c := range g.stale[:n] {
-		g.refigure(c)
+// applyPlansInPart lets some of the firms that have not taken up the last change of plans do so.
+func (g *Gateway) applyPlansInPart() {
+	n := min(plansAppliedPerTick, len(g.awaitingPlans))
+	for _, c := range g.awaitingPlans[:n] {
+		g.applyPlan(c)
 	}
-	if g.stale = g.stale[n:]; len(g.stale) == 0 {
-		g.stale = nil
+	if g.awaitingPlans = g.awaitingPlans[n:]; len(g.awaitingPlans) == 0 {
+		g.awaitingPlans = nil
 	}
 }
 
-// refigure carries a firm over to the figures in force, if they are others. What is spent stays spent: a store is cut
-// to a lowered burst and not filled by a raised one, and one that there was not before begins empty, so that no sequence
-// of changes gives a firm what it would not have had.
-func (g *Gateway) refigure(c *customer) {
-	if c.figured == g.figured {
+// applyPlan moves a firm to the plan in force, if that has changed. What is spent stays spent: a bucket is cut to a lowered
+// burst and not filled by a raised one, and a bucket that there was not before begins empty, so that no sequence of changes
+// gives a firm what it would not have had.
+func (g *Gateway) applyPlan(c *customer) {
+	if c.planRevision == g.planRevision {
 		return
 	}
-	c.figured = g.figured
+	c.planRevision = g.planRevision
 	p, known := g.planOf(c.id, c.tier)
 	if !known || p == c.plan {
 		return
 	}
-	g.current(c)
-	c.fill(max(c.filled, g.changed))
+	g.catchUp(c)
+	c.refill(max(c.filledAt, g.plansChangedAt))
 	if c.plan.Rate <= 0 {
 		c.level = 0
 	}
-	g.figure(c, p)
-	c.level = min(c.level, c.store())
-	c.excess = min(c.excess, c.store())
-	c.ceiling = min(c.ceiling, p.CeilingBurst/c.n)
-	c.told, c.readAt, c.shut = 0, 0, 0 // counts of the old figures say nothing of these
-	c.credit, c.stamp = 0, stamp{}
-	c.release = min(c.release, g.now) // the pace was the old part's
+	g.setPlan(c, p)
+	c.level = min(c.level, c.bucketSize())
+	c.recentExcess = min(c.recentExcess, c.bucketSize())
+	c.ceiling = min(c.ceiling, p.CeilingBurst/c.gateways)
+	c.reported, c.rereadAt, c.exhaustedUntil = 0, 0, 0 // counts under the old plan say nothing about this one
+	c.drawnUnits, c.bucket = 0, bucketState{}
+	c.nextRelease = min(c.nextRelease, g.now) // the pace was that of the old share
 	if g.customers[c.id] == c {
-		g.firms.Sooner(c, c.ends())
+		g.firms.Sooner(c, c.intervalEnd())
 	}
 	g.reconsider(c)
 }
 
-// reconsider looks again at what is held: what has no chance in time any more is refused now.
+// reconsider decides anew on held requests: those that can no longer be served in time are refused now.
 func (g *Gateway) reconsider(c *customer) {
 	held := c.held
 	c.held = nil
 	for _, r := range held {
-		if wait := g.holdTime(c, r); g.now+wait+g.expected(r) > r.useful {
+		if wait := g.holdTime(c, r); g.now+wait+g.expectedLatency(r) > r.usefulUntil {
 			g.finish(r, wait)
 			continue
 		}
 		g.hold(r)
 	}
 	if len(c.held) > 0 {
-		g.letCustomer(c)
+		g.releaseHeld(c)
 	}
 }
 
-// lend lets a request go on its firm's reservation: inside the quota, and under the ceiling all the same.
-func (g *Gateway) lend(r *request) bool {
-	c := r.cust
-	if g.reserves == nil || c.out >= c.slots(g) || !c.underCeiling(r) || !g.reserves.Take(g.now, c.id, r.Units) {
+// letOnReservation lets a request go on its firm's reservation: it counts as within the quota, and the ceiling holds all
+// the same.
+func (g *Gateway) letOnReservation(r *request) bool {
+	c := r.customer
+	if g.reserves == nil || c.inFlight >= c.slotLimit(g) || !c.withinCeiling(r) || !g.reserves.Take(g.now, c.id, r.Units) {
 		return false
 	}
-	r.lent = true
-	g.through(r)
+	r.onReservation = true
+	g.letThrough(r)
 	return true
 }
 
-// lentSoon shortens a wait for the store where more of a reservation may come before.
-func (g *Gateway) lentSoon(c *customer, wait time.Duration) time.Duration {
+// shortenForLease shortens the wait for the bucket where more of a reservation may be leased before.
+func (g *Gateway) shortenForLease(c *customer, wait time.Duration) time.Duration {
 	if wait > leaseWait && g.reserves != nil && g.reserves.Coming(g.now, c.id) {
 		return leaseWait
 	}
 	return wait
 }
 
-// fingerprint tells figures apart in which gateways count. Names, prices and ceilings change no count.
+// fingerprint tells apart the figures by which gateways count. Names, prices and ceilings change no count.
 func fingerprint(p Plan) uint64 {
 	h := fnv.New64a()
 	for _, v := range []float64{p.Rate, p.Burst, float64(p.Open)} {
--- a/logic/plans_test.go
+++ b/logic/plans_test.go
@@ -179,7 +179,7 @@
 	a, b := newPlanned(p), newPlanned(p)
 	a.ask()
 	b.ask()
-	name := func(x *planned) uint64 { return x.g.customers[7].name(sums) }
+	name := func(x *planned) uint64 { return x.g.customers[7].countName(forecastSums) }
 	if name(a) != name(b) {
 		t.Fatal("the same figures, other names")
 	}
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -307,12 +307,12 @@
 	})
 	out := 0
 	for _, s := range b.g.servers {
-		out += s.out
+		out += s.inFlight
 	}
 	if g := b.g; len(g.requests) != 0 || len(g.tokens) != 0 || len(g.queue) != 0 || out != 0 {
 		t.Errorf("left behind: %d requests, %d tokens, %d queued, %d out", len(g.requests), len(g.tokens), len(g.queue), out)
 	}
-	b.run(idle+2*time.Second, nil)
+	b.run(customerIdleTimeout+2*time.Second, nil)
 	if g := b.g; len(g.customers) != 0 || g.firms.Len() != 0 {
 		t.Errorf("%d customers kept after a minute's rest", len(g.customers))
 	}
@@ -460,7 +460,7 @@
 // nor pull down the bound on what is out at the healthy ones.
 func TestServerThatTurnsAllAway(t *testing.T) {
 	b := newBench(t, testSettings(), ready(4)...)
-	limit := b.g.limit
+	limit := b.g.limitPerServer
 	toIt := 0
 	for k := range 200 {
 		b.now += 20 * ms
@@ -474,8 +474,8 @@
 			b.end(p, OK)
 		}
 	}
-	if toIt > 30 || b.g.limit < limit {
-		t.Errorf("%d of 200 requests tried the server that turns all away, bound %.2f, before %.2f", toIt, b.g.limit, limit)
+	if toIt > 30 || b.g.limitPerServer < limit {
+		t.Errorf("%d of 200 requests tried the server that turns all away, bound %.2f, before %.2f", toIt, b.g.limitPerServer, limit)
 	}
 }
 
@@ -540,11 +540,11 @@
 	set.Gateways = 78
 	b := newBench(t, set, ready(28)...)
 	b.run(50*ms, nil)
-	b.g.limit, b.g.room = 1/78.0, 0
-	b.g.base, b.g.latency = float64(100*ms), float64(3*time.Second)
+	b.g.limitPerServer, b.g.sendTokens = 1/78.0, 0
+	b.g.idleLatency, b.g.latency = float64(100*ms), float64(3*time.Second)
 	b.run(time.Second, nil)
-	if b.g.room < 1 {
-		t.Errorf("room for %.2f attempts a second after the jam", b.g.room)
+	if b.g.sendTokens < 1 {
+		t.Errorf("room for %.2f attempts a second after the jam", b.g.sendTokens)
 	}
 }
 
@@ -559,10 +559,10 @@
 			b.arrive(Request{Customer: uint64(k), Units: 1})
 			b.run(20*ms, nil)
 			if k >= 500 {
-				latest = latency(int(b.g.busy))
+				latest = latency(int(b.g.inFlight))
 			}
 			if b.answer(latest); k >= 1500 {
-				sum += int(b.g.busy)
+				sum += int(b.g.inFlight)
 			}
 		}
 		return float64(sum) / 500
@@ -581,7 +581,7 @@
 	set := testSettings()
 	set.Classes[0].Late, set.Classes[1].Late = 0, 0
 	full := func(b *bench) { // all room taken by attempts that are not answered
-		b.g.limit, b.g.blind = 1/float64(set.Gateways), 0
+		b.g.limitPerServer, b.g.unseenShare = 1/float64(set.Gateways), 0
 		for k := range 40 {
 			b.arrive(Request{Customer: uint64(100 + k), Units: 1, Class: 2})
 		}
@@ -592,10 +592,10 @@
 		play   func(b *bench) *played
 	}{
 		{"behind a held one with more time", tick, func(b *bench) *played {
-			b.g.customer(&request{Request: Request{Customer: 1, Spread: 3}, plan: set.Plans[0]}).level = -0.5
+			b.g.customerOf(&request{Request: Request{Customer: 1, Spread: 3}, plan: set.Plans[0]}).level = -0.5
 			b.arrive(Request{Customer: 1, Units: 1, Class: 2, Spread: 3})
 			p := b.arrive(Request{Customer: 1, Units: 1, Class: 1, Spread: 3})
-			b.g.customers[1].release = b.now + time.Second // a long spacing before it
+			b.g.customers[1].nextRelease = b.now + time.Second // a long spacing before it
 			return p
 		}},
 		{"late in the queue", 400 * ms, func(b *bench) *played {
@@ -606,10 +606,10 @@
 			p := b.arrive(Request{Customer: 1, Units: 1})
 			r := b.g.requests[p.ID]
 			b.end(p, Full)
-			r.draws = mostDraws
-			r.ready, b.g.queue = false, nil
+			r.drawsMade = maxDrawsPerRequest
+			r.queued, b.g.queue = false, nil
 			b.g.actions = nil
-			b.g.later(r, 10*ms)
+			b.g.holdForDraw(r, 10*ms)
 			for _, a := range b.g.actions {
 				b.check(a)
 			}
@@ -676,7 +676,7 @@
 		b.arrive(Request{Customer: 1, Units: 1})
 		b.answer(50 * ms)
 	})
-	limit, latency := b.g.fleet.limit, b.g.fleet.latency
+	limit, latency := b.g.upstream.limitPerServer, b.g.upstream.latency
 	var out []*played
 	for k := range 10 {
 		if p := b.arrive(Request{Customer: uint64(100 + k), Units: 1}); p.out { // firms with room
@@ -691,8 +691,8 @@
 		b.end(p, []Status{OK, Timeout}[k%2])
 	}
 	b.run(100*ms, func() { b.answer(50 * ms) })
-	if f := b.g.fleet; f.limit < limit || f.latency > latency {
-		t.Errorf("the bound went from %v to %v, the latency from %v to %v", limit, f.limit, latency, f.latency)
+	if f := b.g.upstream; f.limitPerServer < limit || f.latency > latency {
+		t.Errorf("the bound went from %v to %v, the latency from %v to %v", limit, f.limitPerServer, latency, f.latency)
 	}
 	for _, s := range b.g.servers {
 		if s.ejected {
@@ -709,18 +709,18 @@
 		b.nextID++
 		p := b.arrive(Request{Customer: b.nextID, Units: 1})
 		if !p.out {
-			t.Fatalf("nothing was sent, fails %v, left out %v", s.fails, s.ejected)
+			t.Fatalf("nothing was sent, fails %v, left out %v", s.failureRate, s.ejected)
 		}
 		b.now += wait
 		b.end(p, status)
 	}
 	for _, wait := range []time.Duration{ms, ms, 2 * time.Second, 2 * time.Second} { // no tick comes in all this
-		s.fails = 0.3
-		if one(wait, OK); s.fails >= 0.3 {
-			t.Errorf("after %v: fails stay at %v", wait, s.fails)
+		s.failureRate = 0.3
+		if one(wait, OK); s.failureRate >= 0.3 {
+			t.Errorf("after %v: fails stay at %v", wait, s.failureRate)
 		}
 	}
-	s.fails, s.ejected, s.until = 0.5, true, 0
+	s.failureRate, s.ejected, s.ejectedUntil = 0.5, true, 0
 	if one(2*time.Second, OK); s.ejected {
 		t.Error("a trial that went well over a pause leaves its server out")
 	}
--- a/logic/servers.go
+++ b/logic/servers.go
@@ -7,54 +7,88 @@
 	"time"
 )
 
-// What is known of servers: each by itself, and a group of them together.
+// The records of servers: of each by itself, and of an upstream group together.
 
+// server is what is known of one server.
 type server struct {
 	Server
-	fleet                  *fleet
-	out                    int
-	units                  float64       // of the attempts out
-	work                   []*request    // out here, oldest first
-	fails, latency         float64       // smoothed
-	heard, until, backoff  time.Duration // until: ejected, the next trial
-	ejected, trial, listed bool
-	startedAt              time.Duration // Started, by this gateway's time
-	cold                   float64       // budget of attempts while cold
-	coldAt                 time.Duration
-	hall                   *hall // that counts it as usable; nil: it is not
-	ready                  *hall // that counts it as ready, whether it is left out or not; nil: it is not
-	warm                   bool  // as it is counted
+	upstream *upstream
+
+	inFlight         int        // attempts in flight from here
+	unitsInFlight    float64    // their units
+	attemptsInFlight []*request // their requests, the oldest first
+
+	failureRate float64 // smoothed
+	latency     float64 // smoothed, in ns; 0: not known
+
+	answeredAt   time.Duration // the last answer that shows the server alive
+	ejectedUntil time.Duration // if ejected: the time of the next trial
+	backoff      time.Duration // length of the next ejection
+	ejected      bool
+	trialPending bool // an attempt is out that may end the ejection
+	listed       bool
+
+	startedAt      time.Duration // Started, by this gateway's time
+	coldTokens     float64       // budget of attempts during slow start
+	coldRefilledAt time.Duration
+
+	usableIn    *hall // the hall that counts it as usable; nil: it is not
+	readyIn     *hall // the hall that counts it as ready, whether it is ejected or not; nil: it is not
+	countedWarm bool  // whether its hall counts it as warm
 }
 
-// fleet is what is known of the servers of one upstream group together. What one group does says nothing of
-// another: its answers may take a hundredth of the time.
-type fleet struct {
-	units           float64   // of an attempt, smoothed: larger ones take longer and load a server more
-	list, near      []*server // near: in the order of this gateway's own
-	working, cold   []*server // with attempts out; not warm yet
-	limit, retries  float64
-	latency, base   float64       // fleet-wide, smoothed; base: when idle
-	strain          float64       // smoothed latency over aim
-	load, served    float64       // attempts out at a warm server, smoothed; most of these that were in service
-	room            float64       // attempts that may go, where many gateways share few servers
-	capacity        float64       // attempts that this process can have out, as far as it was found short; 0: it was not
-	busy, usable    float64       // attempts out at the usable servers, their number
-	power           float64       // of these, in warm servers
-	halls           map[int]*hall // by zone
-	sendRate, sends float64       // attempts a second to each warm server, smoothed
-	cut             time.Duration // the last time the limit fell
+// upstream is what is known of the servers of one upstream group together. What one group does says nothing about another: its
+// answers may take a hundredth of the time.
+type upstream struct {
+	// meanUnits is the smoothed units of an attempt: larger ones take longer and load a server more.
+	meanUnits float64
+
+	list         []*server // by ID
+	nearestFirst []*server // in this gateway's own order (see rendezvousRank)
+	withAttempts []*server // those with attempts in flight
+	cold         []*server // those in slow start
+
+	limitPerServer float64 // attempts in flight at each server
+	retryTokens    float64 // retry budget
+
+	latency     float64 // smoothed latency of all servers, in ns
+	idleLatency float64 // the same when the servers are idle
+	aimShare    float64 // smoothed share of the aim that answers take
+
+	loadPerServer   float64 // attempts in flight at a warm server, smoothed
+	servedPerServer float64 // the most of these that were in service at a time, not queued in the server
+
+	// sendTokens is how many attempts may leave now, where many gateways share few servers.
+	sendTokens float64
+
+	// localLimit is how many attempts this process can have in flight, as far as it ran short of connections, ports or
+	// buffers; 0: it did not.
+	localLimit float64
+
+	inFlight      float64       // attempts in flight at the usable servers
+	usableServers float64       // their number
+	warmCapacity  float64       // their capacity, in warm servers
+	halls         map[int]*hall // by zone
+
+	sendRate float64 // attempts a second to each warm server, smoothed
+	sent     float64 // attempts since the last tick
+
+	limitCutAt time.Duration // the last time the limit was lowered
 }
 
-// hall counts the attempts in a zone that met nobody since the last one that was answered well, and sums up its servers
-// that are usable unless the zone is lost.
+// hall sums up the servers of a zone: those that are usable unless the zone is lost, and how many attempts in a row found
+// nobody there.
 type hall struct {
-	silent            int
-	at                time.Duration
-	usable, warm, out int
-	ready             int // usable or left out
+	failures    int           // connects that failed and time-outs since the last good answer
+	lastFailure time.Duration // the last of them
+	usable      int
+	warm        int // of the usable ones
+	inFlight    int // attempts in flight at the usable ones
+	ready       int // usable or ejected
 }
 
-func (f *fleet) hall(zone int) *hall {
+// hall finds the record of a zone, or makes one.
+func (f *upstream) hall(zone int) *hall {
 	h := f.halls[zone]
 	if h == nil {
 		h = &hall{}
@@ -63,98 +97,104 @@
 	return h
 }
 
-const hallSilent, hallForgets = 4, 2 * time.Second
+const (
+	// lostZoneFailures is how many failures in a row show that a whole zone is cut off.
+	lostZoneFailures = 4
 
-// met notes how an attempt in a zone ended.
-func (f *fleet) met(zone int, st Status, now time.Duration) {
+	// lostZoneRetry is the time after the last failure when another attempt finds out whether it still is.
+	lostZoneRetry = 2 * time.Second
+)
+
+// noteOutcome counts how an attempt in a zone ended.
+func (f *upstream) noteOutcome(zone int, st Status, now time.Duration) {
 	switch h := f.hall(zone); st {
 	case OK:
-		h.silent = 0
+		h.failures = 0
 	case ConnectFailed, Timeout:
-		h.silent, h.at = h.silent+1, now
+		h.failures, h.lastFailure = h.failures+1, now
 	}
 }
 
-// lost tells whether a whole zone seems to be cut off. After a while one more attempt may find out. One of many gateways
-// would otherwise have to meet each of its servers.
-func (f *fleet) lost(zone int, now time.Duration) bool {
+// zoneLost tells whether a whole zone seems to be cut off. After a while one more attempt may find out. Without this, one of
+// many gateways would have to fail at each of its servers.
+func (f *upstream) zoneLost(zone int, now time.Duration) bool {
 	return f.hall(zone).lost(now)
 }
 
 func (h *hall) lost(now time.Duration) bool {
-	return h.silent >= hallSilent && now-h.at < hallForgets
+	return h.failures >= lostZoneFailures && now-h.lastFailure < lostZoneRetry
 }
 
-// count sums up the usable servers. It tells how many warm ones there are, in lost zones, too.
-func (f *fleet) count(g *Gateway) (warm int) {
-	f.busy, f.usable, f.power = 0, 0, 0
+// sumUsable sums up the usable servers. It returns the number of warm ones, those in lost zones included.
+func (f *upstream) sumUsable(g *Gateway) (warm int) {
+	f.inFlight, f.usableServers, f.warmCapacity = 0, 0, 0
 	for _, h := range f.halls {
-		if warm += h.warm; !h.lost(g.now) { // whole numbers: their sum is the same in any order
-			f.busy += float64(h.out)
-			f.usable += float64(h.usable)
-			f.power += float64(h.warm)
+		if warm += h.warm; !h.lost(g.now) { // these are whole numbers: their sum is the same in any order of the map
+			f.inFlight += float64(h.inFlight)
+			f.usableServers += float64(h.usable)
+			f.warmCapacity += float64(h.warm)
 		}
 	}
 	for _, s := range f.cold {
-		if s.hall != nil && !s.hall.lost(g.now) {
-			f.power += max(g.warmth(s), 1-g.blind)
+		if s.usableIn != nil && !s.usableIn.lost(g.now) {
+			f.warmCapacity += max(g.warmShare(s), 1-g.unseenShare)
 		}
 	}
 	return warm
 }
 
-// recount counts a server anew when it has changed.
+// recount brings the sums of the halls up to date with a server that has changed.
 func (g *Gateway) recount(s *server) {
-	f, warm := s.fleet, g.warmth(s) >= 1
-	if h := s.hall; h != nil {
+	f, warm := s.upstream, g.warmShare(s) >= 1
+	if h := s.usableIn; h != nil {
 		h.add(s, -1)
 	}
-	if s.hall, s.warm = nil, warm; s.listed && s.State == Ready && !s.ejected {
-		s.hall = f.hall(s.Zone)
-		s.hall.add(s, 1)
+	if s.usableIn, s.countedWarm = nil, warm; s.listed && s.State == Ready && !s.ejected {
+		s.usableIn = f.hall(s.Zone)
+		s.usableIn.add(s, 1)
 	}
-	if s.ready != nil {
-		s.ready.ready--
+	if s.readyIn != nil {
+		s.readyIn.ready--
 	}
-	if s.ready = nil; s.listed && s.State == Ready {
-		s.ready = f.hall(s.Zone)
-		s.ready.ready++
+	if s.readyIn = nil; s.listed && s.State == Ready {
+		s.readyIn = f.hall(s.Zone)
+		s.readyIn.ready++
 	}
-	f.cold = with(f.cold, s, byID, s.listed && !warm)
+	f.cold = withServer(f.cold, s, byID, s.listed && !warm)
 }
 
 func (h *hall) add(s *server, sign int) {
-	h.usable, h.out = h.usable+sign, h.out+sign*s.out
-	if s.warm {
+	h.usable, h.inFlight = h.usable+sign, h.inFlight+sign*s.inFlight
+	if s.countedWarm {
 		h.warm += sign
 	}
 }
 
-// on and off count an attempt at a server.
-func (s *server) on(r *request) {
-	s.units += r.Units
-	if s.out++; s.hall != nil {
-		s.hall.out++
+// addAttempt and removeAttempt count an attempt at a server.
+func (s *server) addAttempt(r *request) {
+	s.unitsInFlight += r.Units
+	if s.inFlight++; s.usableIn != nil {
+		s.usableIn.inFlight++
 	}
-	if s.work = append(s.work, r); len(s.work) == 1 {
-		s.fleet.working = with(s.fleet.working, s, byID, true)
+	if s.attemptsInFlight = append(s.attemptsInFlight, r); len(s.attemptsInFlight) == 1 {
+		s.upstream.withAttempts = withServer(s.upstream.withAttempts, s, byID, true)
 	}
 }
 
-func (s *server) off(r *request) {
-	s.units -= r.Units
-	if s.out--; s.hall != nil {
-		s.hall.out--
+func (s *server) removeAttempt(r *request) {
+	s.unitsInFlight -= r.Units
+	if s.inFlight--; s.usableIn != nil {
+		s.usableIn.inFlight--
 	}
-	if s.work = without(s.work, r); len(s.work) == 0 {
-		s.fleet.working = with(s.fleet.working, s, byID, false)
+	if s.attemptsInFlight = withoutRequest(s.attemptsInFlight, r); len(s.attemptsInFlight) == 0 {
+		s.upstream.withAttempts = withServer(s.upstream.withAttempts, s, byID, false)
 	}
 }
 
 func byID(a, b *server) int { return cmp.Compare(a.ID, b.ID) }
 
-// with puts a server into a sorted list or takes it out.
-func with(list []*server, s *server, order func(a, b *server) int, in bool) []*server {
+// withServer puts a server into a sorted list or takes it out, if it is not so already.
+func withServer(list []*server, s *server, order func(a, b *server) int, in bool) []*server {
 	switch k, found := slices.BinarySearchFunc(list, s, order); {
 	case in && !found:
 		return slices.Insert(list, k, s)
@@ -164,12 +204,12 @@
 	return list
 }
 
-// listed takes news of the servers.
-func (g *Gateway) listed(l ServerList) {
+// onServerList takes news of the servers.
+func (g *Gateway) onServerList(l ServerList) {
 	if g.watching = !l.Failed && !l.Cached; l.Failed {
 		return
 	}
-	f := g.group(l.Group)
+	f := g.upstreamNumbered(l.Group)
 	if l.Whole {
 		for _, s := range f.list {
 			s.listed = false
@@ -178,29 +218,30 @@
 	for _, e := range l.Servers {
 		s := g.servers[e.ID]
 		if s == nil {
-			s = &server{fleet: f, backoff: firstEject, latency: g.untried(f)}
+			s = &server{upstream: f, backoff: minEjectTime, latency: g.initialServerLatency(f)}
 			g.servers[e.ID] = s
 		}
-		if s.Started != e.Started { // a new process: nothing known of the old one holds
-			s.fails, s.ejected, s.trial, s.backoff, s.latency = 0, false, false, firstEject, g.untried(f)
-			s.cold, s.coldAt = g.random(), g.now // not all gateways at once
-			s.startedAt = g.clock.instant(e.Started, g.now)
-			f.met(e.Zone, OK, g.now)
+		if s.Started != e.Started { // a new process: nothing known of the old one applies
+			s.failureRate, s.ejected, s.trialPending, s.backoff, s.latency = 0, false, false, minEjectTime, g.initialServerLatency(f)
+			s.coldTokens, s.coldRefilledAt = g.random(), g.now // random, so that not all gateways send at once
+			s.startedAt = g.clock.gatewayTime(e.Started, g.now)
+			f.noteOutcome(e.Zone, OK, g.now)
 		}
 		s.Server = e
 		s.listed = e.State != Gone
 	}
-	g.enlist(f, l)
+	g.updateLists(f, l)
 	g.dispatch()
 }
 
-// enlist brings the lists of a fleet's servers up to date after some of them have changed. A list of few changes is not a
-// reason to sort all.
-func (g *Gateway) enlist(f *fleet, l ServerList) {
-	byDistance := func(a, b *server) int { return cmp.Or(cmp.Compare(g.distance(a), g.distance(b)), byID(a, b)) }
+// updateLists brings an upstream group's lists of servers up to date. A few changes are no reason to sort all.
+func (g *Gateway) updateLists(f *upstream, l ServerList) {
+	byDistance := func(a, b *server) int {
+		return cmp.Or(cmp.Compare(g.rendezvousRank(a), g.rendezvousRank(b)), byID(a, b))
+	}
 	changed := func(s *server) {
 		if g.recount(s); !s.listed {
-			if s.State = Gone; s.out == 0 {
+			if s.State = Gone; s.inFlight == 0 {
 				delete(g.servers, s.ID)
 			}
 		}
@@ -214,9 +255,9 @@
 			}
 		}
 		for _, s := range g.servers {
-			if s.fleet == f && s.listed {
+			if s.upstream == f && s.listed {
 				f.list = append(f.list, s)
-			} else if s.fleet == f {
+			} else if s.upstream == f {
 				changed(s)
 			}
 		}
@@ -224,96 +265,100 @@
 		for _, s := range f.list {
 			changed(s)
 		}
-		f.near = slices.Clone(f.list)
-		slices.SortFunc(f.near, byDistance)
+		f.nearestFirst = slices.Clone(f.list)
+		slices.SortFunc(f.nearestFirst, byDistance)
 		return
 	}
 	for _, e := range l.Servers {
-		if s := g.servers[e.ID]; s != nil && s.fleet == f {
-			f.list, f.near = with(f.list, s, byID, s.listed), with(f.near, s, byDistance, s.listed)
+		if s := g.servers[e.ID]; s != nil && s.upstream == f {
+			f.list, f.nearestFirst = withServer(f.list, s, byID, s.listed), withServer(f.nearestFirst, s, byDistance, s.listed)
 			changed(s)
 		}
 	}
 }
 
-const enough = 16 // usable servers of a long list: the best of so many is hardly worse than the best of all
+// usableServersScanned is how many usable servers of a long list are compared for an attempt: the best of so many is hardly
+// worse than the best of all.
+const usableServersScanned = 16
 
-// window is the servers that are looked at for a request: all, or a part of a long list. A repeat that few servers may
+// serversToScan is the servers that are compared for a request: all, or a part of a long list. A repeat that few servers may
 // take needs all of them, or none where none of its zone is ready.
-func (g *Gateway) window(r *request) []*server {
-	list := r.fleet.list
-	keyed := r.ran && r.class.Effect == Keyed
-	if keyed && r.class.KeyGroup == GroupZone && r.fleet.hall(r.keyServer.Zone).ready == 0 {
+func (g *Gateway) serversToScan(r *request) []*server {
+	list := r.upstream.list
+	keyed := r.mayHaveRun && r.class.Effect == Keyed
+	if keyed && r.class.KeyGroup == GroupZone && r.upstream.hall(r.firstRunServer.Zone).ready == 0 {
 		return nil
 	}
-	if keyed || len(list) <= mostLooked {
+	if keyed || len(list) <= maxServersScanned {
 		return list
 	}
-	part := make([]*server, 0, mostLooked)
+	part := make([]*server, 0, maxServersScanned)
 	from, usable := int(g.random()*float64(len(list))), 0
-	for k := 0; k < mostLooked && usable < enough; k++ {
+	for k := 0; k < maxServersScanned && usable < usableServersScanned; k++ {
 		s := list[(from+k)%len(list)]
-		if part = append(part, s); s.hall != nil {
+		if part = append(part, s); s.usableIn != nil {
 			usable++
 		}
 	}
 	return part
 }
 
-// group finds an upstream group's fleet. Groups are few and numbered from 0.
-func (g *Gateway) group(n int) *fleet {
-	for len(g.fleets) <= n {
-		g.fleets = append(g.fleets, &fleet{limit: limitStart / (1 + g.blind) / float64(g.set.Gateways),
-			retries: retryMost, latency: g.guess, base: g.guess, units: 1, room: 1, halls: map[int]*hall{}})
+// upstreamNumbered finds an upstream group's record, or makes one. Groups are few and numbered from 0.
+func (g *Gateway) upstreamNumbered(n int) *upstream {
+	for len(g.upstreams) <= n {
+		g.upstreams = append(g.upstreams, &upstream{limitPerServer: initialLimit / (1 + g.unseenShare) / float64(g.set.Gateways),
+			retryTokens: maxRetryTokens, latency: g.initialLatency, idleLatency: g.initialLatency, meanUnits: 1, sendTokens: 1, halls: map[int]*hall{}})
 	}
-	return g.fleets[max(n, 0)]
+	return g.upstreams[max(n, 0)]
 }
 
-// distance ranks servers by rendezvous hashing: each gateway has an order of its own, which others' coming and going
-// leaves as it is.
-func (g *Gateway) distance(s *server) uint64 { return mix(uint64(s.ID) ^ mix(uint64(g.set.Rank))) }
+// rendezvousRank ranks servers by rendezvous hashing: each gateway has its own order, which does not change as others come
+// and go.
+func (g *Gateway) rendezvousRank(s *server) uint64 {
+	return mix(uint64(s.ID) ^ mix(uint64(g.set.Rank)))
+}
 
-// paused tells whether an attempt was out while this process stood still. What came late then came late by that, and would
-// leave all servers out and the bound at its floor: it is no time-out, and an answer tells all but its time. Harm: a process
-// that stands still again and again learns late that servers are slow.
-func (g *Gateway) paused(r *request) bool { return r.sentAt < g.woke }
+// outDuringPause tells whether an attempt was in flight while this process was paused. What was due then came late for that
+// reason alone, and would eject all servers and press the limit to its minimum. So its time-out does not count, and an answer
+// tells everything but its latency. The price: a process that pauses again and again learns late that servers are slow.
+func (g *Gateway) outDuringPause(r *request) bool { return r.sentAt < g.resumedAt }
 
-// took is what an attempt tells of the latency.
-func (g *Gateway) took(r *request) float64 {
-	if g.paused(r) {
-		return r.fleet.latency
+// observedLatency is what an attempt tells about the latency.
+func (g *Gateway) observedLatency(r *request) float64 {
+	if g.outDuringPause(r) {
+		return r.upstream.latency
 	}
 	return float64(g.now - r.sentAt)
 }
 
-// learn judges by an outcome.
-func (g *Gateway) learn(s *server, r *request, o Outcome) {
-	if o.Status == Timeout && g.paused(r) {
-		s.trial = false
+// learnFromOutcome learns from an outcome, unless it is a time-out that a pause of this process caused.
+func (g *Gateway) learnFromOutcome(s *server, r *request, o Outcome) {
+	if o.Status == Timeout && g.outDuringPause(r) {
+		s.trialPending = false
 		return
 	}
-	g.judge(s, r, o)
+	g.observeOutcome(s, r, o)
 }
 
-// untried is the latency of a server not met yet. One of many gateways meets it late: until then it is the fleet's, as
-// that changes.
-func (g *Gateway) untried(f *fleet) float64 {
-	if g.blind > 0 {
+// initialServerLatency is the latency of a server that has not been tried yet. One of many gateways tries it late: until then
+// it is 0, which stands for that of the whole upstream group as it changes.
+func (g *Gateway) initialServerLatency(f *upstream) float64 {
+	if g.unseenShare > 0 {
 		return 0
 	}
 	return f.latency
 }
 
-// usual is a server's latency, a little under the fleet's where none is known of its own: one not tried yet should be.
-func (s *server) usual() float64 {
+// expectedLatency is a server's latency. Where none is known, it is a little below the group's, so that the server gets tried.
+func (s *server) expectedLatency() float64 {
 	if s.latency == 0 {
-		return 0.9 * s.fleet.latency
+		return 0.9 * s.upstream.latency
 	}
 	return s.latency
 }
 
-// warmth is the share of its capacity that a server has at least; 1 when warm.
-func (g *Gateway) warmth(s *server) float64 {
+// warmShare is the share of its capacity that a server has at least (slow start); 1 when warm.
+func (g *Gateway) warmShare(s *server) float64 {
 	age := g.now - s.startedAt
 	if s.Started <= 0 || age >= g.set.Cold || g.set.Cold <= 0 {
 		return 1
@@ -321,55 +366,56 @@
 	return g.set.StartCapacity + (1-g.set.StartCapacity)*max(0, age.Seconds())/g.set.Cold.Seconds()
 }
 
-// capacityGrows is by how many attempts out at once the capacity found grows in a second, to see whether there is room again.
-const capacityGrows = 3.0
+// localLimitGrowth is by how many attempts in flight the local limit grows in a second, to see whether there is room again.
+const localLimitGrowth = 3.0
 
-// left takes note of whether an attempt could leave: not, for want of a connection, port or buffer of this process, or well.
-// Guards against as many further ones at once as a request may have, and a refusal while there is time. One that was too late
-// to leave tells nothing of that.
-func (f *fleet) left(st Status) {
+// noteSent takes note of whether an attempt could leave, or not for want of a connection, port or buffer of this process. It
+// guards against using up all the attempts that a request may have at once, and against a refusal while there is time. An
+// attempt that was too late to leave says nothing about that.
+func (f *upstream) noteSent(st Status) {
 	switch {
 	case st == Unsent:
-		f.capacity = max(1, f.busy)
-	case st == OK && f.capacity > 0: // what was short may have been so for a moment
-		f.capacity += 1 / f.capacity
+		f.localLimit = max(1, f.inFlight)
+	case st == OK && f.localLimit > 0: // the shortage may have lasted for a moment only
+		f.localLimit += 1 / f.localLimit
 	}
 }
 
-// relax lets some more attempts find out, after a while, whether there is still a want.
-func (f *fleet) relax(dt float64) {
-	if f.capacity <= 0 {
+// raiseLocalLimit lets some more attempts find out, after a while, whether this process is still short.
+func (f *upstream) raiseLocalLimit(dt float64) {
+	if f.localLimit <= 0 {
 		return
 	}
-	if f.capacity += dt * capacityGrows; f.capacity > 2*f.bound()+1 {
-		f.capacity = 0
+	if f.localLimit += dt * localLimitGrowth; f.localLimit > 2*f.concurrencyLimit()+1 {
+		f.localLimit = 0
 	}
 }
 
-// charge takes a further attempt off what may be retried. One of many gateways is charged little where nothing ran, since that
-// cost the servers next to nothing, and what did not leave costs nothing at all.
-func (f *fleet) charge(st Status, little bool) {
+// chargeRetry takes a retry off the budget. One of many gateways is charged little where nothing ran, since that cost the
+// servers next to nothing. What did not leave costs nothing at all.
+func (f *upstream) chargeRetry(st Status, little bool) {
 	switch {
 	case st == Unsent || st == Late:
-		f.room++
+		f.sendTokens++
 	case little:
-		f.retries, f.room = f.retries-unrun, f.room+1
+		f.retryTokens, f.sendTokens = f.retryTokens-unrunRetryCost, f.sendTokens+1
 	default:
-		f.retries--
+		f.retryTokens--
 	}
 }
 
-// bound is how many attempts may be out of here on the mean. Below one, a first attempt of each is too much
-// for all together: room comes with time, and some is saved for chance.
-func (f *fleet) bound() float64 { return f.limit * max(f.power, 1) }
+// concurrencyLimit is how many attempts may be in flight from here on the mean. Below one, a first attempt of each gateway is
+// too much for all together: then send tokens come with time, and some are saved up for random bursts.
+func (f *upstream) concurrencyLimit() float64 { return f.limitPerServer * max(f.warmCapacity, 1) }
 
-func (g *Gateway) hasRoom(f *fleet) bool {
-	b := f.bound()
-	if f.capacity > 0 && f.busy+1 > f.capacity {
+// hasRoom tells whether one more attempt may leave.
+func (g *Gateway) hasRoom(f *upstream) bool {
+	b := f.concurrencyLimit()
+	if f.localLimit > 0 && f.inFlight+1 > f.localLimit {
 		return false
 	}
-	if g.blind > 0 {
-		return f.room >= 1 && f.busy < b+math.Sqrt(b)+1
+	if g.unseenShare > 0 {
+		return f.sendTokens >= 1 && f.inFlight < b+math.Sqrt(b)+1
 	}
-	return f.busy < b+0.5
+	return f.inFlight < b+0.5
 }
