--- a/logic/api.go
+++ b/logic/api.go
@@ -1,17 +1,17 @@
-// Package logic decides what an API gateway does with every request: whether its customer's quota has room,
-// how long it is held, which server it goes to and what happens when an attempt ends. This file is its
-// interface: settings, events and actions. All decisions are in logic.go.
+// Package logic decides what an API gateway (a limiter) does with every request: whether its customer's quota has room, how long
+// it is held, which server it goes to, and what happens when an attempt ends. It does no I/O and reads no clock: it takes events
+// and returns actions. This file is its interface: settings, events and actions. All decisions are in logic.go.
 package logic
 
 import "time"
 
-// Effect says what a repeat of a request does.
+// Effect says what it does to repeat a request.
 type Effect int
 
 // The kinds of effect.
 const (
 	Safe   Effect = iota // may be repeated at will
-	Keyed                // carries a key: hosts of one group drop a repeat for a while
+	Keyed                // carries a key, by which hosts of one group drop a repeat for a while (KeyTTL)
 	Unsafe               // must never run twice
 )
 
@@ -28,48 +28,48 @@
 // Class is a kind of request.
 type Class struct {
 	Name          string        // for the fronts; no decision depends on it
-	Aim, Deadline time.Duration // full worth until Aim, some until Deadline
-	Worth, Late   float64       // Late: share of the worth that is left after Aim
+	Aim, Deadline time.Duration // an answer has its full worth until Aim, and a share of it until Deadline
+	Worth, Late   float64       // Late is the share of the worth that is left after Aim
 	Effect        Effect
 	KeyGroup      Group
 	KeyTTL        time.Duration // how long hosts remember a key
 	Streamed      bool
 }
 
-// Plan is what a customer bought; its quotas count over all gateways. The names are those of the operators' file.
+// Plan is what a customer bought. Its quotas count over all gateways. The JSON names are those of the operators' file.
 type Plan struct {
 	Name         string  `json:"name"`          // for the fronts; no decision depends on it
 	Rate         float64 `json:"rate"`          // units a second; 0: no such quota
-	Burst        float64 `json:"burst"`         // units that the store holds
-	Open         int     `json:"open"`          // attempts out at once; 0: no such quota
+	Burst        float64 `json:"burst"`         // units that the token bucket holds
+	Open         int     `json:"open"`          // attempts in flight at once; 0: no such quota
 	Price        float64 `json:"price"`         // factor of a request's worth
-	OverWorth    float64 `json:"over_worth"`    // of a request's worth, when sent beyond the quota
-	OverCost     float64 `json:"over_cost"`     // likewise
+	OverWorth    float64 `json:"over_worth"`    // share of a request's worth that it earns when sent beyond the quota
+	OverCost     float64 `json:"over_cost"`     // share of a request's worth that it costs when sent beyond the quota
 	CeilingRate  float64 `json:"ceiling_rate"`  // units a second; 0: no ceiling
-	CeilingBurst float64 `json:"ceiling_burst"` // units that the ceiling's store holds
-	CeilingSlack float64 `json:"ceiling_slack"` // units by which it may fall below 0
+	CeilingBurst float64 `json:"ceiling_burst"` // units that the ceiling's token bucket holds
+	CeilingSlack float64 `json:"ceiling_slack"` // units by which that bucket may fall below 0
 }
 
-// Book tells the figures that firms are held to, where they may change in service. It does no I/O and reads no clock.
+// Book tells the plans that firms are held to, where they may change in service. It does no I/O and reads no clock.
 type Book interface {
-	// Plan is the plan in force of a firm whose requests name this tier, by its number; false: there is no such tier.
+	// Plan is the plan in force for a firm whose requests name the tier of this number; false: there is no such tier.
 	Plan(firm uint64, tier int) (Plan, bool)
 }
 
 // Reserves holds what this gateway has leased of firms' reservations. It does no I/O and reads no clock.
 type Reserves interface {
-	// Take takes units of what is leased here, or notes that the firm wants them.
+	// Take takes units from what is leased here, or else notes that the firm wants them and returns false.
 	Take(now time.Duration, firm uint64, units float64) bool
 	// Return gives back what was taken for a request that was never sent on.
 	Return(now time.Duration, firm uint64, units float64)
-	// Coming tells whether more may be leased for the firm within a moment.
+	// Coming tells whether more may be leased for the firm soon (within leaseWait).
 	Coming(now time.Duration, firm uint64) bool
 }
 
 // Counters tells which counters hold a name, where there are several. It does no I/O and reads no clock.
 type Counters interface {
-	// Counters is the numbers of the counters that a name is added to at time now, if gateways may have added to it from began
-	// on; none: what stands under it cannot be known.
+	// Counters is the numbers of the counters that a name is added to at time now, if gateways may have added to it since began.
+	// None means that its total cannot be known.
 	Counters(now time.Duration, name uint64, began time.Duration) []int
 }
 
@@ -81,36 +81,36 @@
 	Classes        []Class
 	Plans          []Plan
 
-	// What only real sockets need; no decision depends on it.
+	// Only real sockets need these; no decision depends on them.
 	ZoneNames, KindNames []string
-	ConnIdle             time.Duration // servers close a connection that has stood idle this long
-	ConnectTimeout       time.Duration // a connection that is not up by then never comes up
-	MaxOpen              int           // requests in hand at once
+	ConnIdle             time.Duration // servers close a connection that has been idle for so long
+	ConnectTimeout       time.Duration // a connection that is not established by then never will be
+	MaxOpen              int           // requests pending at once
 
 	AskForList   bool // the list of servers must be asked for
 	AskWithin    time.Duration
 	HasCounter   bool
-	CounterLimit time.Duration // a call unanswered by then has timed out
-	Settles      bool          // units are a guess, the answer brings the true ones
-	Meter        time.Duration // period of the use meter; 0: none
-	MostUnits    float64
+	CounterLimit time.Duration // a counter call that is not answered by then has timed out
+	Settles      bool          // a request's units are an estimate, and its answer brings the true ones
+	Meter        time.Duration // period of the use meter; 0: there is none
+	MostUnits    float64       // units of the largest request
 
 	Probes, Cancelling, Peers, RetryAfter bool
 	MaxRetryAfter                         time.Duration
-	PeerIntake                            float64 // messages a second that a gateway takes in
+	PeerIntake                            float64 // messages a second that a gateway can take from the others
 	MaxAttempts                           int
 	ReportFields                          []LoadField
 	ReportsInAnswers                      bool
 	Resolution                            time.Duration
 
-	StartCapacity float64 // a server starts at this share of its capacity or more
-	Cold          time.Duration
+	StartCapacity float64       // a server starts with this share of its capacity or more (slow start)
+	Cold          time.Duration // a server has its whole capacity by this age; 0: at once
 	Fall          time.Duration
 	FallMultiple  float64
 	DrainGrace    time.Duration
 }
 
-// LoadField names a value of a load report.
+// LoadField names a value of a server's load report.
 type LoadField int
 
 // The values that a server may report.
@@ -124,10 +124,10 @@
 	ErrorRate
 )
 
-// ServerID names a server for as long as its machine lives.
+// ServerID identifies a server for as long as its machine lives.
 type ServerID uint64
 
-// ServerState is what the list says of a server.
+// ServerState is what the list says about a server.
 type ServerState int
 
 // The states of a server.
@@ -145,35 +145,35 @@
 	Kind    int
 	Zone    int
 	State   ServerState
-	Started time.Duration // on the clock of the events; 0: long ago
+	Started time.Duration // by the clock of the events; 0: long ago
 }
 
-// Event is one of the types below that end in a comment "event".
+// Event is one of the types in this package whose doc comment ends in "(event)".
 type Event any
 
-// ServerList brings news of the servers (event).
+// ServerList brings news about the servers (event).
 type ServerList struct {
-	Group   int  // the upstream group that this is news of; the simulator has one
-	Failed  bool // an asked-for list did not come
-	Whole   bool // servers not named are gone
-	Cached  bool // the last list this gateway held before it started, may be old
+	Group   int  // the upstream group that it is about; the simulator has one
+	Failed  bool // a list that was asked for did not come
+	Whole   bool // servers that are not in it are gone
+	Cached  bool // the last list that this gateway had before it started; it may be outdated
 	Servers []Server
 }
 
-// Request is a client's try, owed one final answer (event).
+// Request is a client's try, which must get one final answer (event).
 type Request struct {
 	ID       uint64
 	Class    int
 	Plan     int
 	Customer uint64
-	TTL      time.Duration // the client waits this long
+	TTL      time.Duration // the client waits for so long
 	Units    float64
-	Spread   int // gateways that the customer's requests may come through
-	First    int // number of the first of them
-	Repeat   bool
+	Spread   int  // number of gateways that the customer's requests may come through
+	First    int  // number of the first of them
+	Repeat   bool // the client marks it as a later try
 	Group    int  // the upstream group whose servers may take it
-	OwnWait  bool // TTL is the caller's choice: it tells nothing of a wait before this try
-	Admit    bool // admission only: the caller sends it on itself and is told no more than that it may
+	OwnWait  bool // TTL is the caller's choice: it says nothing about a wait before this try
+	Admit    bool // admission only: the caller sends the request on itself, and is told only that it may
 }
 
 // Status is how an attempt, probe or counter call ended.
@@ -183,18 +183,18 @@
 const (
 	OK Status = iota
 	Error
-	Full
+	Full // turned away by the server or counter
 	Timeout
 	ConnectFailed
-	Reset
+	Reset // the connection broke
 	Cancelled
-	Moot
-	Spoilt // an answer came that nobody can use: it may have run
-	Unsent // it did not leave, for want of something here: the server is not to blame
-	Late   // its time was over before it could leave: neither the server nor a shortage is to blame
+	Moot   // no attempt was made: the request was over, or had used up its attempts
+	Spoilt // an answer came that cannot be used: the attempt may have run
+	Unsent // it could not leave for want of a connection, port or buffer of this process: the server is not to blame
+	Late   // its time was over before it could leave: neither the server nor a shortage here is to blame
 )
 
-// provesNothingRan tells whether an attempt that ended so has certainly not run at its server.
+// provesNothingRan tells whether an attempt that ended with this status has certainly not run at its server.
 func (s Status) provesNothingRan() bool {
 	switch s {
 	case Full, ConnectFailed, Moot, Unsent, Late:
@@ -203,7 +203,7 @@
 	return false
 }
 
-// Outcome ends an attempt (event).
+// Outcome is the end of an attempt (event).
 type Outcome struct {
 	ID      uint64
 	Attempt int
@@ -211,12 +211,12 @@
 	Status  Status
 	Latency time.Duration
 	Closed  bool    // the request is over
-	Used    int     // 1 + percent of the quota used by all gateways; 0: not told
-	Units   float64 // true units; 0: not told
+	Used    int     // 1 + percent of the quota used by all gateways; 0: not known
+	Units   float64 // true units; 0: not known
 	Load    []float64
 }
 
-// Started says that a streamed answer has begun (event).
+// Started says that a streamed answer has begun to arrive (event).
 type Started struct {
 	ID      uint64
 	Attempt int
@@ -225,22 +225,22 @@
 // ClientGone says that the client no longer waits (event).
 type ClientGone struct{ ID uint64 }
 
-// Closing says that the gateway is about to end: every request gets its final answer now (event).
+// Closing says that the gateway is about to shut down: every request gets its final answer now (event).
 type Closing struct{}
 
-// PlansChanged says that the book tells other figures from now on (event).
+// PlansChanged says that other plans are in force from now on (event).
 type PlansChanged struct{}
 
-// Leased says that units of a firm's reservation have come, or that there are none any more (event).
+// Leased says that units of a firm's reservation have been leased to this gateway, or that none are left (event).
 type Leased struct{ Customer uint64 }
 
 // CountersChanged says that the list of counters has changed (event).
 type CountersChanged struct {
-	Listed []int // the numbers of all that may be called
-	Among  int   // names are dealt out to so many of them
+	Listed []int // the numbers of all counters that may be called
+	Among  int   // number of counters that names are spread over
 }
 
-// Timer is an alarm that has rung (event).
+// Timer says that a timer has expired (event).
 type Timer struct{ Token uint32 }
 
 // ProbeResult answers a probe (event).
@@ -262,17 +262,17 @@
 	Status  Status
 	Total   float64
 	Latency time.Duration
-	Parts   []CountPart // what each counter that was called said, where there are several; nil: there is one, number 0
+	Parts   []CountPart // how each counter that was called answered, where there are several; nil: there is one, number 0
 }
 
-// CountPart is one counter's part in a call.
+// CountPart is how one counter answered its part of a call.
 type CountPart struct {
 	Counter int
 	Status  Status
 	Latency time.Duration
 }
 
-// Action is one of the types below that end in a comment "action".
+// Action is one of the types in this package whose doc comment ends in "(action)".
 type Action any
 
 // Send starts an attempt (action).
@@ -280,16 +280,16 @@
 	ID      uint64
 	Server  ServerID
 	Timeout time.Duration
-	Until   time.Duration // on the clock of the events: nothing of it may leave from then on; 0: up to its time-out
+	Until   time.Duration // by the clock of the events: nothing of it may be sent from then on; 0: until its time-out
 }
 
-// Refuse is a final answer: a retry is harmless (action).
+// Refuse is a final answer that says that a retry is harmless (action).
 type Refuse struct {
 	ID         uint64
 	RetryAfter time.Duration
 }
 
-// Fail is a final answer that promises nothing (action).
+// Fail is a final answer that promises nothing: the request may have run (action).
 type Fail struct{ ID uint64 }
 
 // Admit is the final answer to an admission-only request: it has taken its units and may go on (action).
@@ -323,13 +323,13 @@
 type Count struct {
 	Name   uint64
 	Amount float64
-	Lives  time.Duration
-	Wait   time.Duration // for an answer, if that may be longer than the settings' limit; 0: that limit
-	Began  time.Duration // from when on gateways may have added to the name
-	Spared uint8         // bits: which of the name's counters, in their order, are not called
+	Lives  time.Duration // how long the counter keeps the name
+	Wait   time.Duration // how long to wait for an answer, if longer than the settings' limit; 0: that limit
+	Began  time.Duration // since when gateways may have added to the name; 0: not known
+	Spared uint8         // bit n: the name's nth counter is not called
 }
 
-// Watch follows, or stops following, the list of servers (action).
+// Watch starts, or ends, the watch on the list of servers (action).
 type Watch struct{ On bool }
 
 // FetchList asks for the whole list once (action).
--- a/logic/clock.go
+++ b/logic/clock.go
@@ -57,7 +57,7 @@
 	g.clock.addStep(g.now, e.Ahead)
 	for _, c := range g.customers {
 		c.renumber(by, g.now)
-		g.firms.Sooner(c, c.intervalEnd())
+		g.firms.SetEarlier(c, c.intervalEnd())
 	}
 }
 
--- a/logic/counters_test.go
+++ b/logic/counters_test.go
@@ -7,20 +7,20 @@
 )
 
 // all has every name on the same counters.
-type all []int
+type fixedCounters []int
 
-func (a all) Counters(time.Duration, uint64, time.Duration) []int { return a }
+func (a fixedCounters) Counters(time.Duration, uint64, time.Duration) []int { return a }
 
 // severally is a gateway of two hundred whose names fall on some of eight counters.
-func severally(t *testing.T, on ...int) *bench {
-	b := many(t, false)
-	b.g.Spread(all(on))
+func newManyCountersHarness(t *testing.T, on ...int) *harness {
+	b := newManyGatewaysHarness(t, false)
+	b.g.Spread(fixedCounters(on))
 	b.handle(CountersChanged{Listed: []int{0, 1, 2, 3, 4, 5, 6, 7}, Among: 8})
 	return b
 }
 
 // said answers the calls so far, with a word from each counter.
-func (b *bench) said(st Status, total float64, parts ...CountPart) {
+func (b *harness) answerCallsBy(st Status, total float64, parts ...CountPart) {
 	counts := b.counts
 	b.counts = nil
 	for _, c := range counts {
@@ -31,14 +31,14 @@
 // The requests earn each counter its share of calls and as much again: where all names fall on one of eight it gets no more.
 // Guards against a hot counter that gets what was earned for all.
 func TestNamesOnOneCounterGetItsShareOfCalls(t *testing.T) {
-	b := severally(t, 3)
+	b := newManyCountersHarness(t, 3)
 	b.g.counterNumbered(3).callShare = 1
 	made := 0
 	for k := range 400 {
 		b.arrive(Request{Customer: uint64(100 + k), Units: 1})
 		made += len(b.counts)
-		b.said(OK, 1, CountPart{Counter: 3})
-		b.run(10*ms, func() { b.answer(0) })
+		b.answerCallsBy(OK, 1, CountPart{Counter: 3})
+		b.run(10*ms, func() { b.answerAttempts(0) })
 	}
 	if most := 400*counterCallsPerRequest*2/8 + manyGatewaysCallBurst; float64(made) > most || float64(made) < most/3 {
 		t.Errorf("%d calls, of %v", made, most)
@@ -47,11 +47,11 @@
 
 // What one counter does says nothing of another; one that is spared is not called, and what is known of those that left is
 // forgotten.
-func TestEachCounterIsKnownByItself(t *testing.T) {
-	b := severally(t, 1, 2)
+func TestCountersAreTrackedSeparately(t *testing.T) {
+	b := newManyCountersHarness(t, 1, 2)
 	for k := range 20 {
 		b.arrive(Request{Customer: uint64(100 + k), Units: 1})
-		b.said(Timeout, 0, CountPart{Counter: 1}, CountPart{Counter: 2, Status: ConnectFailed})
+		b.answerCallsBy(Timeout, 0, CountPart{Counter: 1}, CountPart{Counter: 2, Status: ConnectFailed})
 	}
 	one, two := b.g.counterNumbered(1), b.g.counterNumbered(2)
 	if one.failures != 0 || one.noCallsUntil > 0 || one.callShare < 0.33 {
@@ -67,7 +67,7 @@
 				t.Fatalf("called at bits %b", c.Spared)
 			}
 		}
-		b.said(Timeout, 0, CountPart{Counter: 1})
+		b.answerCallsBy(Timeout, 0, CountPart{Counter: 1})
 	}
 	b.handle(CountersChanged{Listed: []int{1, 5}, Among: 2})
 	if slices.ContainsFunc(b.g.counters, func(k *counter) bool { return k.number == 2 }) || b.g.counterNumbered(1) != one {
@@ -77,17 +77,17 @@
 
 // A name that stands nowhere is not called, and the gateway goes on with its even part.
 func TestANameWithoutACounterIsNotCalled(t *testing.T) {
-	b := severally(t)
+	b := newManyCountersHarness(t)
 	p := b.arrive(Request{Customer: 7, Units: 1})
-	if len(b.counts) > 0 || !p.out {
-		t.Errorf("calls %+v, out %v", b.counts, p.out)
+	if len(b.counts) > 0 || !p.inFlight {
+		t.Errorf("calls %+v, out %v", b.counts, p.inFlight)
 	}
 }
 
 // A counter that is met for the first time is met by all limiters at once: each makes it a few calls and goes on with a share
 // of what it wants until answers come. Guards against a crowd that the counter can bear no call of.
-func TestACounterMetForTheFirstTimeGetsFewCalls(t *testing.T) {
-	b := severally(t, 3)
+func TestNewCounterGetsFewCalls(t *testing.T) {
+	b := newManyCountersHarness(t, 3)
 	made := 0
 	for k := range 40 { // none of the answers has come yet
 		b.arrive(Request{Customer: uint64(100 + k), Units: 1})
--- a/logic/customers.go
+++ b/logic/customers.go
@@ -11,7 +11,7 @@
 
 // customer is what a gateway knows of one customer (a firm).
 type customer struct {
-	schedule.Place
+	schedule.Entry
 	id   uint64
 	plan Plan
 	tier int // number of the tier that its requests name
@@ -221,13 +221,13 @@
 	}
 }
 
-// Due is the place of a customer in the schedule of those that something is due for.
-func (c *customer) Due() *schedule.Place { return &c.Place }
+// ScheduleEntry is the place of a customer in the schedule of those that something is due for.
+func (c *customer) ScheduleEntry() *schedule.Entry { return &c.Entry }
 
 // addCustomer adds a new record.
 func (g *Gateway) addCustomer(c *customer) {
 	g.customersNumbered++
-	c.Number = g.customersNumbered // the order of a map must not decide the order of actions
+	c.Order = g.customersNumbered // the order of a map must not decide the order of actions
 	g.customers[c.id] = c
 }
 
@@ -268,7 +268,7 @@
 // scheduleReread sets when a firm's sums are read again.
 func (g *Gateway) scheduleReread(c *customer, after time.Duration) {
 	c.rereadAt = g.now + after
-	g.firms.Sooner(c, c.rereadAt)
+	g.firms.SetEarlier(c, c.rereadAt)
 }
 
 // dormantCustomer is what is kept of a quiet customer, in a tenth of the memory. With its next request the customer goes on as
@@ -285,7 +285,7 @@
 	bestWorth      float32
 	tier           int32
 	planRevision   int32
-	queueNumber    uint32 // Place.Number
+	queueOrder     uint32 // Entry.Order
 }
 
 // nothingPending tells whether nothing of a customer is pending and no more is known of it than a dormantCustomer keeps.
@@ -306,7 +306,7 @@
 	g.firms.Remove(c) // a change of plans may have put it back
 	if !forgotten {
 		g.dormant[c.id] = dormantCustomer{c.intervalNumber, c.filledAt, float32(c.level), float32(c.ceiling), float32(c.recentExcess), float32(c.recentRate),
-			float32(c.meanChange), float32(c.meanRise), float32(c.bestWorth), int32(c.tier), int32(c.planRevision), uint32(c.Number)}
+			float32(c.meanChange), float32(c.meanRise), float32(c.bestWorth), int32(c.tier), int32(c.planRevision), uint32(c.Order)}
 	}
 	return true
 }
@@ -327,7 +327,7 @@
 		r.level, r.ceiling = 0, min(r.ceiling, 0)
 	}
 	c.level, c.ceiling = min(float64(r.level), c.bucketSize()), min(float64(r.ceiling), c.plan.CeilingBurst/c.gateways)
-	c.Number, c.filledAt, c.bestWorth = uint64(r.queueNumber), r.filledAt, float64(r.bestWorth)
+	c.Order, c.filledAt, c.bestWorth = uint64(r.queueOrder), r.filledAt, float64(r.bestWorth)
 	if changes > 0 {
 		c.filledAt = max(r.filledAt, g.plansChangedAt)
 		return
--- a/logic/due_test.go
+++ b/logic/due_test.go
@@ -12,11 +12,11 @@
 )
 
 // A firm that nothing is due for is not looked at; that must decide nothing. The twin looks at every firm at every tick.
-func TestLookingOnlyAtFirmsThatAreDueDecidesTheSame(t *testing.T) {
+func TestCheckingOnlyDueFirmsMakesTheSameDecisions(t *testing.T) {
 	for _, gateways := range []int{1, 3, 80} {
 		sent := 0
 		for seed := range uint64(6) {
-			t.Run(fmt.Sprintf("%d gateways, seed %d", gateways, seed), func(t *testing.T) { sent += twins(t, gateways, seed) })
+			t.Run(fmt.Sprintf("%d gateways, seed %d", gateways, seed), func(t *testing.T) { sent += compareWithFullScan(t, gateways, seed) })
 		}
 		if sent < 6000 {
 			t.Errorf("only %d requests were sent by %d gateways: this shows little", sent, gateways)
@@ -26,17 +26,17 @@
 
 // same compares actions. A firm at rest is kept in single precision, and the two put it to rest at different times: a time
 // to come back may differ by the rounding.
-func same(a, b Action) bool {
+func sameAction(a, b Action) bool {
 	x, ok := a.(Refuse)
 	y, too := b.(Refuse)
 	return a == b || ok && too && x.ID == y.ID && (x.RetryAfter-y.RetryAfter).Abs() < time.Microsecond
 }
 
-func twins(t *testing.T, gateways int, seed uint64) int {
+func compareWithFullScan(t *testing.T, gateways int, seed uint64) int {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	set := testSettings()
 	set.Gateways, set.MaxAttempts = gateways, 2
-	book := &figures{plan: set.Plans[0]}
+	book := &fakeBook{plan: set.Plans[0]}
 	var pair [2]*Gateway
 	for k := range pair {
 		pair[k] = New(set, 1)
@@ -59,7 +59,7 @@
 			}
 		}
 		acts := pair[0].Handle(now, ev)
-		if twin := pair[1].Handle(now, ev); !slices.EqualFunc(acts, twin, same) {
+		if twin := pair[1].Handle(now, ev); !slices.EqualFunc(acts, twin, sameAction) {
 			t.Fatalf("at %v, %T: %v, but looking at all firms %v", now, ev, acts, twin)
 		}
 		for _, a := range acts {
@@ -77,7 +77,7 @@
 			}
 		}
 	}
-	list := ready(12)
+	list := readyServers(12)
 	handle(ServerList{Whole: true, Servers: list})
 	end := now + 100*time.Second // firms are forgotten in it, too
 	for now < end {
@@ -189,7 +189,7 @@
 }
 
 // A hundred thousand firms that asked once are not looked at by the ticks, and are forgotten in the end.
-func TestQuietFirmsCostNoTicks(t *testing.T) {
+func TestQuietFirmsCostNothingPerTick(t *testing.T) {
 	g := New(testSettings(), 1)
 	now := time.Second
 	ticks := func(d time.Duration) {
@@ -197,7 +197,7 @@
 			g.Handle(now, Timer{tickToken})
 		}
 	}
-	g.Handle(now, ServerList{Whole: true, Servers: ready(4)})
+	g.Handle(now, ServerList{Whole: true, Servers: readyServers(4)})
 	for k := range uint64(100_000) {
 		for _, a := range g.Handle(now, Request{ID: k, Customer: k, Units: 1, TTL: time.Second, Spread: 3}) {
 			if s, ok := a.(Send); ok {
@@ -209,7 +209,7 @@
 		}
 	}
 	ticks(5 * time.Second)
-	if looks, whole, rest := len(g.firms.Take(now+time.Second)), len(g.customers), len(g.dormant); looks != 0 || whole != 0 || rest != 100_000 {
+	if looks, whole, rest := len(g.firms.TakeDue(now+time.Second)), len(g.customers), len(g.dormant); looks != 0 || whole != 0 || rest != 100_000 {
 		t.Errorf("%d looks in a second at firms that are quiet; %d kept whole, %d at rest", looks, whole, rest)
 	}
 	ticks(2*customerIdleTimeout + time.Second)
@@ -219,7 +219,7 @@
 }
 
 // A firm that rests or is forgotten must not be looked at again: a second record of it would hold a second store.
-func TestAFirmAtRestIsLookedAtNoMore(t *testing.T) {
+func TestDormantFirmIsNotScheduled(t *testing.T) {
 	for _, after := range []time.Duration{0, 2 * customerIdleTimeout} {
 		g := New(testSettings(), 1)
 		g.now = time.Hour
@@ -233,13 +233,13 @@
 }
 
 // A firm that rested has no more than one that was kept whole, whatever changes of plans it slept through.
-func TestRestGivesNothing(t *testing.T) {
+func TestDormancyGrantsNoExtraUnits(t *testing.T) {
 	for name, rates := range map[string][]float64{"none": nil, "raised": {300}, "lowered": {3}, "lowered and raised": {1, 30}, "raised and lowered": {300, 30}} {
 		var sent [2]int
 		for k := range sent {
 			set := testSettings()
 			set.Gateways, set.HasCounter = 1, false
-			book := &figures{plan: set.Plans[0]}
+			book := &fakeBook{plan: set.Plans[0]}
 			g, now, id := New(set, 1), time.Second, uint64(0)
 			g.Use(book, nil)
 			if k == 1 {
@@ -262,7 +262,7 @@
 				}
 				return n
 			}
-			g.Handle(now, ServerList{Whole: true, Servers: ready(4)})
+			g.Handle(now, ServerList{Whole: true, Servers: readyServers(4)})
 			burst(1)
 			ticks(5 * time.Second)
 			if rest := len(g.dormant); rest != 1-k {
@@ -294,7 +294,7 @@
 			set := testSettings()
 			set.Gateways = gateways
 			g, now, sent := New(set, 1), time.Second, 0
-			list := ready(1000)
+			list := readyServers(1000)
 			g.Handle(now, ServerList{Whole: true, Servers: list})
 			for k := range uint64(600) {
 				if k == 300 {
@@ -325,7 +325,7 @@
 }
 
 // Ten thousand held requests of one firm, a hundred of them cancelled in the middle: each gets one answer.
-func TestTenThousandHeldOfOneFirm(t *testing.T) {
+func TestTenThousandHeldRequestsOfOneFirm(t *testing.T) {
 	const n = 10_000
 	set := testSettings()
 	set.Gateways, set.Plans = 1, []Plan{{Rate: 20_000, Burst: 5, Price: 1, OverCost: 1}}
@@ -341,7 +341,7 @@
 			}
 		}
 	}
-	handle(ServerList{Whole: true, Servers: ready(400)})
+	handle(ServerList{Whole: true, Servers: readyServers(400)})
 	for k := range uint64(n) {
 		handle(Request{ID: k, Customer: 7, Units: 1, TTL: time.Second, Spread: 1})
 	}
@@ -374,15 +374,15 @@
 		const keyed = 1
 		c := &set.Classes[keyed]
 		c.KeyGroup, c.KeyTTL, c.Deadline, c.Aim = GroupZone, 12*time.Second, 6*time.Second, 4*time.Second
-		all := ready(servers)
+		all := readyServers(servers)
 		for k := range all {
 			all[k].Zone = k % 2
 		}
-		b := newBench(t, set, all...)
+		b := newHarness(t, set, all...)
 		b.run(time.Second, nil)
-		var out []*played
+		var out []*trackedRequest
 		for k := range 40 {
-			if p := b.arrive(Request{Class: keyed, Customer: uint64(k), Units: 1, TTL: 5 * time.Second}); p.out {
+			if p := b.arrive(Request{Class: keyed, Customer: uint64(k), Units: 1, TTL: 5 * time.Second}); p.inFlight {
 				out = append(out, p)
 			}
 			b.run(ms, nil)
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -204,7 +204,7 @@
 	}
 	g.catchUp(c)
 	g.applyPlan(c)
-	g.firms.Sooner(c, c.intervalEnd())
+	g.firms.SetEarlier(c, c.intervalEnd())
 	c.lastSeen, c.pending = g.now, c.pending+1
 	return c
 }
@@ -243,7 +243,7 @@
 	g.applyPlansInPart()
 	g.tickedAt = g.now
 	g.rotateDormant()
-	for _, c := range g.firms.Take(g.now) {
+	for _, c := range g.firms.TakeDue(g.now) {
 		g.applyPlan(c)
 		if g.catchUp(c) {
 			g.reportForecast(c)
@@ -821,7 +821,7 @@
 	switch o.Status {
 	case OK:
 		s.answeredAt = g.now
-		s.latency = s.expectedLatency() + 0.1*(lat-s.expectedLatency())
+		s.latency = s.estimatedLatency() + 0.1*(lat-s.estimatedLatency())
 		f.latency += 0.02 * (1 + 6*g.unseenShare) * (lat - f.latency) // where answers are few, each must weigh more
 		f.idleLatency = min(f.idleLatency*1.0001, f.latency)
 		s.failureRate -= failureSmoothing * s.failureRate
@@ -990,7 +990,7 @@
 			continue
 		}
 		score := (s.unitsInFlight/r.upstream.meanUnits + 1) *
-			max(s.expectedLatency()/r.upstream.latency, 0.3) * (1 + 0.1*g.random())
+			max(s.estimatedLatency()/r.upstream.latency, 0.3) * (1 + 0.1*g.random())
 		if g.unseenShare == 0 { // of many gateways the random draw has thinned out a cold server's share already
 			score /= w
 		}
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-func near(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
+func almostEqual(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
 
 func TestForecastByHand(t *testing.T) {
 	c := &customer{interval: 2 * time.Second}
@@ -25,7 +25,7 @@
 	for k, s := range steps {
 		c.demanded = s.asked
 		c.updateForecast(1)
-		if !near(c.meanChange, s.drift) || !near(c.meanRise, s.spread) || !near(c.forecast, s.forecast) {
+		if !almostEqual(c.meanChange, s.drift) || !almostEqual(c.meanRise, s.spread) || !almostEqual(c.forecast, s.forecast) {
 			t.Errorf("interval %d: drift %v spread %v forecast %v, want %+v", k, c.meanChange, c.meanRise, c.forecast, s)
 		}
 	}
@@ -41,7 +41,7 @@
 	}
 	cases[0].want = 12 + (24-16-4)/3.0
 	for _, c := range cases {
-		if got := splitQuota(c.n, c.k, c.within, c.forecasts, c.f, stepsPerEvenShare); !near(got, c.want) {
+		if got := splitQuota(c.n, c.k, c.within, c.forecasts, c.f, stepsPerEvenShare); !almostEqual(got, c.want) {
 			t.Errorf("%+v: %v", c, got)
 		}
 	}
@@ -87,7 +87,7 @@
 		{8, 5, 0.25 * (1 + pacingProportional + pacingIntegral)}, // E at its bound
 	} {
 		c.recentRate, c.recentExcess = s.rate, s.excess
-		if got := c.spacing(); !near(got, s.want) {
+		if got := c.spacing(); !almostEqual(got, s.want) {
 			t.Errorf("S %v, E %v: %v, want %v", s.rate, s.excess, got, s.want)
 		}
 	}
@@ -95,9 +95,9 @@
 
 // A long surge must not leave long holds behind it: E is bounded to the local store.
 func TestSurgeLeavesNoWindup(t *testing.T) {
-	b := newBench(t, testSettings(), ready(40)...)
+	b := newHarness(t, testSettings(), readyServers(40)...)
 	answer := func() {
-		b.answer(20 * ms)
+		b.answerAttempts(20 * ms)
 	}
 	b.run(10*time.Second, func() {
 		b.arrive(Request{Customer: 1, Units: 2})
@@ -108,23 +108,23 @@
 		t.Errorf("E is %.1f, the store %.1f", c.recentExcess, c.bucketSize())
 	}
 	b.run(2*time.Second, answer)
-	if p := b.arrive(Request{Customer: 1, Units: 2}); !p.out {
+	if p := b.arrive(Request{Customer: 1, Units: 2}); !p.inFlight {
 		t.Errorf("two seconds after the surge a request still waits: %q", p.answer)
 	}
 }
 
 // Held requests leave in order.
 func TestHeldLeaveInOrder(t *testing.T) {
-	b := newBench(t, testSettings(), ready(40)...)
-	var ps []*played
+	b := newHarness(t, testSettings(), readyServers(40)...)
+	var ps []*trackedRequest
 	for range 7 { // the local store is 10 units, the part 10 a second
 		ps = append(ps, b.arrive(Request{Customer: 1, Units: 2}))
 	}
-	if !ps[4].out || ps[5].out || ps[6].out {
+	if !ps[4].inFlight || ps[5].inFlight || ps[6].inFlight {
 		t.Fatal("the store's five requests go at once, the rest is held")
 	}
 	b.run(450*ms, nil)
-	if !ps[5].out || !ps[6].out || ps[5].sentAt >= ps[6].sentAt {
+	if !ps[5].inFlight || !ps[6].inFlight || ps[5].sentAt >= ps[6].sentAt {
 		t.Errorf("held requests sent at %v and %v", ps[5].sentAt, ps[6].sentAt)
 	}
 	for range 9 {
@@ -137,7 +137,7 @@
 }
 
 // All gateways' turns add to the cap at any time: no two of them think that a slot is theirs.
-func TestTurnsAddToTheCap(t *testing.T) {
+func TestTurnsAddUpToTheCap(t *testing.T) {
 	for _, open := range []int{1, 2, 3, 5} {
 		for n := 2; n <= ownViewGateways; n++ {
 			for at := time.Duration(0); at < 3*time.Second; at += 7 * ms {
@@ -199,7 +199,7 @@
 	// For one of half the best's worth, of a store of 10: half of two mean requests, and of half the store at most.
 	for units, want := range map[float64]float64{1: 1, 2: 2, 100: 2.5} {
 		c := &customer{plan: Plan{Rate: 10, Burst: 10}, gateways: 1, shares: 1, share: 1, demanded: 10, interval: time.Second, bestWorth: 2}
-		if got := c.keptForWorth(&request{class: Class{Worth: 1}}, &Gateway{meanRequestUnits: units}); !near(got, want) {
+		if got := c.keptForWorth(&request{class: Class{Worth: 1}}, &Gateway{meanRequestUnits: units}); !almostEqual(got, want) {
 			t.Errorf("%v units a request: %v kept, not %v", units, got, want)
 		}
 	}
@@ -216,14 +216,14 @@
 }
 
 // one plays intervals of a customer that asks at one gateway only, and answers counter calls with the sums.
-func one(t *testing.T, answer func(Count) (Status, float64)) *bench {
-	b := newBench(t, testSettings(), ready(40)...)
+func runAlone(t *testing.T, answer func(Count) (Status, float64)) *harness {
+	b := newHarness(t, testSettings(), readyServers(40)...)
 	k := 0
 	b.run(6*time.Second, func() {
 		if k++; k%50 == 0 { // ten a second of two units: the whole gateway's g is ten units
 			b.arrive(Request{Customer: 1, Units: 2})
 		}
-		b.answer(20 * ms)
+		b.answerAttempts(20 * ms)
 		counts := b.counts
 		b.counts = nil
 		for _, c := range counts {
@@ -234,9 +234,9 @@
 	return b
 }
 
-func TestBusyGatewayGetsTheIdleOnesPart(t *testing.T) {
+func TestBusyGatewayGetsTheIdleOnesShare(t *testing.T) {
 	sums := map[uint64]float64{}
-	b := one(t, func(c Count) (Status, float64) {
+	b := runAlone(t, func(c Count) (Status, float64) {
 		sums[c.Name] += c.Amount
 		return OK, sums[c.Name]
 	})
@@ -246,7 +246,7 @@
 }
 
 // A silent, failing or emptied counter, and sums that make no sense, mean the even part.
-func TestCounterTroubleMeansEvenPart(t *testing.T) {
+func TestCounterFailureMeansEvenShare(t *testing.T) {
 	for name, answer := range map[string]func(Count) (Status, float64){
 		"timeout": func(Count) (Status, float64) { return Timeout, 0 },
 		"refused": func(Count) (Status, float64) { return ConnectFailed, 0 },
@@ -255,8 +255,8 @@
 		"absurd":  func(Count) (Status, float64) { return OK, 1e30 },
 		"stolen":  func(c Count) (Status, float64) { return OK, pack(2, 3, 3) },
 	} {
-		b := one(t, answer)
-		if c := b.g.customers[1]; !near(c.share, 10) {
+		b := runAlone(t, answer)
+		if c := b.g.customers[1]; !almostEqual(c.share, 10) {
 			t.Errorf("%s: part %.2f, want the even 10", name, c.share)
 		}
 		if name == "timeout" && len(b.counts) > 0 {
@@ -268,15 +268,15 @@
 // While the counter fails, calls are few: the crowd must not come back with it.
 func TestCallsBackOff(t *testing.T) {
 	calls := 0
-	one(t, func(Count) (Status, float64) { calls++; return Full, 0 })
+	runAlone(t, func(Count) (Status, float64) { calls++; return Full, 0 })
 	if calls > 5 {
 		t.Errorf("%d calls to a failing counter in six seconds", calls)
 	}
 }
 
 // A server that takes work and answers nothing is left out before its attempts' time is up.
-func TestSilentServerIsLeftOut(t *testing.T) {
-	b := newBench(t, testSettings(), ready(4)...)
+func TestHungServerIsEjected(t *testing.T) {
+	b := newHarness(t, testSettings(), readyServers(4)...)
 	toIt := 0
 	k := 0
 	b.run(4*time.Second, func() {
@@ -284,9 +284,9 @@
 			b.arrive(Request{Customer: uint64(k), Units: 1})
 		}
 		for id := uint64(1); id <= b.nextID; id++ {
-			p := b.reqs[id]
+			p := b.requests[id]
 			switch {
-			case p == nil || !p.out:
+			case p == nil || !p.inFlight:
 			case p.cancelled:
 				b.end(p, Cancelled)
 			case b.now >= p.deadline || p.timeout > 0 && b.now >= p.sentAt+p.timeout:
@@ -317,7 +317,7 @@
 		"NaN units": {Units: math.NaN(), TTL: time.Second},
 		"negative":  {Units: -3, TTL: time.Second},
 	} {
-		b := newBench(t, testSettings(), ready(2)...)
+		b := newHarness(t, testSettings(), readyServers(2)...)
 		q.ID, q.Spread = 1, -7
 		acts := b.g.Handle(b.now, q)
 		if len(acts) != 1 || acts[0] != (Refuse{ID: 1}) {
--- a/logic/many_test.go
+++ b/logic/many_test.go
@@ -9,14 +9,14 @@
 )
 
 // many is a gateway of two hundred; peers tells whether they can talk.
-func many(t *testing.T, peers bool) *bench {
+func newManyGatewaysHarness(t *testing.T, peers bool) *harness {
 	set := testSettings()
 	set.Gateways, set.Peers = 200, peers
-	return newBench(t, set, ready(30)...)
+	return newHarness(t, set, readyServers(30)...)
 }
 
 // reply answers the counter calls so far with one total.
-func (b *bench) reply(st Status, total float64) {
+func (b *harness) answerCalls(st Status, total float64) {
 	counts := b.counts
 	b.counts = nil
 	for _, c := range counts {
@@ -25,33 +25,33 @@
 }
 
 // A part far under one request must neither refuse a customer with quota left nor pass one that has none.
-func TestDrawDecidesForASparsePart(t *testing.T) {
+func TestDrawDecidesWhereAShareHoldsNoRequest(t *testing.T) {
 	for total, goes := range map[float64]bool{2: true, 30: true, 31: false} {
-		b := many(t, false)
+		b := newManyGatewaysHarness(t, false)
 		b.g.callShare = 1
 		p := b.arrive(Request{Customer: 7, Units: 2})
-		if len(b.counts) != 1 || b.counts[0].Amount != 2 || p.out || p.answer != "" {
-			t.Fatalf("calls %+v, out %v, answer %q", b.counts, p.out, p.answer)
+		if len(b.counts) != 1 || b.counts[0].Amount != 2 || p.inFlight || p.answer != "" {
+			t.Fatalf("calls %+v, out %v, answer %q", b.counts, p.inFlight, p.answer)
 		}
-		b.reply(OK, total)
-		if p.out != goes {
-			t.Errorf("sum %v of 30: sent is %v", total, p.out)
+		b.answerCalls(OK, total)
+		if p.inFlight != goes {
+			t.Errorf("sum %v of 30: sent is %v", total, p.inFlight)
 		}
 	}
 }
 
 // A counter that fails must not stop the first request that the even part, grown to its size, would let go.
 func TestDrawWithoutACounter(t *testing.T) {
-	b := many(t, false)
+	b := newManyGatewaysHarness(t, false)
 	b.g.callShare = 1
 	p := b.arrive(Request{Customer: 7, Units: 1})
-	b.reply(Timeout, 0)
-	if !p.out {
+	b.answerCalls(Timeout, 0)
+	if !p.inFlight {
 		t.Error("not sent on the gateway's own part")
 	}
 	for range 20 {
 		b.arrive(Request{Customer: 7, Units: 1})
-		b.reply(Timeout, 0)
+		b.answerCalls(Timeout, 0)
 	}
 	if out := b.g.customers[7].inFlight; out < 1 || out > 30/maxOnDemandShares {
 		t.Errorf("%d requests out on a sixth of a burst of 30", out)
@@ -63,7 +63,7 @@
 
 // A slot of a cap is given back once, when its attempt ends, to the count that it came from.
 func TestSlotIsGivenBack(t *testing.T) {
-	b := many(t, true)
+	b := newManyGatewaysHarness(t, true)
 	b.g.callShare = 1
 	b.g.loadEstimates[9] = loadEstimate{0.9, b.now + time.Hour}
 	p := b.arrive(Request{Customer: 9, Plan: 1, Units: 1})
@@ -76,11 +76,11 @@
 	if name == 0 {
 		t.Fatalf("no slot drawn: %+v", b.counts)
 	}
-	b.reply(OK, 4)
-	if !p.out {
+	b.answerCalls(OK, 4)
+	if !p.inFlight {
 		t.Fatal("the fourth of four slots was not used")
 	}
-	b.run(3*time.Second/2, func() { b.answer(50 * ms) })
+	b.run(3*time.Second/2, func() { b.answerAttempts(50 * ms) })
 	given := 0
 	for _, c := range b.counts {
 		if c.Name == name && c.Amount == -1 {
@@ -91,18 +91,18 @@
 		t.Errorf("slot given back %d times", given)
 	}
 	q := b.arrive(Request{Customer: 9, Plan: 1, Units: 1})
-	b.reply(OK, 5)
-	if q.out {
+	b.answerCalls(OK, 5)
+	if q.inFlight {
 		t.Error("a fifth attempt of four is out")
 	}
 }
 
 // Clients that give up soon and repeat at once get what is left over: while others wait, their tries are refused.
 func TestImpatientRepeatsGetLeftovers(t *testing.T) {
-	b := newBench(t, testSettings(), ready(8)...)
+	b := newHarness(t, testSettings(), readyServers(8)...)
 	p := b.arrive(Request{Customer: 1, Units: 1})
 	b.end(p, OK)
-	if p := b.arrive(Request{Customer: 3, Units: 1, TTL: 300 * ms}); !p.out {
+	if p := b.arrive(Request{Customer: 3, Units: 1, TTL: 300 * ms}); !p.inFlight {
 		t.Error("an impatient try was refused with all room left")
 	}
 	for range 6 { // the local store of ten is used to under its half
@@ -134,11 +134,11 @@
 }
 
 // One bad answer must not lower the bound again and again where few come.
-func TestBoundFallsOncePerAnswer(t *testing.T) {
-	b := many(t, true)
+func TestLimitIsCutOncePerAnswer(t *testing.T) {
+	b := newManyGatewaysHarness(t, true)
 	p := b.arrive(Request{Customer: 1, Units: 0.01})
-	b.reply(OK, 0.01)
-	if !p.out {
+	b.answerCalls(OK, 0.01)
+	if !p.inFlight {
 		t.Fatal("not sent")
 	}
 	b.g.aimShare = 2
@@ -153,7 +153,7 @@
 
 // Answers lost at random are no load: while the others come quickly the bound must not fall to its floor, or a
 // fleet with room refuses nearly all (daejeon-archive-later, L1aa4c5). Where all are slow it must still fall.
-func TestLostAnswersDoNotCloseTheBound(t *testing.T) {
+func TestLostAnswersDoNotCutTheLimitToItsMinimum(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		lost        int // of ten
@@ -163,11 +163,11 @@
 		{"four of ten lost", 4, 120 * ms, 0.7, 100},
 		{"all slow", 0, 550 * ms, 0, 0.5},
 	} {
-		b := many(t, true)
+		b := newManyGatewaysHarness(t, true)
 		start := b.g.limitPerServer
 		for k := range 200 {
 			p := b.arrive(Request{Customer: uint64(k), Units: 1})
-			if !p.out { // no room
+			if !p.inFlight { // no room
 				b.run(2*time.Second, nil)
 				continue
 			}
@@ -188,8 +188,8 @@
 
 // A throttle must come back once its cause is gone: the share of calls made grows again with the answers, though a
 // gateway has few of them, and one failure in twenty must not press it to its floor.
-func TestCallsComeBack(t *testing.T) {
-	b := many(t, false)
+func TestCallShareRecovers(t *testing.T) {
+	b := newManyGatewaysHarness(t, false)
 	b.g.callShare = minCallShare
 	play := func(calls, fullEvery int) { // 0: none turned away
 		for k := range calls {
@@ -217,9 +217,9 @@
 
 // A counter that nobody could reach tells nothing of the load that it bears: once it is back, as many calls are made as
 // before. One that turns calls away, or answers none of them in time, is spared as ever.
-func TestCallsAfterAnOutageAreThoseBefore(t *testing.T) {
+func TestCallShareIsRestoredAfterAnOutage(t *testing.T) {
 	for st, after := range map[Status]float64{ConnectFailed: 0.6, Full: 0.2, Timeout: 0.2} {
-		b := many(t, false)
+		b := newManyGatewaysHarness(t, false)
 		b.g.callShare = 0.6
 		for _, got := range []Status{Timeout, Timeout, Reset, st, st, st, st, st, OK} {
 			b.g.calls[1] = append(b.g.calls[1], call{customer: &customer{gateways: 2, interval: time.Second}})
@@ -238,7 +238,7 @@
 		set := testSettings()
 		set.Gateways = gateways
 		set.Plans[0].Burst = 5 * set.Plans[0].Rate
-		b := newBench(t, set, ready(3)...)
+		b := newHarness(t, set, readyServers(3)...)
 		b.arrive(Request{Customer: 1, Units: 1, Spread: 3})
 		if got := b.g.customers[1].interval; got != span {
 			t.Errorf("%d gateways: interval %v, want %v", gateways, got, span)
@@ -254,11 +254,11 @@
 	all := map[ServerID]int{}
 	for rank := range set.Gateways {
 		set.Rank = rank
-		b := newBench(t, set, ready(60)...)
+		b := newHarness(t, set, readyServers(60)...)
 		own := map[ServerID]int{}
 		for n := range 60 {
 			b.arrive(Request{Customer: uint64(n + 1), Units: 0.1})
-			b.run(100*ms, func() { b.answer(20 * ms) })
+			b.run(100*ms, func() { b.answerAttempts(20 * ms) })
 			for _, s := range b.sent {
 				own[s]++
 				all[s]++
@@ -278,7 +278,7 @@
 
 // A gateway's own servers stay its own while others come and go: or each change would cost all gateways handshakes.
 func TestOwnServersStayWhenOthersGo(t *testing.T) {
-	b := many(t, false)
+	b := newManyGatewaysHarness(t, false)
 	before := slices.Clone(b.g.nearestFirst[:nearbyServers])
 	gone := b.g.nearestFirst[nearbyServers+3].Server
 	gone.State = Gone
@@ -291,14 +291,14 @@
 // fleetOf plays one firm's requests through so many gateways that share a counter, and returns what was sent on of the
 // demand. Each gateway gets its share of weights; emptied is when the counter forgets all, killed when half of the
 // gateways start anew; each looks at the firm's stores after every request sent.
-func fleetOf(t *testing.T, p Plan, gateways int, demand func(at time.Duration) float64, d, emptied, killed time.Duration, each func(at time.Duration)) (sent, asked int) {
+func runGateways(t *testing.T, p Plan, gateways int, demand func(at time.Duration) float64, d, emptied, killed time.Duration, each func(at time.Duration)) (sent, asked int) {
 	set := testSettings()
 	set.Gateways, set.Plans = gateways, []Plan{p}
-	gates := make([]*bench, gateways)
+	gates := make([]*harness, gateways)
 	var weights float64
 	for rank := range gates {
 		set.Rank = rank
-		gates[rank] = newBench(t, set, ready(60)...)
+		gates[rank] = newHarness(t, set, readyServers(60)...)
 		gates[rank].g.callShare = 1 // a counter with room
 		weights += 1 / float64(rank+1)
 	}
@@ -312,7 +312,7 @@
 			if at == killed && rank%2 == 0 {
 				set.Rank = rank
 				now := b.now
-				b = newBench(t, set, ready(60)...)
+				b = newHarness(t, set, readyServers(60)...)
 				b.now, gates[rank] = now, b
 			}
 			b.run(step, func() {
@@ -331,13 +331,13 @@
 				each(at)
 			}
 			b.sent = b.sent[:0]
-			b.answer(150 * ms)
+			b.answerAttempts(150 * ms)
 		}
 	}
 	return sent, asked
 }
 
-func steady(rate float64) func(time.Duration) float64 {
+func steadyDemand(rate float64) func(time.Duration) float64 {
 	return func(time.Duration) float64 { return rate }
 }
 
@@ -347,7 +347,7 @@
 // the parts of the others lie idle.
 func TestUnevenRequestsOfManyGatewaysUseTheQuota(t *testing.T) {
 	for _, gateways := range []int{22, 60} { // a part holds a request, or not even that
-		sent, asked := fleetOf(t, fullPlan, gateways, steady(12), 30*time.Second, -1, -1, func(time.Duration) {})
+		sent, asked := runGateways(t, fullPlan, gateways, steadyDemand(12), 30*time.Second, -1, -1, func(time.Duration) {})
 		if sent < asked*95/100 {
 			t.Errorf("%d gateways: %d of %d sent on at 12 a second of a quota of 14", gateways, sent, asked)
 		}
@@ -370,13 +370,13 @@
 		trouble  time.Duration
 		quota    float64 // that may be used
 	}{
-		"steady":          {22, steady(110), -1, fullPlan.Burst + fullPlan.Rate*d.Seconds()},
-		"counter emptied": {22, steady(110), 10 * time.Second, fullPlan.Burst + fullPlan.Rate*d.Seconds()},
+		"steady":          {22, steadyDemand(110), -1, fullPlan.Burst + fullPlan.Rate*d.Seconds()},
+		"counter emptied": {22, steadyDemand(110), 10 * time.Second, fullPlan.Burst + fullPlan.Rate*d.Seconds()},
 		"with pauses, 40": {40, pauses, -1, 3*fullPlan.Burst + fullPlan.Rate*12}, // it is full again after a pause
 		"with pauses, 80": {80, pauses, -1, 3*fullPlan.Burst + fullPlan.Rate*12},
 	} {
 		store, lowest, last := fullPlan.CeilingBurst, fullPlan.CeilingBurst, time.Duration(0)
-		sent, _ := fleetOf(t, fullPlan, c.gateways, c.demand, d, c.trouble, c.trouble, func(now time.Duration) {
+		sent, _ := runGateways(t, fullPlan, c.gateways, c.demand, d, c.trouble, c.trouble, func(now time.Duration) {
 			store = min(store+fullPlan.CeilingRate*(now-last).Seconds(), fullPlan.CeilingBurst) - 1
 			last, lowest = now, min(lowest, store)
 		})
@@ -396,7 +396,7 @@
 	set.Gateways = 80
 	cheap := Plan{Rate: 0.84, Burst: 3, Price: 0.72}
 	set.Plans = []Plan{cheap, fullPlan}
-	b := newBench(t, set, ready(60)...)
+	b := newHarness(t, set, readyServers(60)...)
 	for n := range 40 {
 		b.arrive(Request{Customer: uint64(n + 10), Units: 1})
 	}
@@ -410,17 +410,17 @@
 // What has been refused by a server that drains or is gone has cost it nothing: it must not use up what may be tried
 // again, nor the room for others (discovery is late, and in a release a third of the tries end so).
 func TestTriesThatNeverRanCostLittle(t *testing.T) {
-	b := many(t, false)
+	b := newManyGatewaysHarness(t, false)
 	b.set.HasCounter = false
 	b.g.set.HasCounter = false
 	served := 0
 	for n := range 60 {
 		p := b.arrive(Request{Customer: uint64(n), Units: 0.1})
-		for k := 0; p.out && k < 2; k++ {
+		for k := 0; p.inFlight && k < 2; k++ {
 			b.end(p, []Status{Full, ConnectFailed}[k])
 			b.run(tick, nil)
 		}
-		if p.out {
+		if p.inFlight {
 			b.end(p, OK)
 			served++
 		}
@@ -435,9 +435,9 @@
 }
 
 // One of many gateways meets a server seldom: the first sign that it is gone must do, or each gateway pays for more.
-func TestOneSignIsEnoughAmongMany(t *testing.T) {
+func TestOneFailureEjectsAmongManyGateways(t *testing.T) {
 	for _, st := range []Status{Full, Timeout, Reset, ConnectFailed, Error, Spoilt} {
-		b := many(t, false)
+		b := newManyGatewaysHarness(t, false)
 		b.g.set.HasCounter = false
 		p := b.arrive(Request{Customer: 1, Units: 0.1})
 		at := p.server
@@ -450,25 +450,25 @@
 
 // Where a whole hall is cut off, one of many gateways must not have to meet each of its servers; an answer from there
 // ends the suspicion, and after a while one more try finds out.
-func TestALostHallIsLeftOutAtOnce(t *testing.T) {
+func TestLostHallIsAvoidedAtOnce(t *testing.T) {
 	set := testSettings()
 	set.Gateways, set.HasCounter = 80, false
-	list := ready(60)
+	list := readyServers(60)
 	for k := range list {
 		list[k].Zone = k % 2
 	}
-	b := newBench(t, set, list...)
-	send := func() *played { return b.arrive(Request{Customer: b.nextID, Units: 0.1}) }
+	b := newHarness(t, set, list...)
+	send := func() *trackedRequest { return b.arrive(Request{Customer: b.nextID, Units: 0.1}) }
 	toLost, after := 0, 0
 	for n := range 60 {
 		p := send()
-		for p.out && b.g.servers[p.server].Zone == 1 {
+		for p.inFlight && b.g.servers[p.server].Zone == 1 {
 			if toLost++; n >= 30 {
 				after++
 			}
 			b.end(p, ConnectFailed)
 		}
-		if p.out {
+		if p.inFlight {
 			b.end(p, OK)
 		}
 		b.run(20*ms, nil)
@@ -478,7 +478,7 @@
 	}
 	b.run(lostZoneRetry, nil)
 	for range 40 {
-		if p := send(); p.out {
+		if p := send(); p.inFlight {
 			b.end(p, OK)
 		}
 		b.run(20*ms, nil)
@@ -490,20 +490,20 @@
 
 // A cold server takes its part of the fleet's work by what it can do, no less: where most servers are new, the few warm
 // ones jam if the others stand idle.
-func TestColdServersOfManyTakeTheirPart(t *testing.T) {
+func TestColdServersOfManyGatewaysTakeTheirShare(t *testing.T) {
 	set := testSettings()
 	set.Gateways, set.HasCounter = 80, false
-	list := ready(60)
+	list := readyServers(60)
 	for k := range 36 {
 		list[k].Started = 4900 * ms
 	}
 	var cold, warm float64
 	for rank := range set.Gateways {
 		set.Rank = rank
-		b := newBench(t, set, list...)
+		b := newHarness(t, set, list...)
 		for n := range 20 {
 			b.arrive(Request{Customer: uint64(n + 1), Units: 0.1})
-			b.run(100*ms, func() { b.answer(80 * ms) })
+			b.run(100*ms, func() { b.answerAttempts(80 * ms) })
 			for _, s := range b.sent {
 				if s <= 36 {
 					cold++
@@ -522,12 +522,12 @@
 
 // Units drawn under figures that are no longer in force are of no use: they must neither count for the new ones nor
 // divide by a rate that there is none of.
-func TestTicketsOfOldFiguresLapse(t *testing.T) {
+func TestDrawnUnitsOfAnOldPlanLapse(t *testing.T) {
 	for _, next := range []Plan{{Rate: 28, Burst: 52, Price: 1.8}, {Open: 3, Price: 1.8}} {
 		set := testSettings()
 		set.Gateways = 60
-		b := newBench(t, set, ready(60)...)
-		book := &figures{plan: fullPlan}
+		b := newHarness(t, set, readyServers(60)...)
+		book := &fakeBook{plan: fullPlan}
 		b.g.Use(book, nil)
 		b.arrive(Request{Customer: 7, Units: 1})
 		if len(b.counts) != 1 {
@@ -548,11 +548,11 @@
 	draws := func(met float64, p Plan) bool {
 		set := testSettings()
 		set.Gateways, set.Plans = 6, append(set.Plans, p)
-		b := newBench(t, set, ready(30)...)
+		b := newHarness(t, set, readyServers(30)...)
 		b.g.callShare = 1
 		for k := range 200 {
 			b.arrive(Request{Customer: uint64(100 + k), Plan: 2, Units: met, Spread: 2})
-			b.run(60*ms, func() { b.answer(50 * ms) })
+			b.run(60*ms, func() { b.answerAttempts(50 * ms) })
 		}
 		b.g.callsLeft, b.counts = counterCallBurst, nil
 		b.arrive(Request{Customer: 7, Plan: len(set.Plans) - 1, Units: 1})
--- a/logic/plans.go
+++ b/logic/plans.go
@@ -56,11 +56,11 @@
 	}
 	g.planRevision++
 	g.plansChangedAt = g.now
-	for _, c := range g.firms.Take(g.now) {
+	for _, c := range g.firms.TakeDue(g.now) {
 		if len(c.held) > 0 {
 			g.applyPlan(c)
 		}
-		g.firms.Sooner(c, g.now)
+		g.firms.SetEarlier(c, g.now)
 	}
 	g.awaitingPlans = g.firms.All()
 	g.dispatch()
@@ -105,7 +105,7 @@
 	c.drawnUnits, c.bucket = 0, bucketState{}
 	c.nextRelease = min(c.nextRelease, g.now) // the pace was that of the old share
 	if g.customers[c.id] == c {
-		g.firms.Sooner(c, c.intervalEnd())
+		g.firms.SetEarlier(c, c.intervalEnd())
 	}
 	g.reconsider(c)
 }
--- a/logic/plans_test.go
+++ b/logic/plans_test.go
@@ -8,14 +8,14 @@
 )
 
 // figures is a book whose one tier may change, and reserves that hold a few units.
-type figures struct {
+type fakeBook struct {
 	plan Plan
 	left float64
 }
 
-func (f *figures) Plan(uint64, int) (Plan, bool) { return f.plan, true }
+func (f *fakeBook) Plan(uint64, int) (Plan, bool) { return f.plan, true }
 
-func (f *figures) Take(_ time.Duration, _ uint64, units float64) bool {
+func (f *fakeBook) Take(_ time.Duration, _ uint64, units float64) bool {
 	if f.left < units {
 		return false
 	}
@@ -23,30 +23,30 @@
 	return true
 }
 
-func (f *figures) Return(_ time.Duration, _ uint64, units float64) { f.left += units }
+func (f *fakeBook) Return(_ time.Duration, _ uint64, units float64) { f.left += units }
 
-func (f *figures) Coming(time.Duration, uint64) bool { return false }
+func (f *fakeBook) Coming(time.Duration, uint64) bool { return false }
 
 // planned is a gateway of one, with a server, on a book.
-type planned struct {
+type planHarness struct {
 	g    *Gateway
-	f    *figures
+	f    *fakeBook
 	now  time.Duration
 	next uint64
 	sent float64
 	done int // final answers
 }
 
-func newPlanned(p Plan) *planned {
+func newPlanHarness(p Plan) *planHarness {
 	set := testSettings()
 	set.Gateways, set.Plans, set.HasCounter = 1, []Plan{p}, false
-	b := &planned{g: New(set, 1), f: &figures{plan: p}, now: time.Hour}
+	b := &planHarness{g: New(set, 1), f: &fakeBook{plan: p}, now: time.Hour}
 	b.g.Use(b.f, b.f)
-	b.handle(ServerList{Whole: true, Servers: ready(4)})
+	b.handle(ServerList{Whole: true, Servers: readyServers(4)})
 	return b
 }
 
-func (b *planned) handle(ev Event) {
+func (b *planHarness) handle(ev Event) {
 	for _, a := range b.g.Handle(b.now, ev) {
 		switch a := a.(type) {
 		case Send:
@@ -59,18 +59,18 @@
 	}
 }
 
-func (b *planned) change(p Plan) {
+func (b *planHarness) change(p Plan) {
 	b.f.plan = p
 	b.handle(PlansChanged{})
 }
 
-func (b *planned) ask() {
+func (b *planHarness) ask() {
 	b.next++
 	b.handle(Request{ID: b.next, Customer: 7, TTL: 4 * time.Second, Units: 1, Spread: 1})
 }
 
 // pass moves time on by ticks.
-func (b *planned) pass(d time.Duration) {
+func (b *planHarness) pass(d time.Duration) {
 	for until := b.now + d; b.now < until; {
 		b.now += tick
 		b.handle(Timer{Token: tickToken})
@@ -79,7 +79,7 @@
 
 // No sequence of changes gives a firm a unit that the largest of the figures would not have given: at one instant no
 // more than the store held, over time no more than the rates in force, under the ceiling that is in force.
-func TestNoSequenceOfChangesRefillsAStore(t *testing.T) {
+func TestNoSequenceOfChangesRefillsABucket(t *testing.T) {
 	draw := func(t *rapid.T) Plan {
 		p := Plan{Name: "full", Price: 1, Rate: rapid.SampledFrom([]float64{1, 5, 20}).Draw(t, "rate")}
 		p.Burst = p.Rate * rapid.SampledFrom([]float64{1, 2, 4}).Draw(t, "burst")
@@ -90,7 +90,7 @@
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		p := draw(t)
-		b := newPlanned(p)
+		b := newPlanHarness(p)
 		asked := 0
 		most, seen := 0.0, false // that all figures in force since the firm was first seen allow together
 		ask := func() {
@@ -145,7 +145,7 @@
 
 // A plan lowered in a burst: what is held and can no longer pass in time is refused at once, with an honest time.
 func TestALoweredPlanRefusesAtOnceWhatCannotPassAnyMore(t *testing.T) {
-	b := newPlanned(Plan{Name: "full", Rate: 20, Burst: 20, Price: 1})
+	b := newPlanHarness(Plan{Name: "full", Rate: 20, Burst: 20, Price: 1})
 	for range 30 {
 		b.ask()
 	}
@@ -174,12 +174,12 @@
 
 // Limiters on different figures never read one another's sums: the names of their counts differ, and agree again when
 // the figures do.
-func TestCountsOfOtherFiguresHaveOtherNames(t *testing.T) {
+func TestCountNamesDifferByPlanFigures(t *testing.T) {
 	p := Plan{Name: "full", Rate: 20, Burst: 20, Price: 1}
-	a, b := newPlanned(p), newPlanned(p)
+	a, b := newPlanHarness(p), newPlanHarness(p)
 	a.ask()
 	b.ask()
-	name := func(x *planned) uint64 { return x.g.customers[7].countName(forecastSums) }
+	name := func(x *planHarness) uint64 { return x.g.customers[7].countName(forecastSums) }
 	if name(a) != name(b) {
 		t.Fatal("the same figures, other names")
 	}
@@ -205,8 +205,8 @@
 }
 
 // A reservation lets requests go that the store does not hold, under the ceiling all the same.
-func TestAReservationCountsAsInsideAndNeverRaisesTheCeiling(t *testing.T) {
-	b := newPlanned(Plan{Name: "full", Rate: 1, Burst: 2, Price: 1})
+func TestReservationIsWithinQuotaAndUnderTheCeiling(t *testing.T) {
+	b := newPlanHarness(Plan{Name: "full", Rate: 1, Burst: 2, Price: 1})
 	b.f.left = 10
 	for range 30 {
 		b.ask()
@@ -214,7 +214,7 @@
 	if b.sent != 12 {
 		t.Fatalf("%v sent on, a store of 2 and a reservation of 10", b.sent)
 	}
-	b = newPlanned(Plan{Name: "full", Rate: 1, Burst: 2, Price: 1, CeilingRate: 1, CeilingBurst: 5, CeilingSlack: 4})
+	b = newPlanHarness(Plan{Name: "full", Rate: 1, Burst: 2, Price: 1, CeilingRate: 1, CeilingBurst: 5, CeilingSlack: 4})
 	b.f.left = 100
 	for range 30 {
 		b.ask()
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -29,51 +29,51 @@
 }
 
 // bench checks the rules of one gateway while a test plays its world.
-type bench struct {
-	t       *testing.T
-	g       *Gateway
-	set     Settings
-	now     time.Duration
-	reqs    map[uint64]*played
-	servers map[ServerID]Server
-	told    map[ServerID]time.Duration // when a server was told to be draining or gone
-	timers  []alarm
-	counts  []Count
-	probes  []Probe
-	logs    int
-	sent    []ServerID
-	nextID  uint64
-}
-
-type played struct {
+type harness struct {
+	t                *testing.T
+	g                *Gateway
+	set              Settings
+	now              time.Duration
+	requests         map[uint64]*trackedRequest
+	servers          map[ServerID]Server
+	unavailableSince map[ServerID]time.Duration // when a server was told to be draining or gone
+	timers           []timer
+	counts           []Count
+	probes           []Probe
+	logs             int
+	sent             []ServerID
+	nextID           uint64
+}
+
+type trackedRequest struct {
 	Request
-	deadline  time.Duration
-	attempts  int
-	out       bool
-	server    ServerID
-	answer    string
-	mayRan    bool
-	firstRan  ServerID
-	firstSent time.Duration
-	sentAt    time.Duration
-	timeout   time.Duration
-	back      time.Duration // of a refusal: when to come back
-	cancelled bool
-}
-
-type alarm struct {
+	deadline       time.Duration
+	attempts       int
+	inFlight       bool
+	server         ServerID
+	answer         string
+	mayHaveRun     bool
+	firstRunServer ServerID
+	firstRunAt     time.Duration
+	sentAt         time.Duration
+	timeout        time.Duration
+	retryAfter     time.Duration // of a refusal: when to come back
+	cancelled      bool
+}
+
+type timer struct {
 	at    time.Duration
 	token uint32
 }
 
-func newBench(t *testing.T, set Settings, servers ...Server) *bench {
-	b := &bench{t: t, g: New(set, 1), set: set, now: 5 * time.Second, reqs: map[uint64]*played{},
-		servers: map[ServerID]Server{}, told: map[ServerID]time.Duration{}}
+func newHarness(t *testing.T, set Settings, servers ...Server) *harness {
+	b := &harness{t: t, g: New(set, 1), set: set, now: 5 * time.Second, requests: map[uint64]*trackedRequest{},
+		servers: map[ServerID]Server{}, unavailableSince: map[ServerID]time.Duration{}}
 	b.list(ServerList{Whole: true, Cached: true, Servers: servers})
 	return b
 }
 
-func ready(n int) []Server {
+func readyServers(n int) []Server {
 	var l []Server
 	for k := 1; k <= n; k++ {
 		l = append(l, Server{ID: ServerID(k), Weight: 1, Cell: (k - 1) / 2, State: Ready})
@@ -81,22 +81,22 @@
 	return l
 }
 
-func (b *bench) list(l ServerList) {
+func (b *harness) list(l ServerList) {
 	if l.Whole {
 		clear(b.servers)
 	}
 	for _, s := range l.Servers {
 		b.servers[s.ID] = s
-		delete(b.told, s.ID)
+		delete(b.unavailableSince, s.ID)
 		if s.State != Ready {
-			b.told[s.ID] = b.now
+			b.unavailableSince[s.ID] = b.now
 		}
 	}
 	b.handle(l)
 }
 
 // arrive plays a request and returns its record.
-func (b *bench) arrive(q Request) *played {
+func (b *harness) arrive(q Request) *trackedRequest {
 	b.nextID++
 	q.ID = b.nextID
 	if q.TTL == 0 {
@@ -105,19 +105,19 @@
 	if q.Spread == 0 {
 		q.Spread = b.set.Gateways
 	}
-	p := &played{Request: q, deadline: b.now + q.TTL}
-	b.reqs[q.ID] = p
+	p := &trackedRequest{Request: q, deadline: b.now + q.TTL}
+	b.requests[q.ID] = p
 	b.handle(q)
 	return p
 }
 
-func (b *bench) end(p *played, st Status) {
-	if !p.out {
+func (b *harness) end(p *trackedRequest, st Status) {
+	if !p.inFlight {
 		b.t.Fatalf("request %d has no attempt out", p.ID)
 	}
-	p.out = false
-	if st != Full && st != ConnectFailed && st != Moot && st != Unsent && st != Late && !p.mayRan {
-		p.mayRan, p.firstRan, p.firstSent = true, p.server, p.sentAt
+	p.inFlight = false
+	if st != Full && st != ConnectFailed && st != Moot && st != Unsent && st != Late && !p.mayHaveRun {
+		p.mayHaveRun, p.firstRunServer, p.firstRunAt = true, p.server, p.sentAt
 	}
 	closed := p.answer != ""
 	if st == OK && p.answer == "" {
@@ -128,7 +128,7 @@
 }
 
 // sentTo appends the time for each attempt just sent to a server.
-func (b *bench) sentTo(id ServerID, times []time.Duration) []time.Duration {
+func (b *harness) sentTo(id ServerID, times []time.Duration) []time.Duration {
 	for _, s := range b.sent {
 		if s == id {
 			times = append(times, b.now)
@@ -138,70 +138,70 @@
 }
 
 // answer ends well what has been out for so long.
-func (b *bench) answer(after time.Duration) {
+func (b *harness) answerAttempts(after time.Duration) {
 	for id := uint64(1); id <= b.nextID; id++ {
-		if p := b.reqs[id]; p != nil && p.out && b.now-p.sentAt >= after {
+		if p := b.requests[id]; p != nil && p.inFlight && b.now-p.sentAt >= after {
 			b.end(p, OK)
 		}
 	}
 }
 
-func (b *bench) handle(ev Event) {
+func (b *harness) handle(ev Event) {
 	for _, a := range b.g.Handle(b.now, ev) {
 		b.check(a)
 	}
 }
 
-func (b *bench) check(a Action) {
+func (b *harness) check(a Action) {
 	switch a := a.(type) {
 	case Send:
-		p := b.reqs[a.ID]
+		p := b.requests[a.ID]
 		s, known := b.servers[a.Server]
 		switch {
 		case p == nil || p.answer != "":
 			b.t.Fatalf("%v: sent request %d after its end", b.now, a.ID)
-		case p.out:
+		case p.inFlight:
 			b.t.Fatalf("%v: request %d has two attempts out", b.now, a.ID)
 		case !known:
 			b.t.Fatalf("%v: server %d is not on the list", b.now, a.Server)
 		case s.State != Ready:
-			b.t.Fatalf("%v: sent to server %d, told %v to be draining or gone", b.now, a.Server, b.told[a.Server])
+			b.t.Fatalf("%v: sent to server %d, told %v to be draining or gone", b.now, a.Server, b.unavailableSince[a.Server])
 		case p.attempts >= b.set.MaxAttempts:
 			b.t.Fatalf("request %d: too many attempts", a.ID)
-		case p.mayRan && b.set.Classes[p.Class].Effect == Unsafe:
+		case p.mayHaveRun && b.set.Classes[p.Class].Effect == Unsafe:
 			b.t.Fatalf("unsafe request %d sent twice", a.ID)
-		case p.mayRan && b.set.Classes[p.Class].Effect == Keyed:
+		case p.mayHaveRun && b.set.Classes[p.Class].Effect == Keyed:
 			c := b.set.Classes[p.Class]
-			if c.KeyGroup == GroupCell && s.Cell != b.servers[p.firstRan].Cell || b.now-p.firstSent > c.KeyTTL {
+			if c.KeyGroup == GroupCell && s.Cell != b.servers[p.firstRunServer].Cell || b.now-p.firstRunAt > c.KeyTTL {
 				b.t.Fatalf("keyed request %d repeated outside its group or window", a.ID)
 			}
 		}
-		p.out, p.server, p.sentAt, p.timeout, p.cancelled = true, a.Server, b.now, a.Timeout, false
+		p.inFlight, p.server, p.sentAt, p.timeout, p.cancelled = true, a.Server, b.now, a.Timeout, false
 		p.attempts++
 		b.sent = append(b.sent, a.Server)
 	case Refuse:
-		p := b.reqs[a.ID]
+		p := b.requests[a.ID]
 		c := b.set.Classes[p.Class]
 		if p.answer != "" {
 			b.t.Fatalf("request %d answered twice", a.ID)
 		}
-		if (p.mayRan || p.out) && (c.Effect == Unsafe || c.Effect == Keyed && c.KeyGroup != GroupAll) {
+		if (p.mayHaveRun || p.inFlight) && (c.Effect == Unsafe || c.Effect == Keyed && c.KeyGroup != GroupAll) {
 			b.t.Fatalf("request %d refused after it may have run", a.ID)
 		}
-		p.answer, p.back = "refused", a.RetryAfter
+		p.answer, p.retryAfter = "refused", a.RetryAfter
 	case Fail:
-		if b.reqs[a.ID].answer != "" {
+		if b.requests[a.ID].answer != "" {
 			b.t.Fatalf("request %d answered twice", a.ID)
 		}
-		b.reqs[a.ID].answer = "failed"
+		b.requests[a.ID].answer = "failed"
 	case Cancel:
-		p := b.reqs[a.ID]
+		p := b.requests[a.ID]
 		if p == nil || a.Attempt >= p.attempts {
 			b.t.Fatalf("cancelled an attempt that never was: %+v", a)
 		}
 		p.cancelled = true
 	case SetTimer:
-		b.timers = append(b.timers, alarm{b.now + a.After, a.Token})
+		b.timers = append(b.timers, timer{b.now + a.After, a.Token})
 	case Count:
 		b.counts = append(b.counts, a)
 	case Probe:
@@ -212,7 +212,7 @@
 }
 
 // run lets time pass in steps of the resolution; each is called at every step.
-func (b *bench) run(d time.Duration, each func()) {
+func (b *harness) run(d time.Duration, each func()) {
 	for end := b.now + d; b.now < end; {
 		b.now += b.set.Resolution
 		due := b.timers
@@ -228,15 +228,15 @@
 			each()
 		}
 		for id := uint64(1); id <= b.nextID; id++ {
-			p := b.reqs[id]
+			p := b.requests[id]
 			if p == nil {
 				continue
 			}
 			if p.answer == "" && b.now > p.deadline+8*ms {
 				b.t.Fatalf("%v: request %d has no answer %v after its deadline", b.now, id, b.now-p.deadline)
 			}
-			if p.answer != "" && !p.out && b.now > p.deadline {
-				delete(b.reqs, id)
+			if p.answer != "" && !p.inFlight && b.now > p.deadline {
+				delete(b.requests, id)
 			}
 		}
 	}
@@ -251,7 +251,7 @@
 
 func playRandom(t *testing.T, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 5))
-	b := newBench(t, testSettings(), ready(6)...)
+	b := newHarness(t, testSettings(), readyServers(6)...)
 	statuses := []Status{OK, OK, OK, OK, OK, Error, Full, Timeout, ConnectFailed, Reset, Cancelled, Moot, Unsent, Late}
 	b.run(20*time.Second, func() {
 		if rng.Float64() < 0.3 {
@@ -259,9 +259,9 @@
 				Units: 1 + 3*rng.Float64(), TTL: time.Duration(rng.Float64() * float64(1500*ms)), Spread: rng.IntN(6)})
 		}
 		for id := uint64(1); id <= b.nextID; id++ {
-			p := b.reqs[id]
+			p := b.requests[id]
 			switch {
-			case p == nil || !p.out:
+			case p == nil || !p.inFlight:
 			case p.cancelled:
 				b.end(p, Cancelled)
 			case p.timeout > 0 && b.now >= p.sentAt+p.timeout || b.now >= p.deadline:
@@ -300,7 +300,7 @@
 	})
 	b.run(3*time.Second, func() {
 		for id := uint64(1); id <= b.nextID; id++ {
-			if p := b.reqs[id]; p != nil && p.out {
+			if p := b.requests[id]; p != nil && p.inFlight {
 				b.end(p, Timeout)
 			}
 		}
@@ -332,16 +332,16 @@
 		{2, Moot, false, "refused"}, {3, Error, true, "refused"},
 	}
 	for _, c := range cases {
-		b := newBench(t, testSettings(), ready(4)...)
+		b := newHarness(t, testSettings(), readyServers(4)...)
 		p := b.arrive(Request{Class: c.class, Units: 1})
-		if !p.out {
+		if !p.inFlight {
 			t.Fatalf("class %d: not sent", c.class)
 		}
 		b.now += 20 * ms
 		b.end(p, c.status)
 		b.run(20*ms, nil)
-		if p.out != c.resend || !c.resend && p.answer != c.answer {
-			t.Errorf("class %d, status %d: sent again %v, answer %q", c.class, c.status, p.out, p.answer)
+		if p.inFlight != c.resend || !c.resend && p.answer != c.answer {
+			t.Errorf("class %d, status %d: sent again %v, answer %q", c.class, c.status, p.inFlight, p.answer)
 		}
 		if c.resend {
 			b.list(ServerList{Whole: true}) // nowhere left to go
@@ -356,21 +356,21 @@
 
 // A draining or gone server must get nothing new, at once: the grace is for news on its way, not for us.
 func TestDrainAtOnce(t *testing.T) {
-	b := newBench(t, testSettings(), ready(2)...)
+	b := newHarness(t, testSettings(), readyServers(2)...)
 	b.list(ServerList{Servers: []Server{{ID: 1, Weight: 1, State: Draining}}})
 	for k := range 3 {
-		if p := b.arrive(Request{Customer: uint64(k), Units: 1}); p.out && p.server != 2 {
+		if p := b.arrive(Request{Customer: uint64(k), Units: 1}); p.inFlight && p.server != 2 {
 			t.Fatalf("sent to server %d", p.server)
 		}
 	}
 	b.list(ServerList{Whole: true, Servers: []Server{{ID: 3, Weight: 1, State: Ready}}})
-	if p := b.arrive(Request{Customer: 11, Units: 1}); !p.out || p.server != 3 {
+	if p := b.arrive(Request{Customer: 11, Units: 1}); !p.inFlight || p.server != 3 {
 		t.Errorf("server 2 is missing from a whole list, yet the request went to %d", p.server)
 	}
 }
 
 func TestNoServers(t *testing.T) {
-	b := newBench(t, testSettings())
+	b := newHarness(t, testSettings())
 	p := b.arrive(Request{Units: 1})
 	u := b.arrive(Request{Class: 2, Units: 1})
 	b.run(2100*ms, nil)
@@ -382,15 +382,15 @@
 // A cold server must not get more than its share from all gateways together, in any window of the rule.
 func TestColdBudget(t *testing.T) {
 	set := testSettings()
-	list := ready(5)
+	list := readyServers(5)
 	list[0].Started = 4900 * ms // 100 ms old
-	b := newBench(t, set, list...)
+	b := newHarness(t, set, list...)
 	var times []time.Duration
 	b.run(4*time.Second, func() {
 		if int(b.now/ms)%10 == 0 {
 			b.arrive(Request{Customer: uint64(b.nextID % 500), Units: 1, Plan: 0})
 		}
-		b.answer(150 * ms)
+		b.answerAttempts(150 * ms)
 		times = b.sentTo(1, times)
 		b.sent = b.sent[:0]
 	})
@@ -415,11 +415,11 @@
 // Each gateway alone keeps its part of the ceiling, whatever the counter does; a restart does not fill it.
 func TestCeilingAcrossGateways(t *testing.T) {
 	set := testSettings()
-	var gates []*bench
+	var gates []*harness
 	for rank := range 3 {
 		s := set
 		s.Rank = rank
-		gates = append(gates, newBench(t, s, ready(40)...))
+		gates = append(gates, newHarness(t, s, readyServers(40)...))
 	}
 	p := set.Plans[2]
 	store, lowest := p.CeilingBurst, p.CeilingBurst
@@ -430,17 +430,17 @@
 				now := b.now
 				s := set
 				s.Rank = 1
-				b = newBench(t, s, ready(40)...)
+				b = newHarness(t, s, readyServers(40)...)
 				b.now = now
 				gates[k] = b
 			}
 			b.run(2*ms, func() { b.arrive(Request{Plan: 2, Customer: 9, Units: 3}) })
 			for id := uint64(1); id <= b.nextID; id++ {
-				q := b.reqs[id]
-				if q != nil && q.out && q.sentAt == b.now && q.attempts == 1 {
+				q := b.requests[id]
+				if q != nil && q.inFlight && q.sentAt == b.now && q.attempts == 1 {
 					store -= q.Units
 				}
-				if q != nil && q.out && b.now-q.sentAt >= 10*ms {
+				if q != nil && q.inFlight && b.now-q.sentAt >= 10*ms {
 					b.end(q, OK)
 				}
 			}
@@ -459,17 +459,17 @@
 // A server that turns every request away at once has nothing out and looks idle: it must not draw the traffic,
 // nor pull down the bound on what is out at the healthy ones.
 func TestServerThatTurnsAllAway(t *testing.T) {
-	b := newBench(t, testSettings(), ready(4)...)
+	b := newHarness(t, testSettings(), readyServers(4)...)
 	limit := b.g.limitPerServer
 	toIt := 0
 	for k := range 200 {
 		b.now += 20 * ms
 		p := b.arrive(Request{Customer: uint64(k), Units: 1})
-		for p.out && p.server == 1 {
+		for p.inFlight && p.server == 1 {
 			b.end(p, Full)
 			toIt++
 		}
-		if p.out { // healthy servers need longer than the one that only says no
+		if p.inFlight { // healthy servers need longer than the one that only says no
 			b.now += 120 * ms
 			b.end(p, OK)
 		}
@@ -483,20 +483,20 @@
 // more than what the warm one takes, scaled to the capacity that it surely has.
 func TestManyGatewaysAtAColdServer(t *testing.T) {
 	for _, gateways := range []int{20, 25, 30, 60} {
-		t.Run(fmt.Sprint(gateways), func(t *testing.T) { t.Parallel(); manyAtAColdServer(t, gateways) })
+		t.Run(fmt.Sprint(gateways), func(t *testing.T) { t.Parallel(); checkColdServer(t, gateways) })
 	}
 }
 
-func manyAtAColdServer(t *testing.T, gateways int) {
+func checkColdServer(t *testing.T, gateways int) {
 	set := testSettings()
 	set.Gateways, set.HasCounter = gateways, false
-	var gates []*bench
+	var gates []*harness
 	for rank := range set.Gateways {
 		s := set
 		s.Rank = rank
-		list := ready(2)
+		list := readyServers(2)
 		list[0].Started = 4900 * ms
-		gates = append(gates, newBench(t, s, list...))
+		gates = append(gates, newHarness(t, s, list...))
 	}
 	var times, warm []time.Duration
 	for step := range 2000 { // 4 s: two quiet, then more than the warm server may have
@@ -505,7 +505,7 @@
 				if (step+37*b.set.Rank)%500 == 0 || step > 1000 && (step+7*b.set.Rank)%(50*gateways/60) == 0 {
 					b.arrive(Request{Customer: b.nextID, Units: 0.1})
 				}
-				b.answer(100 * ms)
+				b.answerAttempts(100 * ms)
 			})
 			times, warm = b.sentTo(1, times), b.sentTo(2, warm)
 			b.sent = b.sent[:0]
@@ -535,10 +535,10 @@
 
 // After a jam the mean latency says for long how bad it was. Room must not wait for it, or so few attempts go that it
 // never mends (incident ieaf37c).
-func TestRoomComesBackAfterAJam(t *testing.T) {
+func TestSendTokensRefillAfterCongestion(t *testing.T) {
 	set := testSettings()
 	set.Gateways = 78
-	b := newBench(t, set, ready(28)...)
+	b := newHarness(t, set, readyServers(28)...)
 	b.run(50*ms, nil)
 	b.g.limitPerServer, b.g.sendTokens = 1/78.0, 0
 	b.g.idleLatency, b.g.latency = float64(100*ms), float64(3*time.Second)
@@ -551,9 +551,9 @@
 // Where all servers are slow at once, each attempt takes as long with few out as with many: the bound must leave out what
 // was in service before, or the servers' cores stand idle while nearly all is refused (nadi-yard, big-1). Where attempts
 // queue in the servers it must still fall.
-func TestSlowServersAreKeptInWork(t *testing.T) {
+func TestUniformlySlowServersStayBusy(t *testing.T) {
 	mean := func(latency func(out int) time.Duration) float64 {
-		b := newBench(t, testSettings(), ready(6)...)
+		b := newHarness(t, testSettings(), readyServers(6)...)
 		latest, sum := 100*ms, 0
 		for k := range 2000 {
 			b.arrive(Request{Customer: uint64(k), Units: 1})
@@ -561,7 +561,7 @@
 			if k >= 500 {
 				latest = latency(int(b.g.inFlight))
 			}
-			if b.answer(latest); k >= 1500 {
+			if b.answerAttempts(latest); k >= 1500 {
 				sum += int(b.g.inFlight)
 			}
 		}
@@ -577,10 +577,10 @@
 
 // A request given up on must get its answer at once, with a time to come back: one that waits behind others, or for
 // servers that may take it no more, would only keep its client from asking elsewhere.
-func TestGivenUpIsAnsweredAtOnce(t *testing.T) {
+func TestHopelessRequestIsAnsweredAtOnce(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].Late, set.Classes[1].Late = 0, 0
-	full := func(b *bench) { // all room taken by attempts that are not answered
+	full := func(b *harness) { // all room taken by attempts that are not answered
 		b.g.limitPerServer, b.g.unseenShare = 1/float64(set.Gateways), 0
 		for k := range 40 {
 			b.arrive(Request{Customer: uint64(100 + k), Units: 1, Class: 2})
@@ -589,20 +589,20 @@
 	for _, c := range []struct {
 		name   string
 		answer time.Duration // at the latest, after the arrival
-		play   func(b *bench) *played
+		play   func(b *harness) *trackedRequest
 	}{
-		{"behind a held one with more time", tick, func(b *bench) *played {
+		{"behind a held one with more time", tick, func(b *harness) *trackedRequest {
 			b.g.customerOf(&request{Request: Request{Customer: 1, Spread: 3}, plan: set.Plans[0]}).level = -0.5
 			b.arrive(Request{Customer: 1, Units: 1, Class: 2, Spread: 3})
 			p := b.arrive(Request{Customer: 1, Units: 1, Class: 1, Spread: 3})
 			b.g.customers[1].nextRelease = b.now + time.Second // a long spacing before it
 			return p
 		}},
-		{"late in the queue", 400 * ms, func(b *bench) *played {
+		{"late in the queue", 400 * ms, func(b *harness) *trackedRequest {
 			full(b)
 			return b.arrive(Request{Customer: 1, Units: 1, Class: 1})
 		}},
-		{"draws spent", tick, func(b *bench) *played {
+		{"draws spent", tick, func(b *harness) *trackedRequest {
 			p := b.arrive(Request{Customer: 1, Units: 1})
 			r := b.g.requests[p.ID]
 			b.end(p, Full)
@@ -615,28 +615,28 @@
 			}
 			return p
 		}},
-		{"stale among others", tick, func(b *bench) *played {
+		{"stale among others", tick, func(b *harness) *trackedRequest {
 			full(b)
 			b.arrive(Request{Customer: 1, Units: 1, Class: 1})
 			return b.arrive(Request{Customer: 1, Units: 1, Class: 1, TTL: 300 * ms})
 		}},
 	} {
-		b := newBench(t, set, ready(2)...)
+		b := newHarness(t, set, readyServers(2)...)
 		p := c.play(b)
 		b.run(c.answer, nil)
-		if p.answer != "refused" || p.back <= 0 {
-			t.Errorf("%s: answer %q after %v, come back in %v", c.name, p.answer, c.answer, p.back)
+		if p.answer != "refused" || p.retryAfter <= 0 {
+			t.Errorf("%s: answer %q after %v, come back in %v", c.name, p.answer, c.answer, p.retryAfter)
 		}
 	}
 }
 
 // A keyed repeat whose window has closed can go nowhere: it must fail then, not near the client's deadline.
-func TestClosedWindowIsAnsweredAtOnce(t *testing.T) {
+func TestExpiredKeyIsAnsweredAtOnce(t *testing.T) {
 	set := testSettings()
 	set.Classes[1].Aim = set.Classes[1].Deadline // so that only the window ends it
-	b := newBench(t, set, ready(2)...)
+	b := newHarness(t, set, readyServers(2)...)
 	p := b.arrive(Request{Customer: 1, Units: 1, Class: 1})
-	if !p.out {
+	if !p.inFlight {
 		t.Fatal("not sent")
 	}
 	b.list(ServerList{Whole: true})
@@ -649,37 +649,37 @@
 }
 
 // Where servers have room for some only, what waits goes by its worth: in a jam the same work must earn the most.
-func TestTheDearestOfWhatWaitsGoesFirst(t *testing.T) {
+func TestHighestWorthIsSentFirst(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].Worth, set.Classes[1].Worth = 2, 5
-	b := newBench(t, set, ready(1)...)
-	var first *played
-	for customer := uint64(1); first == nil || first.out; customer++ { // until the server is full
+	b := newHarness(t, set, readyServers(1)...)
+	var first *trackedRequest
+	for customer := uint64(1); first == nil || first.inFlight; customer++ { // until the server is full
 		first = b.arrive(Request{Customer: customer, Class: 0, Units: 0.1})
 	}
-	var cheap []*played
+	var cheap []*trackedRequest
 	for customer := range uint64(5) {
 		cheap = append(cheap, b.arrive(Request{Customer: 5000 + customer, Class: 0, Units: 0.1}))
 	}
 	dear := b.arrive(Request{Customer: 9999, Class: 1, Units: 0.1})
-	b.end(b.reqs[1], OK)
+	b.end(b.requests[1], OK)
 	b.run(tick, nil)
-	if !dear.out || cheap[4].out {
-		t.Errorf("the dear request is out: %v, a cheap one before it: %v", dear.out, cheap[4].out)
+	if !dear.inFlight || cheap[4].inFlight {
+		t.Errorf("the dear request is out: %v, a cheap one before it: %v", dear.inFlight, cheap[4].inFlight)
 	}
 }
 
 // A process that stood still gets old answers late, and its timers with them: no server is to blame.
-func TestAnOwnPauseBlamesNoServer(t *testing.T) {
-	b := newBench(t, testSettings(), ready(10)...)
+func TestProcessPauseBlamesNoServer(t *testing.T) {
+	b := newHarness(t, testSettings(), readyServers(10)...)
 	b.run(5*time.Second, func() {
 		b.arrive(Request{Customer: 1, Units: 1})
-		b.answer(50 * ms)
+		b.answerAttempts(50 * ms)
 	})
 	limit, latency := b.g.upstream.limitPerServer, b.g.upstream.latency
-	var out []*played
+	var out []*trackedRequest
 	for k := range 10 {
-		if p := b.arrive(Request{Customer: uint64(100 + k), Units: 1}); p.out { // firms with room
+		if p := b.arrive(Request{Customer: uint64(100 + k), Units: 1}); p.inFlight { // firms with room
 			out = append(out, p)
 		}
 	}
@@ -690,7 +690,7 @@
 	for k, p := range out {
 		b.end(p, []Status{OK, Timeout}[k%2])
 	}
-	b.run(100*ms, func() { b.answer(50 * ms) })
+	b.run(100*ms, func() { b.answerAttempts(50 * ms) })
 	if f := b.g.upstream; f.limitPerServer < limit || f.latency > latency {
 		t.Errorf("the bound went from %v to %v, the latency from %v to %v", limit, f.limitPerServer, latency, f.latency)
 	}
@@ -702,13 +702,13 @@
 }
 
 // Before the first tick, and after a pause, a good answer speaks for its server as ever: only its time tells nothing.
-func TestAGoodAnswerOverAPauseStillSpeaksForItsServer(t *testing.T) {
-	b := newBench(t, testSettings(), ready(1)...)
+func TestGoodAnswerAfterAPauseCounts(t *testing.T) {
+	b := newHarness(t, testSettings(), readyServers(1)...)
 	s := b.g.servers[1]
 	one := func(wait time.Duration, status Status) {
 		b.nextID++
 		p := b.arrive(Request{Customer: b.nextID, Units: 1})
-		if !p.out {
+		if !p.inFlight {
 			t.Fatalf("nothing was sent, fails %v, left out %v", s.failureRate, s.ejected)
 		}
 		b.now += wait
@@ -730,9 +730,9 @@
 // one that did not leave for want of a connection.
 func TestALateAttemptHoldsNothingBack(t *testing.T) {
 	sentBehind := func(st Status) int {
-		b := newBench(t, testSettings(), ready(6)...)
+		b := newHarness(t, testSettings(), readyServers(6)...)
 		first := b.arrive(Request{Customer: 1, Units: 1})
-		if !first.out {
+		if !first.inFlight {
 			t.Fatal("the first attempt is not out")
 		}
 		b.end(first, st)
--- a/logic/servers.go
+++ b/logic/servers.go
@@ -350,7 +350,7 @@
 }
 
 // expectedLatency is a server's latency. Where none is known, it is a little below the group's, so that the server gets tried.
-func (s *server) expectedLatency() float64 {
+func (s *server) estimatedLatency() float64 {
 	if s.latency == 0 {
 		return 0.9 * s.upstream.latency
 	}
--- a/logic/size_test.go
+++ b/logic/size_test.go
@@ -39,7 +39,7 @@
 	}
 	before := heap()
 	g := New(set, 1)
-	g.Handle(now, ServerList{Whole: true, Servers: ready(nodes)})
+	g.Handle(now, ServerList{Whole: true, Servers: readyServers(nodes)})
 	var handle func(ev Event)
 	handle = func(ev Event) {
 		for _, a := range g.Handle(now, ev) {
--- a/logic/state.go
+++ b/logic/state.go
@@ -307,7 +307,7 @@
 // hold keeps a request; its firm is looked at in each tick.
 func (g *Gateway) hold(r *request) {
 	r.customer.held = append(r.customer.held, r)
-	g.firms.Sooner(r.customer, g.now)
+	g.firms.SetEarlier(r.customer, g.now)
 }
 
 // enqueue puts a request among those that wait for a server: the highest worth first, a retry before others of its worth.
--- a/logic/trace_test.go
+++ b/logic/trace_test.go
@@ -11,7 +11,7 @@
 
 // trace plays a random day to a gateway and hashes all that it does: requests of many firms, attempts that fail in every way,
 // a counter that is quick, late, full, silent or wiped, servers that come and go, changes of plans.
-func trace(gateways int, seed uint64, prepare func(*Gateway)) uint64 {
+func traceHash(gateways int, seed uint64, prepare func(*Gateway)) uint64 {
 	set := testSettings()
 	set.Gateways, set.Rank = gateways, gateways/2
 	rng := rand.New(rand.NewPCG(seed, 17))
@@ -68,7 +68,7 @@
 			}
 		}
 	}
-	handle(ServerList{Whole: true, Servers: ready(8)})
+	handle(ServerList{Whole: true, Servers: readyServers(8)})
 	end, id, next := now+40*time.Second, uint64(0), now
 	for now < end {
 		slices.SortStableFunc(list, func(a, b due) int { return int(a.at - b.at) })
@@ -89,7 +89,7 @@
 		case n == 2:
 			handle(PlansChanged{})
 		case n == 3:
-			s := ready(8)[rng.IntN(8)]
+			s := readyServers(8)[rng.IntN(8)]
 			s.State = ServerState(rng.IntN(3))
 			handle(ServerList{Servers: []Server{s}})
 		default:
@@ -104,7 +104,7 @@
 
 // The day must be the same, action for action, as recorded before there could be several counters. A change of policy that is
 // meant renews the hashes in its own commit.
-func TestWithOneCounterTheDayIsAsBefore(t *testing.T) {
+func TestActionsMatchRecordedHashes(t *testing.T) {
 	for _, c := range []struct {
 		gateways int
 		want     [3]uint64
@@ -115,7 +115,7 @@
 	} {
 		var got [3]uint64
 		for k := range got {
-			got[k] = trace(c.gateways, uint64(k+1), nil)
+			got[k] = traceHash(c.gateways, uint64(k+1), nil)
 		}
 		if got != c.want {
 			t.Errorf("%d gateways: %#x, recorded %#x", c.gateways, got, c.want)
