--- a/logic/counters_test.go
+++ b/logic/counters_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// all has every name on the same counters.
+// fixedCounters holds every name on the same counters.
 type fixedCounters []int
 
 func (a fixedCounters) Counters(time.Duration, uint64, time.Duration) []int { return a }
 
-// severally is a gateway of two hundred whose names fall on some of eight counters.
+// newManyCountersHarness is the harness of one of two hundred gateways whose names are on some of eight counters.
 func newManyCountersHarness(t *testing.T, on ...int) *harness {
 	b := newManyGatewaysHarness(t, false)
 	b.g.Spread(fixedCounters(on))
@@ -19,7 +19,7 @@
 	return b
 }
 
-// said answers the calls so far, with a word from each counter.
+// answerCallsBy answers the calls so far, with a part from each counter.
 func (b *harness) answerCallsBy(st Status, total float64, parts ...CountPart) {
 	counts := b.counts
 	b.counts = nil
@@ -28,8 +28,8 @@
 	}
 }
 
-// The requests earn each counter its share of calls and as much again: where all names fall on one of eight it gets no more.
-// Guards against a hot counter that gets what was earned for all.
+// Requests earn each counter its share of calls and as much again: where all names are on one counter of eight it gets no more.
+// Guards against a hot counter that gets the calls earned for all.
 func TestNamesOnOneCounterGetItsShareOfCalls(t *testing.T) {
 	b := newManyCountersHarness(t, 3)
 	b.g.counterNumbered(3).callShare = 1
@@ -41,12 +41,12 @@
 		b.run(10*ms, func() { b.answerAttempts(0) })
 	}
 	if most := 400*counterCallsPerRequest*2/8 + manyGatewaysCallBurst; float64(made) > most || float64(made) < most/3 {
-		t.Errorf("%d calls, of %v", made, most)
+		t.Errorf("%d calls to one counter, want %v to %v", made, most/3, most)
 	}
 }
 
-// What one counter does says nothing of another; one that is spared is not called, and what is known of those that left is
-// forgotten.
+// What one counter does says nothing about another. One that is spared is not called, and what is known of counters that left the
+// list is forgotten.
 func TestCountersAreTrackedSeparately(t *testing.T) {
 	b := newManyCountersHarness(t, 1, 2)
 	for k := range 20 {
@@ -55,37 +55,37 @@
 	}
 	one, two := b.g.counterNumbered(1), b.g.counterNumbered(2)
 	if one.failures != 0 || one.noCallsUntil > 0 || one.callShare < 0.33 {
-		t.Errorf("the one that answers: %+v", one)
+		t.Errorf("the counter that answers: %+v, want no failures", one)
 	}
 	if two.failures < failuresBeforeBackoff || two.noCallsUntil <= b.now || !two.unreachable {
-		t.Errorf("the one that is away: %+v", two)
+		t.Errorf("the counter that cannot be reached: %+v, want a pause in calls", two)
 	}
 	for k := range 20 {
 		b.arrive(Request{Customer: uint64(200 + k), Units: 1})
 		for _, c := range b.counts {
 			if c.Spared != 2 {
-				t.Fatalf("called at bits %b", c.Spared)
+				t.Fatalf("counters spared: bits %b, want 10", c.Spared)
 			}
 		}
 		b.answerCallsBy(Timeout, 0, CountPart{Counter: 1})
 	}
 	b.handle(CountersChanged{Listed: []int{1, 5}, Among: 2})
 	if slices.ContainsFunc(b.g.counters, func(k *counter) bool { return k.number == 2 }) || b.g.counterNumbered(1) != one {
-		t.Error("the list's counters are not those known")
+		t.Error("a counter that left the list is still known, or one that stayed was forgotten")
 	}
 }
 
-// A name that stands nowhere is not called, and the gateway goes on with its even part.
+// A name that no counter holds is not called, and the gateway continues with its even share.
 func TestANameWithoutACounterIsNotCalled(t *testing.T) {
 	b := newManyCountersHarness(t)
 	p := b.arrive(Request{Customer: 7, Units: 1})
 	if len(b.counts) > 0 || !p.inFlight {
-		t.Errorf("calls %+v, out %v", b.counts, p.inFlight)
+		t.Errorf("calls %+v, sent %v; want no call and the request sent", b.counts, p.inFlight)
 	}
 }
 
-// A counter that is met for the first time is met by all limiters at once: each makes it a few calls and goes on with a share
-// of what it wants until answers come. Guards against a crowd that the counter can bear no call of.
+// A new counter is called for the first time by all gateways at once: each makes few calls, a share of those that it wants, until
+// answers come. Guards against a crowd of calls that the counter can answer none of.
 func TestNewCounterGetsFewCalls(t *testing.T) {
 	b := newManyCountersHarness(t, 3)
 	made := 0
@@ -95,6 +95,6 @@
 		b.counts = nil
 	}
 	if most := manyGatewaysCallBurst/2 + 40*counterCallsPerRequest*2/8*0.34; float64(made) > most || made == 0 {
-		t.Errorf("%d calls at once, of %v", made, most)
+		t.Errorf("%d calls before the first answer, want 1 to %v", made, most)
 	}
 }
--- a/logic/due_test.go
+++ b/logic/due_test.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// A firm that nothing is due for is not looked at; that must decide nothing. The twin looks at every firm at every tick.
+// A firm that nothing is due for is not looked at in a tick. That must not change any decision: the second gateway looks at every
+// firm in every tick.
 func TestCheckingOnlyDueFirmsMakesTheSameDecisions(t *testing.T) {
 	for _, gateways := range []int{1, 3, 80} {
 		sent := 0
@@ -19,13 +20,13 @@
 			t.Run(fmt.Sprintf("%d gateways, seed %d", gateways, seed), func(t *testing.T) { sent += compareWithFullScan(t, gateways, seed) })
 		}
 		if sent < 6000 {
-			t.Errorf("only %d requests were sent by %d gateways: this shows little", sent, gateways)
+			t.Errorf("%d gateways: only %d requests were sent, want at least 6000 for a meaningful test", gateways, sent)
 		}
 	}
 }
 
-// same compares actions. A firm at rest is kept in single precision, and the two put it to rest at different times: a time
-// to come back may differ by the rounding.
+// sameAction compares actions. A dormant firm is kept in single precision, and the two gateways make it dormant at different
+// times: the time after which to come back may differ by the rounding.
 func sameAction(a, b Action) bool {
 	x, ok := a.(Refuse)
 	y, too := b.(Refuse)
@@ -42,7 +43,7 @@
 		pair[k] = New(set, 1)
 		if seed%2 == 1 {
 			pair[k].Use(book, nil)
-			pair[k].dormant = nil // a change takes from those at rest, which the two put to rest at different times
+			pair[k].dormant = nil // a change takes from dormant firms, and the two make them dormant at different times
 		}
 	}
 	now, id := 3*time.Second, uint64(0)
@@ -59,8 +60,8 @@
 			}
 		}
 		acts := pair[0].Handle(now, ev)
-		if twin := pair[1].Handle(now, ev); !slices.EqualFunc(acts, twin, sameAction) {
-			t.Fatalf("at %v, %T: %v, but looking at all firms %v", now, ev, acts, twin)
+		if want := pair[1].Handle(now, ev); !slices.EqualFunc(acts, want, sameAction) {
+			t.Fatalf("at %v, event %T: actions %v, but %v when all firms are looked at", now, ev, acts, want)
 		}
 		for _, a := range acts {
 			after := time.Duration(rng.IntN(200)) * ms
@@ -79,7 +80,7 @@
 	}
 	list := readyServers(12)
 	handle(ServerList{Whole: true, Servers: list})
-	end := now + 100*time.Second // firms are forgotten in it, too
+	end := now + 100*time.Second // long enough for firms to be forgotten
 	for now < end {
 		next := 0
 		for k := range todo {
@@ -88,7 +89,7 @@
 			}
 		}
 		at := now + time.Duration(rng.ExpFloat64()*float64(4*ms))
-		if now%(40*time.Second) > 25*time.Second { // a rest
+		if now%(40*time.Second) > 25*time.Second { // a time without requests
 			at = now + time.Hour
 		}
 		if todo[next].at <= at {
@@ -103,7 +104,7 @@
 		}
 		now = at
 		class := rng.IntN(len(set.Classes))
-		firm := uint64(rng.ExpFloat64() * 20) // few ask much
+		firm := uint64(rng.ExpFloat64() * 20) // a few firms send most requests
 		handle(Request{ID: id, Customer: firm, Plan: int(firm) % len(set.Plans), Class: class, Units: 1 + float64(rng.IntN(3)),
 			TTL: set.Classes[class].Deadline, Spread: gateways})
 		if k := rng.IntN(len(list)); rng.IntN(30) == 0 {
@@ -132,10 +133,10 @@
 	return len(sent)
 }
 
-// checkSums holds what is kept of servers against a walk over all of them.
+// checkSums compares what is kept about servers with a full scan of them.
 func checkSums(t *testing.T, g *Gateway) {
 	f := g.upstream
-	var busy, usable, power float64
+	var inFlight, usable, capacity float64
 	var list, working, cold []*server
 	readyIn := map[int]int{}
 	for _, id := range slices.Sorted(maps.Keys(g.servers)) {
@@ -145,18 +146,18 @@
 		}
 		if !s.listed {
 			if s.inFlight == 0 {
-				t.Fatalf("server %d is gone and kept", s.ID)
+				t.Fatalf("server %d is gone and has no attempts in flight, but is still known", s.ID)
 			}
 			continue
 		}
 		if list = append(list, s); s.State == Ready && !s.ejected && !f.zoneLost(s.Zone, g.now) {
-			busy, usable, power = busy+float64(s.inFlight), usable+1, power+max(g.warmShare(s), 1-g.unseenShare)
+			inFlight, usable, capacity = inFlight+float64(s.inFlight), usable+1, capacity+max(g.warmShare(s), 1-g.unseenShare)
 		}
 		if s.State == Ready {
 			readyIn[s.Zone]++
 		}
 		if !s.countedWarm && s.Started+g.set.Cold <= g.tickedAt {
-			t.Fatalf("server %d is warm and still counted as cold", s.ID)
+			t.Fatalf("server %d is warm but still counted as cold", s.ID)
 		}
 		if !s.countedWarm {
 			cold = append(cold, s)
@@ -164,31 +165,31 @@
 	}
 	for zone, h := range f.halls {
 		if h.ready != readyIn[zone] {
-			t.Fatalf("zone %d: %d servers are counted as ready, %d are", zone, h.ready, readyIn[zone])
+			t.Fatalf("zone %d: %d servers counted as ready, want %d", zone, h.ready, readyIn[zone])
 		}
 	}
 	was := [...]float64{f.inFlight, f.usableServers, f.warmCapacity}
 	f.sumUsable(g)
 	is := [...]float64{f.inFlight, f.usableServers, f.warmCapacity}
 	f.inFlight, f.usableServers, f.warmCapacity = was[0], was[1], was[2]
-	if is[0] != busy || is[1] != usable || math.Abs(is[2]-power) > 1e-9 {
-		t.Fatalf("kept: %v busy, %v usable, %v power; a walk: %v, %v, %v", is[0], is[1], is[2], busy, usable, power)
+	if is[0] != inFlight || is[1] != usable || math.Abs(is[2]-capacity) > 1e-9 {
+		t.Fatalf("kept: %v in flight, %v usable, warm capacity %v; want by a full scan: %v, %v, %v", is[0], is[1], is[2], inFlight, usable, capacity)
 	}
 	if !slices.IsSortedFunc(g.queue, func(a, b *request) int { return cmp.Compare(b.worth(), a.worth()) }) {
-		t.Fatal("what waits for a server is not in order")
+		t.Fatal("the queue for servers is not in the order of worth")
 	}
 	if g.firms.Len() != len(g.customers) {
-		t.Fatalf("%d firms are looked at, %d are known", g.firms.Len(), len(g.customers))
+		t.Fatalf("%d firms are scheduled, want all %d that are known", g.firms.Len(), len(g.customers))
 	}
 	near := slices.Clone(f.nearestFirst)
 	slices.SortFunc(near, byID)
 	if !slices.Equal(f.list, list) || !slices.Equal(near, list) || !slices.Equal(f.withAttempts, working) || !slices.Equal(f.cold, cold) ||
 		!slices.IsSortedFunc(f.nearestFirst, func(a, b *server) int { return cmp.Compare(g.rendezvousRank(a), g.rendezvousRank(b)) }) {
-		t.Fatal("the lists of servers are not those of a walk")
+		t.Fatal("the lists of servers differ from those of a full scan")
 	}
 }
 
-// A hundred thousand firms that asked once are not looked at by the ticks, and are forgotten in the end.
+// A hundred thousand firms that sent one request each are not looked at in ticks, and are forgotten in the end.
 func TestQuietFirmsCostNothingPerTick(t *testing.T) {
 	g := New(testSettings(), 1)
 	now := time.Second
@@ -209,16 +210,16 @@
 		}
 	}
 	ticks(5 * time.Second)
-	if looks, whole, rest := len(g.firms.TakeDue(now+time.Second)), len(g.customers), len(g.dormant); looks != 0 || whole != 0 || rest != 100_000 {
-		t.Errorf("%d looks in a second at firms that are quiet; %d kept whole, %d at rest", looks, whole, rest)
+	if due, whole, dormant := len(g.firms.TakeDue(now+time.Second)), len(g.customers), len(g.dormant); due != 0 || whole != 0 || dormant != 100_000 {
+		t.Errorf("%d quiet firms due in a second, %d with a whole record, %d dormant; want 0, 0, 100000", due, whole, dormant)
 	}
 	ticks(2*customerIdleTimeout + time.Second)
 	if len(g.dormant)+len(g.dormantBefore) != 0 {
-		t.Error("firms at rest are never forgotten")
+		t.Errorf("%d dormant firms are not forgotten after twice the idle time-out", len(g.dormant)+len(g.dormantBefore))
 	}
 }
 
-// A firm that rests or is forgotten must not be looked at again: a second record of it would hold a second store.
+// A firm that is dormant or forgotten must not stay scheduled: a second record of it would hold a second token bucket.
 func TestDormantFirmIsNotScheduled(t *testing.T) {
 	for _, after := range []time.Duration{0, 2 * customerIdleTimeout} {
 		g := New(testSettings(), 1)
@@ -227,12 +228,12 @@
 		c.pending = 0
 		g.now += after
 		if !g.makeDormant(c) || len(g.customers) != 0 || g.firms.Len() != 0 {
-			t.Errorf("%v: %d known, %d are looked at", after, len(g.customers), g.firms.Len())
+			t.Errorf("after %v: %d firms known, %d scheduled; want none", after, len(g.customers), g.firms.Len())
 		}
 	}
 }
 
-// A firm that rested has no more than one that was kept whole, whatever changes of plans it slept through.
+// A firm that was dormant has no more units than one whose record was kept, whatever plans changed in the meantime.
 func TestDormancyGrantsNoExtraUnits(t *testing.T) {
 	for name, rates := range map[string][]float64{"none": nil, "raised": {300}, "lowered": {3}, "lowered and raised": {1, 30}, "raised and lowered": {300, 30}} {
 		var sent [2]int
@@ -265,8 +266,8 @@
 			g.Handle(now, ServerList{Whole: true, Servers: readyServers(4)})
 			burst(1)
 			ticks(5 * time.Second)
-			if rest := len(g.dormant); rest != 1-k {
-				t.Fatalf("%s: %d at rest", name, rest)
+			if dormant := len(g.dormant); dormant != 1-k {
+				t.Fatalf("%s: %d firms dormant, want %d", name, dormant, 1-k)
 			}
 			for _, rate := range rates {
 				book.plan.Rate, book.plan.Burst = rate, rate
@@ -276,19 +277,19 @@
 			sent[k] = burst(400)
 		}
 		if sent[0] > sent[1] || sent[1] == 0 || rates == nil && sent[0] != sent[1] {
-			t.Errorf("%s: %d units after a rest, %d if it was kept whole", name, sent[0], sent[1])
+			t.Errorf("%s: %d units after dormancy, %d if the record was kept", name, sent[0], sent[1])
 		}
 	}
 }
 
-// A thousand servers, of which half go in one list, all start anew, or all get new names: what is kept of them stays true,
-// nothing goes to one that is gone, and requests still find one.
+// A thousand servers, of which half are gone in one list, all start anew, or all get new IDs: what is kept about them stays true,
+// nothing is sent to one that is gone, and requests still find a server.
 func TestAThousandServersChangeAtOnce(t *testing.T) {
 	for name, change := range map[string]func(k int, s *Server, now time.Duration){
 		"half gone":    func(k int, s *Server, _ time.Duration) { s.State = []ServerState{Gone, Ready}[k%2] },
 		"all cold":     func(_ int, s *Server, now time.Duration) { s.Started = now },
 		"one hall new": func(k int, s *Server, now time.Duration) { s.Zone, s.Started = k%3, now*time.Duration(k%3/2) },
-		"all renamed":  func(_ int, s *Server, _ time.Duration) { s.ID += 1 << 20 },
+		"all new IDs":  func(_ int, s *Server, _ time.Duration) { s.ID += 1 << 20 },
 	} {
 		for _, gateways := range []int{3, 200} {
 			set := testSettings()
@@ -310,7 +311,7 @@
 					if a, ok := a.(Send); ok {
 						at := g.servers[a.Server]
 						if sent++; at == nil || at.State != Ready {
-							t.Fatalf("%s: sent to %d, which is gone", name, a.Server)
+							t.Fatalf("%s: sent to server %d, which is not ready", name, a.Server)
 						}
 						g.Handle(now, Outcome{ID: a.ID, Server: a.Server, Status: OK, Closed: true})
 					}
@@ -318,7 +319,7 @@
 				checkSums(t, g)
 			}
 			if sent < 200 {
-				t.Errorf("%s, %d gateways: %d of 300 requests were sent", name, gateways, sent)
+				t.Errorf("%s, %d gateways: %d of 300 requests were sent, want at least 200", name, gateways, sent)
 			}
 		}
 	}
@@ -355,17 +356,17 @@
 		handle(Timer{tickToken})
 	}
 	if held < n/2 {
-		t.Errorf("only %d were held: this shows little", held)
+		t.Errorf("only %d requests were held, want at least %d for a meaningful test", held, n/2)
 	}
 	for k, got := range answers {
 		if got != 1 {
-			t.Fatalf("request %d has %d answers", k, got)
+			t.Fatalf("request %d has %d answers, want 1", k, got)
 		}
 	}
 }
 
-// Keyed repeats that no server may take, since all of their zone drain, wait at the same cost however long the list is: each
-// event looks whether one of them may leave.
+// Keyed repeats that no server may take, since all of their zone drain, wait at the same cost however long the list of servers
+// is. Each event checks whether one of them may leave.
 func TestRepeatsThatNobodyMayTakeCostTheSameWithManyServers(t *testing.T) {
 	const few, many = 200, 40000
 	spent := func(servers int) time.Duration {
@@ -405,7 +406,7 @@
 			}
 		}
 		if waiting < 5 {
-			t.Fatalf("%d repeats wait", waiting)
+			t.Fatalf("%d repeats wait, want at least 5", waiting)
 		}
 		begun := time.Now()
 		for k := range 50 {
@@ -414,11 +415,11 @@
 		return time.Since(begun) / 50
 	}
 	least, most := spent(few), spent(many)
-	for range 2 { // what else the machine does counts for neither
+	for range 2 { // the least of three runs, so that other work on the machine counts for neither
 		least, most = min(least, spent(few)), min(most, spent(many))
 	}
 	t.Logf("%v a request with %d servers, %v with %d", least, few, most, many)
 	if most > 20*least {
-		t.Errorf("%v a request with %d servers, %v with %d", least, few, most, many)
+		t.Errorf("%v a request with %d servers, %v with %d: want at most 20 times as much", least, few, most, many)
 	}
 }
--- a/logic/example_test.go
+++ b/logic/example_test.go
@@ -7,7 +7,7 @@
 	"bramblefall/logic"
 )
 
-// A gateway hands the module each event with the time and carries out the actions in order.
+// The caller passes each event to the gateway with the time, and carries out the actions in order.
 func Example() {
 	g := logic.New(logic.Settings{
 		Gateways: 1, MaxAttempts: 3, Cancelling: true,
@@ -30,7 +30,7 @@
 		show(logic.Request{ID: id, Customer: 99, TTL: time.Second, Units: 1, Spread: 1})
 	}
 	now += 210 * time.Millisecond
-	show(logic.Timer{Token: 0}) // the module's clock: it sets its own timers
+	show(logic.Timer{Token: 0}) // the gateway's own tick, from the timer that it sets
 	// Output:
 	// 10s: send request 1 to server 7
 	// 10s: refuse request 4
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -15,39 +15,39 @@
 
 func TestForecastByHand(t *testing.T) {
 	c := &customer{interval: 2 * time.Second}
-	steps := []struct{ asked, drift, spread, forecast float64 }{
-		{20, 0, 0, 10},                                                  // a newcomer's first interval is no rise
+	steps := []struct{ demanded, meanChange, meanRise, forecast float64 }{
+		{20, 0, 0, 10},                                                  // the first interval of a new customer is no rise
 		{28, 1.2, 1.2, 14 + 1.2 + 2},                                    // change 4
-		{24, 0.7*1.2 - 0.6, 0.84, 12 + 0.24 + 1.4},                      // change -2: only the drift sees it
-		{0, 0.7*0.24 - 3.6, 0.7 * 0.84, 0},                              // change -12: no forecast below nothing
+		{24, 0.7*1.2 - 0.6, 0.84, 12 + 0.24 + 1.4},                      // change -2: it counts in the mean change, not in the rise
+		{0, 0.7*0.24 - 3.6, 0.7 * 0.84, 0},                              // change -12: the forecast is never below 0
 		{8, 0.7*-3.432 + 1.2, 0.7*0.588 + 1.2, 4 - 1.2024 + 1.6116/0.6}, // change 4
 	}
 	for k, s := range steps {
-		c.demanded = s.asked
+		c.demanded = s.demanded
 		c.updateForecast(1)
-		if !almostEqual(c.meanChange, s.drift) || !almostEqual(c.meanRise, s.spread) || !almostEqual(c.forecast, s.forecast) {
-			t.Errorf("interval %d: drift %v spread %v forecast %v, want %+v", k, c.meanChange, c.meanRise, c.forecast, s)
+		if !almostEqual(c.meanChange, s.meanChange) || !almostEqual(c.meanRise, s.meanRise) || !almostEqual(c.forecast, s.forecast) {
+			t.Errorf("interval %d: mean change %v, mean rise %v, forecast %v, want %+v", k, c.meanChange, c.meanRise, c.forecast, s)
 		}
 	}
 }
 
 func TestSplitByHand(t *testing.T) {
 	cases := []struct{ n, k, within, forecasts, f, want float64 }{
-		{3, 3, 16, 20, 12, 16},                                      // g = 8: forecasts 12, 4, 4; left 8, short 4: 12 and a third of 4... and so on
-		{3, 3, 24, 48, 32, 8},                                       // all want more than g: g
+		{3, 3, 16, 20, 12, 16},                                      // g = 8: forecasts 12, 4, 4; left 8, short 4: 12 and a third of the 4 left over (set below)
+		{3, 3, 24, 48, 32, 8},                                       // all forecast more than g: each gets g
 		{2, 2, 11, 27, 24, 8 + 5},                                   // forecasts 24 and 3: left 5, all of it to the one that is short
 		{3, 3, 20, 32, 16, 8 + 4*8/12.0},                            // forecasts 16, 12, 4: left 4, short 12, pro rata to f - min(f, g)
-		{3, 1, 8, 12, 12, 12 + (24 - 8 - 2*minReportedShare*8 - 4)}, // the quiet two are left their room
+		{3, 1, 8, 12, 12, 12 + (24 - 8 - 2*minReportedShare*8 - 4)}, // the room of the two quiet gateways is kept
 	}
 	cases[0].want = 12 + (24-16-4)/3.0
 	for _, c := range cases {
 		if got := splitQuota(c.n, c.k, c.within, c.forecasts, c.f, stepsPerEvenShare); !almostEqual(got, c.want) {
-			t.Errorf("%+v: %v", c, got)
+			t.Errorf("%+v: share %v, want %v", c, got, c.want)
 		}
 	}
 }
 
-// Parts taken from the same sums never add to more than the quota.
+// Shares taken from the same sums never add up to more than the quota.
 func TestSplitNeverExceedsTheQuota(t *testing.T) {
 	check := func(raw []uint8) bool {
 		if len(raw) < 2 {
@@ -82,7 +82,7 @@
 	c := &customer{gateways: 2, shares: 2, share: 4, plan: Plan{Rate: 8, Burst: 10}}
 	for _, s := range []struct{ rate, excess, want float64 }{
 		{0, 0, 0.25},                            // 1/B
-		{2, 0, 0.25},                            // below the part: no bonus
+		{2, 0, 0.25},                            // below the share: no bonus
 		{8, 0, 0.25 * (1 + pacingProportional)}, // S = 2B
 		{8, 5, 0.25 * (1 + pacingProportional + pacingIntegral)}, // E at its bound
 	} {
@@ -93,7 +93,7 @@
 	}
 }
 
-// A long surge must not leave long holds behind it: E is bounded to the local store.
+// A long surge must not cause long holds after it: E is bounded by the local bucket.
 func TestSurgeLeavesNoWindup(t *testing.T) {
 	b := newHarness(t, testSettings(), readyServers(40)...)
 	answer := func() {
@@ -105,27 +105,27 @@
 	})
 	c := b.g.customers[1]
 	if c.recentExcess > c.bucketSize() {
-		t.Errorf("E is %.1f, the store %.1f", c.recentExcess, c.bucketSize())
+		t.Errorf("E is %.1f, want at most the bucket of %.1f", c.recentExcess, c.bucketSize())
 	}
 	b.run(2*time.Second, answer)
 	if p := b.arrive(Request{Customer: 1, Units: 2}); !p.inFlight {
-		t.Errorf("two seconds after the surge a request still waits: %q", p.answer)
+		t.Errorf("two seconds after the surge a request is not sent at once, its answer is %q", p.answer)
 	}
 }
 
-// Held requests leave in order.
+// Held requests leave in the order of their arrival.
 func TestHeldLeaveInOrder(t *testing.T) {
 	b := newHarness(t, testSettings(), readyServers(40)...)
 	var ps []*trackedRequest
-	for range 7 { // the local store is 10 units, the part 10 a second
+	for range 7 { // the local bucket is 10 units, the share 10 a second
 		ps = append(ps, b.arrive(Request{Customer: 1, Units: 2}))
 	}
 	if !ps[4].inFlight || ps[5].inFlight || ps[6].inFlight {
-		t.Fatal("the store's five requests go at once, the rest is held")
+		t.Fatal("not just the five requests that the bucket covers were sent at once")
 	}
 	b.run(450*ms, nil)
 	if !ps[5].inFlight || !ps[6].inFlight || ps[5].sentAt >= ps[6].sentAt {
-		t.Errorf("held requests sent at %v and %v", ps[5].sentAt, ps[6].sentAt)
+		t.Errorf("held requests sent at %v and %v, want both sent, in order", ps[5].sentAt, ps[6].sentAt)
 	}
 	for range 9 {
 		p := b.arrive(Request{Customer: 1, Units: 2})
@@ -133,10 +133,10 @@
 			return
 		}
 	}
-	t.Error("no request was refused at once though its wait would pass its aim")
+	t.Error("no request was refused at once although its wait would exceed its aim")
 }
 
-// All gateways' turns add to the cap at any time: no two of them think that a slot is theirs.
+// The turns of all gateways add up to the cap at any time: no two of them take the same slot for theirs.
 func TestTurnsAddUpToTheCap(t *testing.T) {
 	for _, open := range []int{1, 2, 3, 5} {
 		for n := 2; n <= ownViewGateways; n++ {
@@ -147,15 +147,15 @@
 					sum += c.slotLimit(&Gateway{now: at, turnTime: maxTurnTime})
 				}
 				if sum != open {
-					t.Fatalf("cap %d, %d gateways, at %v: %d slots", open, n, at, sum)
+					t.Fatalf("cap %d, %d gateways, at %v: %d slots in all", open, n, at, sum)
 				}
 			}
 		}
 	}
 }
 
-// The same beside a rate, also for a firm that asks little: four gateways that each let one attempt out would pass a cap of
-// two. Where a part is a whole attempt or more, quiet gateways keep to it.
+// The same for a plan with a rate, also for a firm that asks for little: four gateways that each allow one attempt in flight
+// would exceed a cap of two. Where a share is a whole attempt or more, quiet gateways keep to it.
 func TestQuietGatewaysKeepTheCap(t *testing.T) {
 	for _, open := range []int{1, 2, 3, 5, 9} {
 		for n := 2; n <= ownViewGateways; n++ {
@@ -166,14 +166,14 @@
 					sum += c.slotLimit(&Gateway{now: at, turnTime: maxTurnTime, upstream: &upstream{latency: float64(100 * ms)}})
 				}
 				if sum > open || sum < open-open%n && open >= n || open < n && sum != open {
-					t.Fatalf("cap %d, %d gateways, at %v: %d slots", open, n, at, sum)
+					t.Fatalf("cap %d, %d gateways, at %v: %d slots in all", open, n, at, sum)
 				}
 			}
 		}
 	}
 }
 
-// Units tell a request's size: a server with one large attempt out has more to do than one with two small ones.
+// Units are a request's size: a server with one large attempt in flight has more to do than one with two small ones.
 func TestALargeAttemptWeighsMore(t *testing.T) {
 	for seed := range uint64(20) {
 		g := New(testSettings(), seed)
@@ -186,41 +186,41 @@
 		small.addAttempt(&request{Request: Request{Units: 1}})
 		small.addAttempt(&request{Request: Request{Units: 1}})
 		if g.leastLoaded(&request{upstream: f}, f.list, true) != small {
-			t.Fatalf("seed %d: the large attempt's server was chosen", seed)
+			t.Fatalf("seed %d: the server with the large attempt was chosen", seed)
 		}
 		if f.latency = float64(100 * ms); g.expectedLatency(&request{upstream: f, Request: Request{Units: 8}, class: Class{Aim: time.Second}}) != 400*ms {
-			t.Fatal("an attempt of four times the mean's units is expected to take four times as long")
+			t.Fatal("an attempt of four times the mean units is not expected to take four times the latency (400ms)")
 		}
 	}
 }
 
-// What is kept for dearer requests is a matter of two requests, however many units they take.
+// What is kept for requests of more worth is the units of two requests, however large they are.
 func TestUnitsKeptFollowTheSizeOfRequests(t *testing.T) {
-	// For one of half the best's worth, of a store of 10: half of two mean requests, and of half the store at most.
+	// For a request of half the best worth, of a bucket of 10: half of two mean requests, and at most half of half the bucket.
 	for units, want := range map[float64]float64{1: 1, 2: 2, 100: 2.5} {
 		c := &customer{plan: Plan{Rate: 10, Burst: 10}, gateways: 1, shares: 1, share: 1, demanded: 10, interval: time.Second, bestWorth: 2}
 		if got := c.keptForWorth(&request{class: Class{Worth: 1}}, &Gateway{meanRequestUnits: units}); !almostEqual(got, want) {
-			t.Errorf("%v units a request: %v kept, not %v", units, got, want)
+			t.Errorf("%v units a request: %v kept, want %v", units, got, want)
 		}
 	}
 }
 
-// A wait for the turn must leave time for an answer, whatever the deployment's aims are.
+// The wait for a turn must leave time for an answer, whatever the deployment's aims are.
 func TestTurnsAreShorterThanTheShortestAim(t *testing.T) {
 	for aim, want := range map[time.Duration]time.Duration{1500 * ms: 600 * ms, 750 * ms: 600 * ms, 200 * ms: 160 * ms, 0: tick} {
 		g := New(Settings{Classes: []Class{{Aim: 3 * time.Second}, {Aim: aim}}}, 1)
 		if g.turnTime != want {
-			t.Errorf("turns of %v at an aim of %v, not %v", g.turnTime, aim, want)
+			t.Errorf("turns of %v at an aim of %v, want %v", g.turnTime, aim, want)
 		}
 	}
 }
 
-// one plays intervals of a customer that asks at one gateway only, and answers counter calls with the sums.
+// runAlone plays six seconds of a customer that sends to one gateway only, and answers its counter calls.
 func runAlone(t *testing.T, answer func(Count) (Status, float64)) *harness {
 	b := newHarness(t, testSettings(), readyServers(40)...)
 	k := 0
 	b.run(6*time.Second, func() {
-		if k++; k%50 == 0 { // ten a second of two units: the whole gateway's g is ten units
+		if k++; k%50 == 0 { // ten requests a second of two units; g is ten units a second
 			b.arrive(Request{Customer: 1, Units: 2})
 		}
 		b.answerAttempts(20 * ms)
@@ -241,11 +241,11 @@
 		return OK, sums[c.Name]
 	})
 	if c := b.g.customers[1]; c.share < 18 {
-		t.Errorf("part %.1f of 30 after six seconds alone, asks 20", c.share)
+		t.Errorf("share %.1f of 30 after six seconds of a demand of 20 at this gateway alone, want at least 18", c.share)
 	}
 }
 
-// A silent, failing or emptied counter, and sums that make no sense, mean the even part.
+// Where the counter is silent, fails or loses its state, or its sums make no sense, the even share applies.
 func TestCounterFailureMeansEvenShare(t *testing.T) {
 	for name, answer := range map[string]func(Count) (Status, float64){
 		"timeout": func(Count) (Status, float64) { return Timeout, 0 },
@@ -257,24 +257,24 @@
 	} {
 		b := runAlone(t, answer)
 		if c := b.g.customers[1]; !almostEqual(c.share, 10) {
-			t.Errorf("%s: part %.2f, want the even 10", name, c.share)
+			t.Errorf("%s: share %.2f, want the even share of 10", name, c.share)
 		}
 		if name == "timeout" && len(b.counts) > 0 {
-			t.Errorf("calls left")
+			t.Errorf("%d counter calls are not answered", len(b.counts))
 		}
 	}
 }
 
-// While the counter fails, calls are few: the crowd must not come back with it.
+// While the counter fails, few calls are made: it must not be met by a crowd when it is back.
 func TestCallsBackOff(t *testing.T) {
 	calls := 0
 	runAlone(t, func(Count) (Status, float64) { calls++; return Full, 0 })
 	if calls > 5 {
-		t.Errorf("%d calls to a failing counter in six seconds", calls)
+		t.Errorf("%d calls to a failing counter in six seconds, want at most 5", calls)
 	}
 }
 
-// A server that takes work and answers nothing is left out before its attempts' time is up.
+// A server that takes requests and answers none is ejected before its attempts time out.
 func TestHungServerIsEjected(t *testing.T) {
 	b := newHarness(t, testSettings(), readyServers(4)...)
 	toIt := 0
@@ -302,10 +302,10 @@
 		}
 	}
 	if toIt > 20 {
-		t.Errorf("%d of %d attempts went to the silent server", toIt, len(b.sent))
+		t.Errorf("%d of %d attempts went to the hung server, want at most 20", toIt, len(b.sent))
 	}
 	if !b.g.servers[1].ejected {
-		t.Error("the silent server is not left out")
+		t.Error("the hung server is not ejected")
 	}
 }
 
@@ -321,7 +321,7 @@
 		q.ID, q.Spread = 1, -7
 		acts := b.g.Handle(b.now, q)
 		if len(acts) != 1 || acts[0] != (Refuse{ID: 1}) {
-			t.Errorf("%s: %+v", name, acts)
+			t.Errorf("%s: actions %+v, want one refusal", name, acts)
 		}
 	}
 }
@@ -337,11 +337,11 @@
 			lines++
 		}
 		if len([]rune(l)) > 110 {
-			t.Errorf("line %d has %d characters", k+1, len([]rune(l)))
+			t.Errorf("logic.go:%d has %d characters, want at most 110", k+1, len([]rune(l)))
 		}
 	}
 	if lines > 980 {
-		t.Errorf("%d non-blank lines", lines)
+		t.Errorf("logic.go has %d non-blank lines, want at most 980", lines)
 	}
 	files, err := os.ReadDir(".")
 	if err != nil {
@@ -357,11 +357,11 @@
 		}
 		for _, imp := range parsed.Imports {
 			path := strings.Trim(imp.Path.Value, `"`)
-			if path == "bramblefall/internal/schedule" { // a structure, which decides nothing
+			if path == "bramblefall/internal/schedule" { // a data structure, which decides nothing
 				continue
 			}
 			if strings.Contains(path, "bramblefall") || strings.Contains(path, ".") {
-				t.Errorf("%s imports %s", f.Name(), path)
+				t.Errorf("%s imports %s, want only the standard library", f.Name(), path)
 			}
 		}
 	}
--- a/logic/many_test.go
+++ b/logic/many_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// many is a gateway of two hundred; peers tells whether they can talk.
+// newManyGatewaysHarness is the harness of one of two hundred gateways; peers tells whether they can send messages to each other.
 func newManyGatewaysHarness(t *testing.T, peers bool) *harness {
 	set := testSettings()
 	set.Gateways, set.Peers = 200, peers
 	return newHarness(t, set, readyServers(30)...)
 }
 
-// reply answers the counter calls so far with one total.
+// answerCalls answers the counter calls so far, all with one total.
 func (b *harness) answerCalls(st Status, total float64) {
 	counts := b.counts
 	b.counts = nil
@@ -24,44 +24,44 @@
 	}
 }
 
-// A part far under one request must neither refuse a customer with quota left nor pass one that has none.
+// A customer whose share is far below one request must be neither refused while quota is left nor let through when none is.
 func TestDrawDecidesWhereAShareHoldsNoRequest(t *testing.T) {
 	for total, goes := range map[float64]bool{2: true, 30: true, 31: false} {
 		b := newManyGatewaysHarness(t, false)
 		b.g.callShare = 1
 		p := b.arrive(Request{Customer: 7, Units: 2})
 		if len(b.counts) != 1 || b.counts[0].Amount != 2 || p.inFlight || p.answer != "" {
-			t.Fatalf("calls %+v, out %v, answer %q", b.counts, p.inFlight, p.answer)
+			t.Fatalf("calls %+v, sent %v, answer %q; want one call of 2 units and no decision yet", b.counts, p.inFlight, p.answer)
 		}
 		b.answerCalls(OK, total)
 		if p.inFlight != goes {
-			t.Errorf("sum %v of 30: sent is %v", total, p.inFlight)
+			t.Errorf("sum %v of 30: sent %v, want %v", total, p.inFlight, goes)
 		}
 	}
 }
 
-// A counter that fails must not stop the first request that the even part, grown to its size, would let go.
+// While the counter fails, a first request that the even share allows (at least one request) must still be let through.
 func TestDrawWithoutACounter(t *testing.T) {
 	b := newManyGatewaysHarness(t, false)
 	b.g.callShare = 1
 	p := b.arrive(Request{Customer: 7, Units: 1})
 	b.answerCalls(Timeout, 0)
 	if !p.inFlight {
-		t.Error("not sent on the gateway's own part")
+		t.Error("the first request was not sent on the gateway's own share")
 	}
 	for range 20 {
 		b.arrive(Request{Customer: 7, Units: 1})
 		b.answerCalls(Timeout, 0)
 	}
 	if out := b.g.customers[7].inFlight; out < 1 || out > 30/maxOnDemandShares {
-		t.Errorf("%d requests out on a sixth of a burst of 30", out)
+		t.Errorf("%d requests in flight, want 1 to %v: a sixth of a burst of 30", out, 30/maxOnDemandShares)
 	}
 	if b.g.noCallsUntil <= b.now {
-		t.Error("calls go on to a silent counter")
+		t.Error("calls to a silent counter do not pause")
 	}
 }
 
-// A slot of a cap is given back once, when its attempt ends, to the count that it came from.
+// A slot of a cap is given back once, at the end of its attempt, to the count that it was drawn from.
 func TestSlotIsGivenBack(t *testing.T) {
 	b := newManyGatewaysHarness(t, true)
 	b.g.callShare = 1
@@ -88,32 +88,32 @@
 		}
 	}
 	if given != 1 {
-		t.Errorf("slot given back %d times", given)
+		t.Errorf("slot given back %d times, want once", given)
 	}
 	q := b.arrive(Request{Customer: 9, Plan: 1, Units: 1})
 	b.answerCalls(OK, 5)
 	if q.inFlight {
-		t.Error("a fifth attempt of four is out")
+		t.Error("a fifth attempt was sent on a cap of four")
 	}
 }
 
-// Clients that give up soon and repeat at once get what is left over: while others wait, their tries are refused.
+// Clients that give up soon and retry at once get what is left over: while other requests wait, their tries are refused.
 func TestImpatientRepeatsGetLeftovers(t *testing.T) {
 	b := newHarness(t, testSettings(), readyServers(8)...)
 	p := b.arrive(Request{Customer: 1, Units: 1})
 	b.end(p, OK)
 	if p := b.arrive(Request{Customer: 3, Units: 1, TTL: 300 * ms}); !p.inFlight {
-		t.Error("an impatient try was refused with all room left")
+		t.Error("an impatient try was not sent although there was room")
 	}
-	for range 6 { // the local store of ten is used to under its half
+	for range 6 { // the local bucket of ten falls below one half
 		b.arrive(Request{Customer: 2, Units: 1})
 	}
 	if p := b.arrive(Request{Customer: 2, Units: 1, TTL: 300 * ms}); p.answer != "refused" {
-		t.Errorf("an impatient try draws on a store half used: %q", p.answer)
+		t.Errorf("an impatient try at a bucket less than half full: answer %q, want refused", p.answer)
 	}
 }
 
-// Sums of many gateways fit one number that single precision holds, and their parts add to the quota at most.
+// The sums of many gateways fit one number of single precision, and their shares add up to the quota at most.
 func TestSumsOfManyGateways(t *testing.T) {
 	for _, n := range []float64{3, 15, 16, 21, 63, 127} {
 		c := &customer{gateways: n}
@@ -121,19 +121,19 @@
 		f := min(maxForecastSteps, float64(int(1023/n)))
 		total := pack(n, n*min(f, steps), n*f)
 		if float64(float32(total)) != total {
-			t.Errorf("%v gateways: %v does not fit", n, total)
+			t.Errorf("%v gateways: packed sum %v does not fit single precision", n, total)
 		}
 		k, within, forecasts := unpack(total)
 		if k != n || within != n*min(f, steps) || forecasts != n*f {
-			t.Errorf("%v gateways: read %v %v %v", n, k, within, forecasts)
+			t.Errorf("%v gateways: unpacked %v %v %v, want %v %v %v", n, k, within, forecasts, n, n*min(f, steps), n*f)
 		}
-		if part := splitQuota(n, k, within, forecasts, f, steps); n*part > n*steps+1e-9 {
-			t.Errorf("%v gateways: parts add to %v of %v", n, n*part, n*steps)
+		if share := splitQuota(n, k, within, forecasts, f, steps); n*share > n*steps+1e-9 {
+			t.Errorf("%v gateways: shares add up to %v of %v", n, n*share, n*steps)
 		}
 	}
 }
 
-// One bad answer must not lower the bound again and again where few come.
+// One bad answer must not lower the concurrency limit again and again where answers are few.
 func TestLimitIsCutOncePerAnswer(t *testing.T) {
 	b := newManyGatewaysHarness(t, true)
 	p := b.arrive(Request{Customer: 1, Units: 0.01})
@@ -147,18 +147,18 @@
 	b.end(p, OK)
 	b.run(3*time.Second, nil)
 	if b.g.limitPerServer < 0.75*before { // a second cut would leave less
-		t.Errorf("bound %.4f, before %.4f", b.g.limitPerServer, before)
+		t.Errorf("limit %.4f after one slow answer, %.4f before: want at most one cut", b.g.limitPerServer, before)
 	}
 }
 
-// Answers lost at random are no load: while the others come quickly the bound must not fall to its floor, or a
-// fleet with room refuses nearly all (daejeon-archive-later, L1aa4c5). Where all are slow it must still fall.
+// Answers lost at random are no overload: while the others come quickly the concurrency limit must not fall to its minimum, or
+// servers with room refuse nearly everything (daejeon-archive-later, L1aa4c5). Where all answers are slow it must still fall.
 func TestLostAnswersDoNotCutTheLimitToItsMinimum(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		lost        int // of ten
 		answer      time.Duration
-		least, most float64 // of the bound at the start
+		least, most float64 // share of the limit at the start
 	}{
 		{"four of ten lost", 4, 120 * ms, 0.7, 100},
 		{"all slow", 0, 550 * ms, 0, 0.5},
@@ -181,13 +181,13 @@
 			b.run(1200*ms, nil)
 		}
 		if share := b.g.limitPerServer / start; share < c.least || share > c.most {
-			t.Errorf("%s: the bound is %.2f of its start", c.name, share)
+			t.Errorf("%s: the limit is %.2f of its start, want %v to %v", c.name, share, c.least, c.most)
 		}
 	}
 }
 
-// A throttle must come back once its cause is gone: the share of calls made grows again with the answers, though a
-// gateway has few of them, and one failure in twenty must not press it to its floor.
+// Calls to a counter must be made again once the cause of throttling is gone: the share of calls made grows with the answers,
+// though one gateway gets few of them, and one failure in twenty must not press it to its minimum.
 func TestCallShareRecovers(t *testing.T) {
 	b := newManyGatewaysHarness(t, false)
 	b.g.callShare = minCallShare
@@ -203,20 +203,20 @@
 	}
 	play(160, 0)
 	if b.g.callShare < 0.9 {
-		t.Errorf("%.2f of the calls after 160 answers", b.g.callShare)
+		t.Errorf("share of calls %.2f after 160 answers, want at least 0.9", b.g.callShare)
 	}
 	play(2000, 20)
 	if b.g.callShare < 0.7 {
-		t.Errorf("%.2f of the calls with one in twenty turned away", b.g.callShare)
+		t.Errorf("share of calls %.2f with one in twenty turned away, want at least 0.7", b.g.callShare)
 	}
 	play(100, 2)
 	if b.g.callShare > 2*minCallShare {
-		t.Errorf("%.2f of the calls with every second turned away", b.g.callShare)
+		t.Errorf("share of calls %.2f with every second turned away, want at most %v", b.g.callShare, 2*minCallShare)
 	}
 }
 
-// A counter that nobody could reach tells nothing of the load that it bears: once it is back, as many calls are made as
-// before. One that turns calls away, or answers none of them in time, is spared as ever.
+// A counter that could not be reached says nothing about the load that it bears: once it is back, as many calls are made as
+// before. One that turns calls away, or answers none of them in time, is called less as ever.
 func TestCallShareIsRestoredAfterAnOutage(t *testing.T) {
 	for st, after := range map[Status]float64{ConnectFailed: 0.6, Full: 0.2, Timeout: 0.2} {
 		b := newManyGatewaysHarness(t, false)
@@ -226,13 +226,14 @@
 			b.handle(CountResult{Name: 1, Status: got})
 		}
 		if got := b.g.callShare; math.Abs(got-after) > 0.1 {
-			t.Errorf("after an outage that ended in %v the share of calls is %.2f, not about %.1f", st, got, after)
+			t.Errorf("after an outage that ended with status %v the share of calls is %.2f, want about %.1f", st, got, after)
 		}
 	}
 }
 
-// Intervals are calls: in a large fleet the sums of customers with few gateways must not take the counter from the
-// others' draws, so their interval is the burst length; few gateways have calls to spare and follow sooner.
+// Each interval costs calls. Where there are many gateways, the sums of customers that use few of them must not take the
+// counter's capacity from the draws of others, so their interval is the time to fill a burst. Few gateways have calls to spare
+// and follow sooner.
 func TestIntervalsSpareTheCounter(t *testing.T) {
 	for gateways, span := range map[int]time.Duration{3: maxInterval, 200: 5 * time.Second} {
 		set := testSettings()
@@ -246,8 +247,8 @@
 	}
 }
 
-// Many gateways that each send everywhere hold a connection each to every server, used once in a long while: servers
-// run out of them and pay for the handshakes. Each keeps to a few, and all together still reach all evenly.
+// If many gateways each send to all servers, each holds a connection to every server that is used once in a long while: servers
+// run out of connections and pay for the handshakes. So each keeps to a few, and all together still reach all servers evenly.
 func TestAGatewayOfManyKeepsToFewServers(t *testing.T) {
 	set := testSettings()
 	set.Gateways, set.HasCounter = 80, false
@@ -266,17 +267,18 @@
 			b.sent = b.sent[:0]
 		}
 		if len(own) > nearbyServers {
-			t.Fatalf("gateway %d used %d of 60 servers", rank, len(own))
+			t.Fatalf("gateway %d used %d of 60 servers, want at most %d", rank, len(own), nearbyServers)
 		}
 	}
 	for s := range ServerID(60) {
 		if n := all[s+1]; n < 20 || n > 200 {
-			t.Errorf("server %d got %d of %d", s+1, n, 80*60)
+			t.Errorf("server %d got %d of %d requests, want 20 to 200", s+1, n, 80*60)
 		}
 	}
 }
 
-// A gateway's own servers stay its own while others come and go: or each change would cost all gateways handshakes.
+// The servers that a gateway keeps to stay the same while others come and go: otherwise each change would cost all gateways
+// handshakes.
 func TestOwnServersStayWhenOthersGo(t *testing.T) {
 	b := newManyGatewaysHarness(t, false)
 	before := slices.Clone(b.g.nearestFirst[:nearbyServers])
@@ -284,13 +286,13 @@
 	gone.State = Gone
 	b.list(ServerList{Servers: []Server{gone}})
 	if !slices.Equal(before, b.g.nearestFirst[:nearbyServers]) || len(b.g.nearestFirst) != 29 {
-		t.Error("the order of those that stay has changed")
+		t.Error("the order of the servers that stay has changed, or the one that is gone is still listed")
 	}
 }
 
-// fleetOf plays one firm's requests through so many gateways that share a counter, and returns what was sent on of the
-// demand. Each gateway gets its share of weights; emptied is when the counter forgets all, killed when half of the
-// gateways start anew; each looks at the firm's stores after every request sent.
+// runGateways plays one firm's requests through several gateways that share a counter, and returns how many were sent on and how
+// many were made. Gateway k gets a share of the demand in proportion to 1/(k+1). The counter loses its state at the time emptied,
+// and half of the gateways are restarted at the time killed. each is called after every request that is sent.
 func runGateways(t *testing.T, p Plan, gateways int, demand func(at time.Duration) float64, d, emptied, killed time.Duration, each func(at time.Duration)) (sent, asked int) {
 	set := testSettings()
 	set.Gateways, set.Plans = gateways, []Plan{p}
@@ -299,7 +301,7 @@
 	for rank := range gates {
 		set.Rank = rank
 		gates[rank] = newHarness(t, set, readyServers(60)...)
-		gates[rank].g.callShare = 1 // a counter with room
+		gates[rank].g.callShare = 1 // the counter has room for all calls
 		weights += 1 / float64(rank+1)
 	}
 	totals, rng := map[uint64]float64{}, rand.New(rand.NewPCG(7, 7))
@@ -343,19 +345,19 @@
 
 var fullPlan = Plan{Rate: 14, Burst: 26, Price: 1.8, OverCost: 0.5, CeilingRate: 25, CeilingBurst: 44, CeilingSlack: 4}
 
-// A firm inside its quota whose requests come unevenly through 22 gateways must not be refused by the busy ones while
-// the parts of the others lie idle.
+// A firm within its quota whose requests come unevenly through 22 gateways must not be refused by the busy ones while the shares
+// of the others are idle.
 func TestUnevenRequestsOfManyGatewaysUseTheQuota(t *testing.T) {
-	for _, gateways := range []int{22, 60} { // a part holds a request, or not even that
+	for _, gateways := range []int{22, 60} { // a share holds a request, or not even that
 		sent, asked := runGateways(t, fullPlan, gateways, steadyDemand(12), 30*time.Second, -1, -1, func(time.Duration) {})
 		if sent < asked*95/100 {
-			t.Errorf("%d gateways: %d of %d sent on at 12 a second of a quota of 14", gateways, sent, asked)
+			t.Errorf("%d gateways: %d of %d requests sent at 12 a second on a quota of 14, want at least 95%%", gateways, sent, asked)
 		}
 	}
 }
 
-// What gateways draw together must keep to the quota in a flood, and to the ceiling also when the counter forgets and
-// gateways start anew at the same moment, and when each of them has drawn units for requests that are gone.
+// What gateways draw together in a flood must stay within the quota. It must stay within the ceiling also when the counter loses
+// its state and gateways restart at the same moment, and when each of them has drawn units for requests that are gone.
 func TestFloodThroughManyGatewaysKeepsTheCeiling(t *testing.T) {
 	const d = 20 * time.Second
 	pauses := func(at time.Duration) float64 {
@@ -368,29 +370,30 @@
 		gateways int
 		demand   func(time.Duration) float64
 		trouble  time.Duration
-		quota    float64 // that may be used
+		quota    float64 // units that may be used
 	}{
-		"steady":          {22, steadyDemand(110), -1, fullPlan.Burst + fullPlan.Rate*d.Seconds()},
-		"counter emptied": {22, steadyDemand(110), 10 * time.Second, fullPlan.Burst + fullPlan.Rate*d.Seconds()},
-		"with pauses, 40": {40, pauses, -1, 3*fullPlan.Burst + fullPlan.Rate*12}, // it is full again after a pause
-		"with pauses, 80": {80, pauses, -1, 3*fullPlan.Burst + fullPlan.Rate*12},
+		"steady":             {22, steadyDemand(110), -1, fullPlan.Burst + fullPlan.Rate*d.Seconds()},
+		"counter state lost": {22, steadyDemand(110), 10 * time.Second, fullPlan.Burst + fullPlan.Rate*d.Seconds()},
+		"with pauses, 40":    {40, pauses, -1, 3*fullPlan.Burst + fullPlan.Rate*12}, // the bucket is full again after a pause
+		"with pauses, 80":    {80, pauses, -1, 3*fullPlan.Burst + fullPlan.Rate*12},
 	} {
-		store, lowest, last := fullPlan.CeilingBurst, fullPlan.CeilingBurst, time.Duration(0)
+		level, lowest, last := fullPlan.CeilingBurst, fullPlan.CeilingBurst, time.Duration(0)
 		sent, _ := runGateways(t, fullPlan, c.gateways, c.demand, d, c.trouble, c.trouble, func(now time.Duration) {
-			store = min(store+fullPlan.CeilingRate*(now-last).Seconds(), fullPlan.CeilingBurst) - 1
-			last, lowest = now, min(lowest, store)
+			level = min(level+fullPlan.CeilingRate*(now-last).Seconds(), fullPlan.CeilingBurst) - 1
+			last, lowest = now, min(lowest, level)
 		})
-		t.Logf("%s: the ceiling's store at least %.1f, %d sent on of %.0f", name, lowest, sent, c.quota)
+		t.Logf("%s: the ceiling's bucket at least %.1f, %d sent on a quota of %.0f", name, lowest, sent, c.quota)
 		if lowest < -fullPlan.CeilingSlack {
-			t.Errorf("%s: the ceiling's store fell to %.1f", name, lowest)
+			t.Errorf("%s: the ceiling's bucket fell to %.1f, want at least %.1f", name, lowest, -fullPlan.CeilingSlack)
 		}
 		if s := float64(sent); s < 0.8*c.quota || s > 1.1*c.quota+3*fullPlan.Burst {
-			t.Errorf("%s: %d sent on, the quota is %.0f", name, sent, c.quota)
+			t.Errorf("%s: %d sent on a quota of %.0f, want %.0f to %.0f", name, sent, c.quota, 0.8*c.quota, 1.1*c.quota+3*fullPlan.Burst)
 		}
 	}
 }
 
-// The last calls go to the plan that is worth most: where the counter bears few, cheap plans must not use them up.
+// The last calls of the budget go to the plan of the highest price: where the counter bears few calls, cheap plans must not use
+// them up.
 func TestTheLastCallsAreForTheDearestPlan(t *testing.T) {
 	set := testSettings()
 	set.Gateways = 80
@@ -403,12 +406,12 @@
 	before := len(b.counts)
 	b.arrive(Request{Customer: 1, Plan: 1, Units: 1, Spread: 22})
 	if before == 0 || len(b.counts) != before+1 {
-		t.Errorf("%d calls for cheap firms, then %d for a dear one", before, len(b.counts)-before)
+		t.Errorf("%d calls for cheap firms, then %d for a dear one; want some, then 1", before, len(b.counts)-before)
 	}
 }
 
-// What has been refused by a server that drains or is gone has cost it nothing: it must not use up what may be tried
-// again, nor the room for others (discovery is late, and in a release a third of the tries end so).
+// An attempt that was refused by a server that drains or is gone has cost that server nothing. It must use up neither the retry
+// budget nor the room for others: discovery is late, and in a release a third of the tries end so.
 func TestTriesThatNeverRanCostLittle(t *testing.T) {
 	b := newManyGatewaysHarness(t, false)
 	b.set.HasCounter = false
@@ -425,16 +428,16 @@
 			served++
 		}
 		b.run(200*ms, nil)
-		for _, s := range b.g.list { // each is met once in a long while
+		for _, s := range b.g.list { // each server is tried once in a long while, so it starts anew
 			s.ejected, s.failureRate, s.backoff = false, 0, minEjectTime
 		}
 	}
 	if served < 55 {
-		t.Errorf("%d of 60 served at the third try", served)
+		t.Errorf("%d of 60 requests served at the third attempt, want at least 55", served)
 	}
 }
 
-// One of many gateways meets a server seldom: the first sign that it is gone must do, or each gateway pays for more.
+// Each of many gateways sends to a server seldom: the first sign that it is gone must be enough, or each gateway pays for more.
 func TestOneFailureEjectsAmongManyGateways(t *testing.T) {
 	for _, st := range []Status{Full, Timeout, Reset, ConnectFailed, Error, Spoilt} {
 		b := newManyGatewaysHarness(t, false)
@@ -443,13 +446,13 @@
 		at := p.server
 		b.end(p, st)
 		if !b.g.servers[at].ejected {
-			t.Errorf("status %d: the server is not left out", st)
+			t.Errorf("status %d: the server is not ejected", st)
 		}
 	}
 }
 
-// Where a whole hall is cut off, one of many gateways must not have to meet each of its servers; an answer from there
-// ends the suspicion, and after a while one more try finds out.
+// Where a whole hall is cut off, one of many gateways must not have to fail at each of its servers. An answer from there ends the
+// suspicion, and after a while one more attempt finds out.
 func TestLostHallIsAvoidedAtOnce(t *testing.T) {
 	set := testSettings()
 	set.Gateways, set.HasCounter = 80, false
@@ -474,7 +477,8 @@
 		b.run(20*ms, nil)
 	}
 	if toLost < lostZoneFailures || toLost > 2*lostZoneFailures || after > 1 {
-		t.Errorf("%d tries to the lost hall, %d after half of the time", toLost, after)
+		t.Errorf("%d attempts at the lost hall, want %d to %d; %d after half of the time, want at most 1", toLost, lostZoneFailures,
+			2*lostZoneFailures, after)
 	}
 	b.run(lostZoneRetry, nil)
 	for range 40 {
@@ -484,12 +488,12 @@
 		b.run(20*ms, nil)
 	}
 	if b.g.zoneLost(1, b.now) || b.g.halls[1].failures > 0 {
-		t.Error("the hall is not used again")
+		t.Error("the hall is not used again after it answers")
 	}
 }
 
-// A cold server takes its part of the fleet's work by what it can do, no less: where most servers are new, the few warm
-// ones jam if the others stand idle.
+// A cold server takes its share of the work by what it can do, and no less: where most servers are new, the few warm ones are
+// overloaded if the others are idle.
 func TestColdServersOfManyGatewaysTakeTheirShare(t *testing.T) {
 	set := testSettings()
 	set.Gateways, set.HasCounter = 80, false
@@ -514,14 +518,14 @@
 			b.sent = b.sent[:0]
 		}
 	}
-	// From 0.2 of its capacity at the start to 0.36 two seconds on.
+	// A cold server has 0.2 of its capacity at the start and 0.36 two seconds later.
 	if share := cold / 36 / (warm / 24); share < 0.18 || share > 0.45 {
-		t.Errorf("a cold server gets %.2f of what a warm one gets", share)
+		t.Errorf("a cold server gets %.2f of what a warm one gets, want 0.18 to 0.45", share)
 	}
 }
 
-// Units drawn under figures that are no longer in force are of no use: they must neither count for the new ones nor
-// divide by a rate that there is none of.
+// Units drawn under a plan that is no longer in force are of no use: they must not count for the new plan, and must not cause a
+// division by its rate, which may be 0.
 func TestDrawnUnitsOfAnOldPlanLapse(t *testing.T) {
 	for _, next := range []Plan{{Rate: 28, Burst: 52, Price: 1.8}, {Open: 3, Price: 1.8}} {
 		set := testSettings()
@@ -531,27 +535,27 @@
 		b.g.Use(book, nil)
 		b.arrive(Request{Customer: 7, Units: 1})
 		if len(b.counts) != 1 {
-			t.Fatalf("calls %+v", b.counts)
+			t.Fatalf("counter calls %+v, want one", b.counts)
 		}
 		book.plan = next
 		b.handle(PlansChanged{})
 		b.handle(CountResult{Name: b.counts[0].Name, Status: OK, Total: 1})
 		if c := b.g.customers[7]; c.drawnUnits != 0 || c.drawPending && next.Rate <= 0 {
-			t.Errorf("%+v: %v units are left of the old figures", next, c.drawnUnits)
+			t.Errorf("%+v: %v units are left of the old plan, draw pending %v; want none", next, c.drawnUnits, c.drawPending)
 		}
 	}
 }
 
-// All gateways hold a firm in the same way, whatever sizes of requests each has met: one that deals the quota out beside
-// others that draw on it would let the firm past its ceiling.
+// All gateways count a firm in the same way, whatever sizes of requests each has seen: one that deals the quota out beside others
+// that draw on it would let the firm exceed its ceiling.
 func TestAllGatewaysCountAFirmAlike(t *testing.T) {
-	draws := func(met float64, p Plan) bool {
+	dealtOut := func(units float64, p Plan) bool {
 		set := testSettings()
 		set.Gateways, set.Plans = 6, append(set.Plans, p)
 		b := newHarness(t, set, readyServers(30)...)
 		b.g.callShare = 1
 		for k := range 200 {
-			b.arrive(Request{Customer: uint64(100 + k), Plan: 2, Units: met, Spread: 2})
+			b.arrive(Request{Customer: uint64(100 + k), Plan: 2, Units: units, Spread: 2})
 			b.run(60*ms, func() { b.answerAttempts(50 * ms) })
 		}
 		b.g.callsLeft, b.counts = counterCallBurst, nil
@@ -562,13 +566,13 @@
 	for burst := 2.0; burst <= 100; burst += 2 {
 		p := fullPlan
 		p.Burst, p.CeilingBurst = burst, 2*burst
-		small, large := draws(1, p), draws(4, p)
+		small, large := dealtOut(1, p), dealtOut(4, p)
 		if small != large {
-			t.Errorf("burst of %v: dealt out is %v where requests are small and %v where they are large", burst, small, large)
+			t.Errorf("burst of %v: the quota is dealt out: %v where requests are small, %v where they are large; want the same", burst, small, large)
 		}
 		ways[small]++
 	}
 	if len(ways) < 2 {
-		t.Error("the bursts try one way only")
+		t.Error("the bursts of this test lead to one way of counting only, want both")
 	}
 }
--- a/logic/plans_test.go
+++ b/logic/plans_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// figures is a book whose one tier may change, and reserves that hold a few units.
+// fakeBook is a book whose one tier may change, and reserves that hold a few units.
 type fakeBook struct {
 	plan Plan
 	left float64
@@ -27,7 +27,7 @@
 
 func (f *fakeBook) Coming(time.Duration, uint64) bool { return false }
 
-// planned is a gateway of one, with a server, on a book.
+// planHarness plays one gateway with servers, on a book.
 type planHarness struct {
 	g    *Gateway
 	f    *fakeBook
@@ -69,7 +69,7 @@
 	b.handle(Request{ID: b.next, Customer: 7, TTL: 4 * time.Second, Units: 1, Spread: 1})
 }
 
-// pass moves time on by ticks.
+// pass lets time pass in ticks.
 func (b *planHarness) pass(d time.Duration) {
 	for until := b.now + d; b.now < until; {
 		b.now += tick
@@ -77,8 +77,8 @@
 	}
 }
 
-// No sequence of changes gives a firm a unit that the largest of the figures would not have given: at one instant no
-// more than the store held, over time no more than the rates in force, under the ceiling that is in force.
+// No sequence of changes gives a firm a unit that the largest of the plans would not have given: at one instant no more than the
+// bucket held, over time no more than the rates in force, under the ceiling that is in force.
 func TestNoSequenceOfChangesRefillsABucket(t *testing.T) {
 	draw := func(t *rapid.T) Plan {
 		p := Plan{Name: "full", Price: 1, Rate: rapid.SampledFrom([]float64{1, 5, 20}).Draw(t, "rate")}
@@ -92,7 +92,7 @@
 		p := draw(t)
 		b := newPlanHarness(p)
 		asked := 0
-		most, seen := 0.0, false // that all figures in force since the firm was first seen allow together
+		most, seen := 0.0, false // units allowed by all plans in force since the firm was first seen, taken together
 		ask := func() {
 			if !seen {
 				most, seen = p.Burst, true
@@ -102,7 +102,7 @@
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"change": func(t *rapid.T) {
-				most += p.Rate * tick.Seconds() // firms without held requests take it up within a tick
+				most += p.Rate * tick.Seconds() // firms without held requests take the change up within a tick
 				p = draw(t)
 				b.change(p)
 			},
@@ -117,7 +117,7 @@
 				b.change(p)
 				b.handle(Timer{Token: tickToken})
 				if c.level > level || c.ceiling > ceiling {
-					t.Fatalf("store %v to %v, ceiling %v to %v", level, c.level, ceiling, c.ceiling)
+					t.Fatalf("changes raised the bucket from %v to %v or the ceiling from %v to %v", level, c.level, ceiling, c.ceiling)
 				}
 			},
 			"flood": func(t *rapid.T) {
@@ -132,7 +132,7 @@
 			},
 			"": func(t *rapid.T) {
 				if b.sent > most+1e-6 {
-					t.Fatalf("%v sent on, %v allowed", b.sent, most)
+					t.Fatalf("%v units sent on, %v allowed", b.sent, most)
 				}
 			},
 		})
@@ -143,7 +143,8 @@
 	})
 }
 
-// A plan lowered in a burst: what is held and can no longer pass in time is refused at once, with an honest time.
+// A plan is lowered during a burst: held requests that can no longer be served in time are refused at once, with a true time to
+// come back.
 func TestALoweredPlanRefusesAtOnceWhatCannotPassAnyMore(t *testing.T) {
 	b := newPlanHarness(Plan{Name: "full", Rate: 20, Burst: 20, Price: 1})
 	for range 30 {
@@ -151,7 +152,7 @@
 	}
 	c := b.g.customers[7]
 	if len(c.held) == 0 {
-		t.Fatal("nothing is held")
+		t.Fatal("no request is held before the plan is lowered")
 	}
 	held, done := len(c.held), b.done
 	b.f.plan = Plan{Name: "full", Rate: 0.5, Burst: 1, Price: 1}
@@ -163,7 +164,7 @@
 		}
 	}
 	if len(after) == 0 || len(after) != b.done-done || len(c.held)+len(after) != held {
-		t.Fatalf("%d held, %d refused, %d held after", held, len(after), len(c.held))
+		t.Fatalf("%d held, then %d refused and %d held; want some refused and none lost", held, len(after), len(c.held))
 	}
 	for _, d := range after {
 		if d <= 0 {
@@ -172,7 +173,7 @@
 	}
 }
 
-// Limiters on different figures never read one another's sums: the names of their counts differ, and agree again when
+// Gateways with different figures of a plan never read each other's sums: the names of their counts differ, and agree again when
 // the figures do.
 func TestCountNamesDifferByPlanFigures(t *testing.T) {
 	p := Plan{Name: "full", Rate: 20, Burst: 20, Price: 1}
@@ -181,30 +182,30 @@
 	b.ask()
 	name := func(x *planHarness) uint64 { return x.g.customers[7].countName(forecastSums) }
 	if name(a) != name(b) {
-		t.Fatal("the same figures, other names")
+		t.Fatal("the same figures give different names")
 	}
 	p.Rate = 10
 	a.change(p)
 	a.ask()
 	if name(a) == name(b) {
-		t.Fatal("other figures, the same name")
+		t.Fatal("different figures give the same name")
 	}
 	b.change(p)
 	b.pass(tick)
 	a.pass(tick)
 	if name(a) != name(b) {
-		t.Fatal("the same figures again, other names")
+		t.Fatal("the same figures again give different names")
 	}
 	p.Price = 3
 	a.change(p)
 	a.pass(tick)
 	b.pass(tick)
 	if name(a) != name(b) {
-		t.Fatal("a price changes no count")
+		t.Fatal("a change of the price changed the name of a count")
 	}
 }
 
-// A reservation lets requests go that the store does not hold, under the ceiling all the same.
+// A reservation lets requests through that the bucket does not hold, and the ceiling holds all the same.
 func TestReservationIsWithinQuotaAndUnderTheCeiling(t *testing.T) {
 	b := newPlanHarness(Plan{Name: "full", Rate: 1, Burst: 2, Price: 1})
 	b.f.left = 10
@@ -212,7 +213,7 @@
 		b.ask()
 	}
 	if b.sent != 12 {
-		t.Fatalf("%v sent on, a store of 2 and a reservation of 10", b.sent)
+		t.Fatalf("%v units sent on, want 12: a bucket of 2 and a reservation of 10", b.sent)
 	}
 	b = newPlanHarness(Plan{Name: "full", Rate: 1, Burst: 2, Price: 1, CeilingRate: 1, CeilingBurst: 5, CeilingSlack: 4})
 	b.f.left = 100
@@ -220,6 +221,6 @@
 		b.ask()
 	}
 	if b.sent > 4 {
-		t.Fatalf("%v sent on over a fresh ceiling of 3.6", b.sent)
+		t.Fatalf("%v units sent on, want at most 4: a new ceiling bucket holds 3.6", b.sent)
 	}
 }
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// bench checks the rules of one gateway while a test plays its world.
+// harness checks the rules of one gateway while a test plays its clients, servers and counter.
 type harness struct {
 	t                *testing.T
 	g                *Gateway
@@ -36,7 +36,7 @@
 	now              time.Duration
 	requests         map[uint64]*trackedRequest
 	servers          map[ServerID]Server
-	unavailableSince map[ServerID]time.Duration // when a server was told to be draining or gone
+	unavailableSince map[ServerID]time.Duration // when the list said that a server drains or is gone
 	timers           []timer
 	counts           []Count
 	probes           []Probe
@@ -57,7 +57,7 @@
 	firstRunAt     time.Duration
 	sentAt         time.Duration
 	timeout        time.Duration
-	retryAfter     time.Duration // of a refusal: when to come back
+	retryAfter     time.Duration // of a refusal
 	cancelled      bool
 }
 
@@ -113,7 +113,7 @@
 
 func (b *harness) end(p *trackedRequest, st Status) {
 	if !p.inFlight {
-		b.t.Fatalf("request %d has no attempt out", p.ID)
+		b.t.Fatalf("request %d has no attempt in flight that could end", p.ID)
 	}
 	p.inFlight = false
 	if st != Full && st != ConnectFailed && st != Moot && st != Unsent && st != Late && !p.mayHaveRun {
@@ -127,7 +127,7 @@
 		Closed: closed})
 }
 
-// sentTo appends the time for each attempt just sent to a server.
+// sentTo appends the present time for each attempt that was just sent to a server.
 func (b *harness) sentTo(id ServerID, times []time.Duration) []time.Duration {
 	for _, s := range b.sent {
 		if s == id {
@@ -137,7 +137,7 @@
 	return times
 }
 
-// answer ends well what has been out for so long.
+// answerAttempts ends with OK all attempts that have been in flight for so long.
 func (b *harness) answerAttempts(after time.Duration) {
 	for id := uint64(1); id <= b.nextID; id++ {
 		if p := b.requests[id]; p != nil && p.inFlight && b.now-p.sentAt >= after {
@@ -161,19 +161,19 @@
 		case p == nil || p.answer != "":
 			b.t.Fatalf("%v: sent request %d after its end", b.now, a.ID)
 		case p.inFlight:
-			b.t.Fatalf("%v: request %d has two attempts out", b.now, a.ID)
+			b.t.Fatalf("%v: request %d has two attempts in flight", b.now, a.ID)
 		case !known:
 			b.t.Fatalf("%v: server %d is not on the list", b.now, a.Server)
 		case s.State != Ready:
-			b.t.Fatalf("%v: sent to server %d, told %v to be draining or gone", b.now, a.Server, b.unavailableSince[a.Server])
+			b.t.Fatalf("%v: sent to server %d, which drains or is gone since %v", b.now, a.Server, b.unavailableSince[a.Server])
 		case p.attempts >= b.set.MaxAttempts:
-			b.t.Fatalf("request %d: too many attempts", a.ID)
+			b.t.Fatalf("request %d: sent after %d attempts, the most allowed", a.ID, p.attempts)
 		case p.mayHaveRun && b.set.Classes[p.Class].Effect == Unsafe:
-			b.t.Fatalf("unsafe request %d sent twice", a.ID)
+			b.t.Fatalf("unsafe request %d sent again after it may have run", a.ID)
 		case p.mayHaveRun && b.set.Classes[p.Class].Effect == Keyed:
 			c := b.set.Classes[p.Class]
 			if c.KeyGroup == GroupCell && s.Cell != b.servers[p.firstRunServer].Cell || b.now-p.firstRunAt > c.KeyTTL {
-				b.t.Fatalf("keyed request %d repeated outside its group or window", a.ID)
+				b.t.Fatalf("keyed request %d repeated at a server of another group or after its key expired", a.ID)
 			}
 		}
 		p.inFlight, p.server, p.sentAt, p.timeout, p.cancelled = true, a.Server, b.now, a.Timeout, false
@@ -197,7 +197,7 @@
 	case Cancel:
 		p := b.requests[a.ID]
 		if p == nil || a.Attempt >= p.attempts {
-			b.t.Fatalf("cancelled an attempt that never was: %+v", a)
+			b.t.Fatalf("cancelled an attempt that was not made: %+v", a)
 		}
 		p.cancelled = true
 	case SetTimer:
@@ -242,7 +242,7 @@
 	}
 }
 
-// A request that cannot be served safely must still get exactly one answer, whatever comes or does not come.
+// A request that cannot be served safely must still get exactly one answer, whatever events come or do not come.
 func TestRandomEventsKeepTheRules(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { playRandom(t, seed) })
@@ -293,7 +293,7 @@
 			b.handle(ProbeResult{Server: p.Server, Status: statuses[rng.IntN(9)], Load: []float64{rng.NormFloat64()}})
 		}
 		b.probes = b.probes[:0]
-		// Events of things unknown, repeated or long over change nothing.
+		// Events about unknown requests, timers and counts, or about those that are over, change nothing.
 		b.handle(Outcome{ID: uint64(rng.IntN(1 << 20)), Attempt: 0, Server: 3, Status: OK})
 		b.handle(Timer{Token: uint32(1 << 30)})
 		b.handle(CountResult{Name: rng.Uint64(), Total: 5})
@@ -310,11 +310,11 @@
 		out += s.inFlight
 	}
 	if g := b.g; len(g.requests) != 0 || len(g.tokens) != 0 || len(g.queue) != 0 || out != 0 {
-		t.Errorf("left behind: %d requests, %d tokens, %d queued, %d out", len(g.requests), len(g.tokens), len(g.queue), out)
+		t.Errorf("left behind: %d requests, %d tokens, %d queued, %d in flight; want none", len(g.requests), len(g.tokens), len(g.queue), out)
 	}
 	b.run(customerIdleTimeout+2*time.Second, nil)
 	if g := b.g; len(g.customers) != 0 || g.firms.Len() != 0 {
-		t.Errorf("%d customers kept after a minute's rest", len(g.customers))
+		t.Errorf("%d customers known and %d scheduled after the idle time-out, want none", len(g.customers), g.firms.Len())
 	}
 }
 
@@ -323,7 +323,7 @@
 		class  int
 		status Status
 		resend bool
-		answer string // when nothing more can be sent
+		answer string // the final one, when nothing more can be sent
 	}{
 		{0, Error, true, "refused"}, {0, Reset, true, "refused"}, {0, Full, true, "refused"},
 		{1, Error, true, "failed"}, {1, Full, true, "refused"}, {1, Timeout, true, "failed"},
@@ -341,10 +341,10 @@
 		b.end(p, c.status)
 		b.run(20*ms, nil)
 		if p.inFlight != c.resend || !c.resend && p.answer != c.answer {
-			t.Errorf("class %d, status %d: sent again %v, answer %q", c.class, c.status, p.inFlight, p.answer)
+			t.Errorf("class %d, status %d: sent again %v, answer %q; want %v, %q", c.class, c.status, p.inFlight, p.answer, c.resend, c.answer)
 		}
 		if c.resend {
-			b.list(ServerList{Whole: true}) // nowhere left to go
+			b.list(ServerList{Whole: true}) // no servers are left
 			b.end(p, c.status)
 			b.run(2*time.Second, nil)
 			if p.answer != c.answer {
@@ -354,18 +354,19 @@
 	}
 }
 
-// A draining or gone server must get nothing new, at once: the grace is for news on its way, not for us.
+// A server that drains or is gone must get nothing new, at once: the grace period is for news that is on its way, not for a
+// gateway that knows.
 func TestDrainAtOnce(t *testing.T) {
 	b := newHarness(t, testSettings(), readyServers(2)...)
 	b.list(ServerList{Servers: []Server{{ID: 1, Weight: 1, State: Draining}}})
 	for k := range 3 {
 		if p := b.arrive(Request{Customer: uint64(k), Units: 1}); p.inFlight && p.server != 2 {
-			t.Fatalf("sent to server %d", p.server)
+			t.Fatalf("sent to server %d, want 2: server 1 drains", p.server)
 		}
 	}
 	b.list(ServerList{Whole: true, Servers: []Server{{ID: 3, Weight: 1, State: Ready}}})
 	if p := b.arrive(Request{Customer: 11, Units: 1}); !p.inFlight || p.server != 3 {
-		t.Errorf("server 2 is missing from a whole list, yet the request went to %d", p.server)
+		t.Errorf("sent %v, to server %d; want server 3, since server 2 is not in the whole list", p.inFlight, p.server)
 	}
 }
 
@@ -375,11 +376,11 @@
 	u := b.arrive(Request{Class: 2, Units: 1})
 	b.run(2100*ms, nil)
 	if p.answer != "refused" || u.answer != "refused" {
-		t.Errorf("answers %q and %q", p.answer, u.answer)
+		t.Errorf("answers %q and %q without servers, want refused", p.answer, u.answer)
 	}
 }
 
-// A cold server must not get more than its share from all gateways together, in any window of the rule.
+// A cold server must not get more than its share from all gateways together, in any window of the rule (Settings.Fall).
 func TestColdBudget(t *testing.T) {
 	set := testSettings()
 	list := readyServers(5)
@@ -394,7 +395,7 @@
 		times = b.sentTo(1, times)
 		b.sent = b.sent[:0]
 	})
-	// 100 requests a second on five servers: 20 to 25 for each warm one.
+	// 100 requests a second to five servers: 20 to 25 for each warm one.
 	for k := range times {
 		n := 0
 		for _, at := range times[k:] {
@@ -404,15 +405,15 @@
 		}
 		age := (times[k] + set.Fall - 4900*ms).Seconds()
 		if most := 25*(0.2+0.8*age/10) + 2; float64(n) > most {
-			t.Fatalf("%d sends in the window from %v, most %.1f", n, times[k], most)
+			t.Fatalf("%d attempts in the window from %v, want at most %.1f", n, times[k], most)
 		}
 	}
 	if len(times) < 4 {
-		t.Errorf("only %d sends: a cold server is to be warmed", len(times))
+		t.Errorf("%d attempts at the cold server, want at least 4 for it to warm up", len(times))
 	}
 }
 
-// Each gateway alone keeps its part of the ceiling, whatever the counter does; a restart does not fill it.
+// Each gateway keeps to its share of the ceiling by itself, whatever the counter does, and a restart does not refill that share.
 func TestCeilingAcrossGateways(t *testing.T) {
 	set := testSettings()
 	var gates []*harness
@@ -422,9 +423,9 @@
 		gates = append(gates, newHarness(t, s, readyServers(40)...))
 	}
 	p := set.Plans[2]
-	store, lowest := p.CeilingBurst, p.CeilingBurst
+	level, lowest := p.CeilingBurst, p.CeilingBurst
 	for step := range 3000 { // 6 s
-		store = min(store+p.CeilingRate*0.002, p.CeilingBurst)
+		level = min(level+p.CeilingRate*0.002, p.CeilingBurst)
 		for k, b := range gates {
 			if k == 1 && step == 1500 { // killed and started again
 				now := b.now
@@ -438,26 +439,26 @@
 			for id := uint64(1); id <= b.nextID; id++ {
 				q := b.requests[id]
 				if q != nil && q.inFlight && q.sentAt == b.now && q.attempts == 1 {
-					store -= q.Units
+					level -= q.Units
 				}
 				if q != nil && q.inFlight && b.now-q.sentAt >= 10*ms {
 					b.end(q, OK)
 				}
 			}
-			b.counts = nil // silent
+			b.counts = nil // the counter is silent
 		}
-		lowest = min(lowest, store)
+		lowest = min(lowest, level)
 	}
 	if lowest < -p.CeilingSlack {
-		t.Errorf("the store fell to %.1f, slack %.1f", lowest, p.CeilingSlack)
+		t.Errorf("the ceiling's bucket fell to %.1f, want at least %.1f", lowest, -p.CeilingSlack)
 	}
 	if lowest > 0.9*p.CeilingBurst {
-		t.Errorf("the store stayed at %.1f: nothing was tried", lowest)
+		t.Errorf("the ceiling's bucket stayed at %.1f or more: the test did not use it", lowest)
 	}
 }
 
-// A server that turns every request away at once has nothing out and looks idle: it must not draw the traffic,
-// nor pull down the bound on what is out at the healthy ones.
+// A server that turns every request away at once has nothing in flight and looks idle: it must neither attract the traffic nor
+// lower the concurrency limit of the healthy ones.
 func TestServerThatTurnsAllAway(t *testing.T) {
 	b := newHarness(t, testSettings(), readyServers(4)...)
 	limit := b.g.limitPerServer
@@ -469,18 +470,18 @@
 			b.end(p, Full)
 			toIt++
 		}
-		if p.inFlight { // healthy servers need longer than the one that only says no
+		if p.inFlight { // healthy servers take longer than the one that turns all away
 			b.now += 120 * ms
 			b.end(p, OK)
 		}
 	}
 	if toIt > 30 || b.g.limitPerServer < limit {
-		t.Errorf("%d of 200 requests tried the server that turns all away, bound %.2f, before %.2f", toIt, b.g.limitPerServer, limit)
+		t.Errorf("%d of 200 requests tried the server that turns all away, want at most 30; limit %.2f, before %.2f", toIt, b.g.limitPerServer, limit)
 	}
 }
 
-// Twenty, thirty or sixty gateways that each have saved an attempt for a cold server must not all send it in one window: it gets no
-// more than what the warm one takes, scaled to the capacity that it surely has.
+// Twenty to sixty gateways that each have saved an attempt for a cold server must not all send it in one window: the server gets
+// no more than what the warm one takes, scaled to the capacity that it surely has.
 func TestManyGatewaysAtAColdServer(t *testing.T) {
 	for _, gateways := range []int{20, 25, 30, 60} {
 		t.Run(fmt.Sprint(gateways), func(t *testing.T) { t.Parallel(); checkColdServer(t, gateways) })
@@ -525,16 +526,16 @@
 		}
 		capacity := 0.2 + 0.8*(from-4900*ms).Seconds()/10
 		if n, most := window(times, from), 1.2*capacity*window(warm, from)+4; n > most {
-			t.Fatalf("%.0f sends to the cold server within %v of %v, at most %.0f", n, set.Fall, from, most)
+			t.Fatalf("%.0f attempts at the cold server within %v of %v, want at most %.0f", n, set.Fall, from, most)
 		}
 	}
 	if len(times) == 0 {
-		t.Error("the cold server got nothing")
+		t.Error("the cold server got no attempt")
 	}
 }
 
-// After a jam the mean latency says for long how bad it was. Room must not wait for it, or so few attempts go that it
-// never mends (incident ieaf37c).
+// After congestion the mean latency stays high for long. The refill of send tokens must not wait for it to fall, or so few
+// attempts go that it never does (incident ieaf37c).
 func TestSendTokensRefillAfterCongestion(t *testing.T) {
 	set := testSettings()
 	set.Gateways = 78
@@ -544,13 +545,13 @@
 	b.g.idleLatency, b.g.latency = float64(100*ms), float64(3*time.Second)
 	b.run(time.Second, nil)
 	if b.g.sendTokens < 1 {
-		t.Errorf("room for %.2f attempts a second after the jam", b.g.sendTokens)
+		t.Errorf("%.2f send tokens a second after the congestion, want at least 1", b.g.sendTokens)
 	}
 }
 
-// Where all servers are slow at once, each attempt takes as long with few out as with many: the bound must leave out what
-// was in service before, or the servers' cores stand idle while nearly all is refused (nadi-yard, big-1). Where attempts
-// queue in the servers it must still fall.
+// Where all servers are slow at once, each attempt takes as long with few in flight as with many: the concurrency limit must
+// still allow what was in service before, or the servers' cores are idle while nearly everything is refused (nadi-yard, big-1).
+// Where attempts queue in the servers it must still fall.
 func TestUniformlySlowServersStayBusy(t *testing.T) {
 	mean := func(latency func(out int) time.Duration) float64 {
 		b := newHarness(t, testSettings(), readyServers(6)...)
@@ -568,19 +569,19 @@
 		return float64(sum) / 500
 	}
 	if out := mean(func(int) time.Duration { return 800 * ms }); out < 4 {
-		t.Errorf("%.1f attempts out, 5 were in service before", out)
+		t.Errorf("%.1f attempts in flight, want at least 4: 5 were in service before", out)
 	}
 	if out := mean(func(out int) time.Duration { return time.Duration(max(out, 4)) * 150 * ms }); out > 8 {
-		t.Errorf("%.1f attempts out at servers that serve four at a time", out)
+		t.Errorf("%.1f attempts in flight at servers that serve four at a time, want at most 8", out)
 	}
 }
 
-// A request given up on must get its answer at once, with a time to come back: one that waits behind others, or for
-// servers that may take it no more, would only keep its client from asking elsewhere.
+// A request that has no chance any more must get its answer at once, with a time to come back: one that waits behind others, or
+// for servers that may no longer take it, would only keep its client from asking elsewhere.
 func TestHopelessRequestIsAnsweredAtOnce(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].Late, set.Classes[1].Late = 0, 0
-	full := func(b *harness) { // all room taken by attempts that are not answered
+	full := func(b *harness) { // all room is taken by attempts that are not answered
 		b.g.limitPerServer, b.g.unseenShare = 1/float64(set.Gateways), 0
 		for k := range 40 {
 			b.arrive(Request{Customer: uint64(100 + k), Units: 1, Class: 2})
@@ -588,7 +589,7 @@
 	}
 	for _, c := range []struct {
 		name   string
-		answer time.Duration // at the latest, after the arrival
+		answer time.Duration // time after the arrival by which it must be answered
 		play   func(b *harness) *trackedRequest
 	}{
 		{"behind a held one with more time", tick, func(b *harness) *trackedRequest {
@@ -602,7 +603,7 @@
 			full(b)
 			return b.arrive(Request{Customer: 1, Units: 1, Class: 1})
 		}},
-		{"draws spent", tick, func(b *harness) *trackedRequest {
+		{"no draws left", tick, func(b *harness) *trackedRequest {
 			p := b.arrive(Request{Customer: 1, Units: 1})
 			r := b.g.requests[p.ID]
 			b.end(p, Full)
@@ -615,7 +616,7 @@
 			}
 			return p
 		}},
-		{"stale among others", tick, func(b *harness) *trackedRequest {
+		{"late try among others", tick, func(b *harness) *trackedRequest {
 			full(b)
 			b.arrive(Request{Customer: 1, Units: 1, Class: 1})
 			return b.arrive(Request{Customer: 1, Units: 1, Class: 1, TTL: 300 * ms})
@@ -625,15 +626,15 @@
 		p := c.play(b)
 		b.run(c.answer, nil)
 		if p.answer != "refused" || p.retryAfter <= 0 {
-			t.Errorf("%s: answer %q after %v, come back in %v", c.name, p.answer, c.answer, p.retryAfter)
+			t.Errorf("%s: answer %q after %v, retry after %v; want refused with a time above 0", c.name, p.answer, c.answer, p.retryAfter)
 		}
 	}
 }
 
-// A keyed repeat whose window has closed can go nowhere: it must fail then, not near the client's deadline.
+// A keyed repeat whose key has expired can go to no server: it must fail then, not near the client's deadline.
 func TestExpiredKeyIsAnsweredAtOnce(t *testing.T) {
 	set := testSettings()
-	set.Classes[1].Aim = set.Classes[1].Deadline // so that only the window ends it
+	set.Classes[1].Aim = set.Classes[1].Deadline // so that only the key's expiry ends it
 	b := newHarness(t, set, readyServers(2)...)
 	p := b.arrive(Request{Customer: 1, Units: 1, Class: 1})
 	if !p.inFlight {
@@ -644,11 +645,11 @@
 	b.end(p, Error)
 	b.run(set.Classes[1].KeyTTL-40*ms, nil)
 	if p.answer != "failed" {
-		t.Errorf("answer %q with the window closed", p.answer)
+		t.Errorf("answer %q after the key expired, want failed", p.answer)
 	}
 }
 
-// Where servers have room for some only, what waits goes by its worth: in a jam the same work must earn the most.
+// Where servers have room for some requests only, the queue goes by worth: under congestion the same work must earn the most.
 func TestHighestWorthIsSentFirst(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].Worth, set.Classes[1].Worth = 2, 5
@@ -665,11 +666,11 @@
 	b.end(b.requests[1], OK)
 	b.run(tick, nil)
 	if !dear.inFlight || cheap[4].inFlight {
-		t.Errorf("the dear request is out: %v, a cheap one before it: %v", dear.inFlight, cheap[4].inFlight)
+		t.Errorf("request of high worth sent: %v, one of low worth sent before it: %v; want true, false", dear.inFlight, cheap[4].inFlight)
 	}
 }
 
-// A process that stood still gets old answers late, and its timers with them: no server is to blame.
+// A process that was paused gets old answers late, and its timers with them: no server is to blame.
 func TestProcessPauseBlamesNoServer(t *testing.T) {
 	b := newHarness(t, testSettings(), readyServers(10)...)
 	b.run(5*time.Second, func() {
@@ -679,12 +680,12 @@
 	limit, latency := b.g.upstream.limitPerServer, b.g.upstream.latency
 	var out []*trackedRequest
 	for k := range 10 {
-		if p := b.arrive(Request{Customer: uint64(100 + k), Units: 1}); p.inFlight { // firms with room
+		if p := b.arrive(Request{Customer: uint64(100 + k), Units: 1}); p.inFlight { // these firms have quota left
 			out = append(out, p)
 		}
 	}
 	if len(out) == 0 {
-		t.Fatal("nothing was out in the pause")
+		t.Fatal("no attempt was in flight during the pause")
 	}
 	b.now += 3 * time.Second
 	for k, p := range out {
@@ -692,16 +693,16 @@
 	}
 	b.run(100*ms, func() { b.answerAttempts(50 * ms) })
 	if f := b.g.upstream; f.limitPerServer < limit || f.latency > latency {
-		t.Errorf("the bound went from %v to %v, the latency from %v to %v", limit, f.limitPerServer, latency, f.latency)
+		t.Errorf("a pause took the limit from %v to %v, the latency from %v to %v; want neither worse", limit, f.limitPerServer, latency, f.latency)
 	}
 	for _, s := range b.g.servers {
 		if s.ejected {
-			t.Errorf("server %d is left out", s.ID)
+			t.Errorf("server %d is ejected after a pause of this process", s.ID)
 		}
 	}
 }
 
-// Before the first tick, and after a pause, a good answer speaks for its server as ever: only its time tells nothing.
+// Before the first tick, and after a pause, a good answer counts for its server as ever: only its latency says nothing.
 func TestGoodAnswerAfterAPauseCounts(t *testing.T) {
 	b := newHarness(t, testSettings(), readyServers(1)...)
 	s := b.g.servers[1]
@@ -709,31 +710,31 @@
 		b.nextID++
 		p := b.arrive(Request{Customer: b.nextID, Units: 1})
 		if !p.inFlight {
-			t.Fatalf("nothing was sent, fails %v, left out %v", s.failureRate, s.ejected)
+			t.Fatalf("nothing was sent: failure rate %v, ejected %v", s.failureRate, s.ejected)
 		}
 		b.now += wait
 		b.end(p, status)
 	}
-	for _, wait := range []time.Duration{ms, ms, 2 * time.Second, 2 * time.Second} { // no tick comes in all this
+	for _, wait := range []time.Duration{ms, ms, 2 * time.Second, 2 * time.Second} { // there is no tick in all this time
 		s.failureRate = 0.3
 		if one(wait, OK); s.failureRate >= 0.3 {
-			t.Errorf("after %v: fails stay at %v", wait, s.failureRate)
+			t.Errorf("after a good answer in %v the failure rate is %v, want below 0.3", wait, s.failureRate)
 		}
 	}
 	s.failureRate, s.ejected, s.ejectedUntil = 0.5, true, 0
 	if one(2*time.Second, OK); s.ejected {
-		t.Error("a trial that went well over a pause leaves its server out")
+		t.Error("the server stays ejected after a trial that succeeded over a pause")
 	}
 }
 
-// An attempt that was too late to leave is no sign of a shortage: what comes behind it must not be held back, as it is behind
-// one that did not leave for want of a connection.
+// An attempt that was too late to leave is no sign of a shortage: requests behind it must not be held back, as they are behind
+// one that could not leave for want of a connection.
 func TestALateAttemptHoldsNothingBack(t *testing.T) {
 	sentBehind := func(st Status) int {
 		b := newHarness(t, testSettings(), readyServers(6)...)
 		first := b.arrive(Request{Customer: 1, Units: 1})
 		if !first.inFlight {
-			t.Fatal("the first attempt is not out")
+			t.Fatal("the first attempt was not sent")
 		}
 		b.end(first, st)
 		before := len(b.sent)
@@ -743,9 +744,9 @@
 		return len(b.sent) - before
 	}
 	if n := sentBehind(Late); n != 4 {
-		t.Errorf("%d of 4 requests are sent on behind a late one", n)
+		t.Errorf("%d of 4 requests are sent behind a late one, want all", n)
 	}
 	if n := sentBehind(Unsent); n >= 4 {
-		t.Errorf("all of 4 requests are sent on at once after a shortage")
+		t.Errorf("%d of 4 requests are sent at once after a shortage, want fewer", n)
 	}
 }
--- a/logic/size_test.go
+++ b/logic/size_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// BenchmarkSize plays requests with their answers and the ticks between them: the cost of one must not grow with the
-// firms and servers known. All firms are known at the start; memory is that of a firm.
+// BenchmarkSize plays requests with their answers and the ticks between them: the cost of a request must not grow with the number
+// of firms and servers that are known. All firms are known at the start; B/firm is the memory for each.
 func BenchmarkSize(b *testing.B) {
 	for _, gateways := range []int{3, 200} {
 		for _, rate := range []int{1000, 10_000} {
@@ -25,7 +25,7 @@
 func playSize(b *testing.B, gateways, rate, firms, nodes int) {
 	set := testSettings()
 	set.Gateways = gateways
-	for k := range set.Plans { // no refusals: each request goes its whole way
+	for k := range set.Plans { // no refusals: each request is sent and answered
 		p := &set.Plans[k]
 		p.Rate, p.Burst, p.Open, p.CeilingRate = 1e6, 1e6, 0, 0
 	}
--- a/logic/trace_test.go
+++ b/logic/trace_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// trace plays a random day to a gateway and hashes all that it does: requests of many firms, attempts that fail in every way,
-// a counter that is quick, late, full, silent or wiped, servers that come and go, changes of plans.
+// traceHash plays random events to a gateway and hashes all that it does: requests of many firms, attempts that fail in every
+// way, a counter that is quick, late, full, silent or loses its state, servers that come and go, changes of plans.
 func traceHash(gateways int, seed uint64, prepare func(*Gateway)) uint64 {
 	set := testSettings()
 	set.Gateways, set.Rank = gateways, gateways/2
@@ -27,7 +27,7 @@
 	}
 	var list []due
 	later := func(d time.Duration, ev Event) { list = append(list, due{now + d, ev}) }
-	mood, totals := 0, map[uint64]float64{}
+	counterMode, totals := 0, map[uint64]float64{}
 	handle := func(ev Event) {
 		for _, a := range g.Handle(now, ev) {
 			switch a := a.(type) {
@@ -52,15 +52,15 @@
 			case Count:
 				e := CountResult{Name: a.Name, Latency: time.Duration(1+rng.IntN(5)) * ms}
 				switch totals[a.Name] += a.Amount; {
-				case mood == 1 || rng.IntN(40) == 0:
+				case counterMode == 1 || rng.IntN(40) == 0:
 					e.Status, e.Latency = Timeout, max(set.CounterLimit, a.Wait)
-				case mood == 2:
+				case counterMode == 2:
 					e.Status = Full
-				case mood == 3:
+				case counterMode == 3:
 					e.Status = ConnectFailed
-				case mood == 4:
+				case counterMode == 4:
 					e.Latency = 29 * ms
-				case mood == 5 && a.Wait > 0:
+				case counterMode == 5 && a.Wait > 0:
 					e.Latency = 60 * ms
 				}
 				e.Total = totals[a.Name]
@@ -83,7 +83,7 @@
 		next += time.Duration(rng.ExpFloat64() * float64(4*ms))
 		switch n := rng.IntN(1500); {
 		case n == 0:
-			mood = rng.IntN(8)
+			counterMode = rng.IntN(8)
 		case n == 1:
 			clear(totals)
 		case n == 2:
@@ -102,8 +102,8 @@
 	return hash.Sum64()
 }
 
-// The day must be the same, action for action, as recorded before there could be several counters. A change of policy that is
-// meant renews the hashes in its own commit.
+// With one counter, the actions must be the same, one for one, as recorded before several counters were supported. An intended
+// change of decisions renews the hashes in its own commit.
 func TestActionsMatchRecordedHashes(t *testing.T) {
 	for _, c := range []struct {
 		gateways int
@@ -118,7 +118,7 @@
 			got[k] = traceHash(c.gateways, uint64(k+1), nil)
 		}
 		if got != c.want {
-			t.Errorf("%d gateways: %#x, recorded %#x", c.gateways, got, c.want)
+			t.Errorf("%d gateways: hashes of the actions %#x, recorded %#x", c.gateways, got, c.want)
 		}
 	}
 }
