--- a/logic/api.go
+++ b/logic/api.go
@@ -1,6 +1,6 @@
-// Package logic decides what an API gateway (a limiter) does with every request: whether its customer's quota has room, how long
-// it is held, which server it goes to, and what happens when an attempt ends. It does no I/O and reads no clock: it takes events
-// and returns actions. This file is its interface: settings, events and actions. All decisions are in logic.go.
+// Package logic decides what an API gateway (a limiter) does with every request: whether its customer's quota has room, how
+// long it is held, which server it goes to, and what happens when an attempt ends. It does no I/O and reads no clock: it takes
+// events and returns actions. This file is its interface: settings, events and actions. All decisions are in logic.go.
 package logic
 
 import "time"
@@ -68,8 +68,8 @@
 
 // Counters tells which counters hold a name, where there are several. It does no I/O and reads no clock.
 type Counters interface {
-	// Counters is the numbers of the counters that a name is added to at time now, if gateways may have added to it since began.
-	// None means that its total cannot be known.
+	// Counters is the numbers of the counters that a name is added to at time now, if gateways may have added to it since
+	// began. None means that its total cannot be known.
 	Counters(now time.Duration, name uint64, began time.Duration) []int
 }
 
--- a/logic/clock.go
+++ b/logic/clock.go
@@ -4,7 +4,7 @@
 
 // The wall clock that all machines share may step, by seconds or by an hour, while a gateway's own time is monotonic. Waits,
 // time windows and grace periods are spans of the gateway's time. The shared clock decides what gateways must agree on without
-// talk: which interval a count belongs to, whose turn it is, and when a server started.
+// communication: which interval a count belongs to, whose turn it is, and when a server started.
 
 // ClockStepped says how far the shared clock is ahead of the gateway's time from now on (event). At first the two agree.
 type ClockStepped struct{ Ahead time.Duration }
@@ -37,16 +37,16 @@
 
 // gatewayTime is the gateway's time at which the shared clock showed a time. After a step back it may have shown it twice: then
 // the later one counts, since a server that is taken for younger gets less. A time that it has not shown yet counts as now.
-func (k *sharedClock) gatewayTime(told, now time.Duration) time.Duration {
+func (k *sharedClock) gatewayTime(shown, now time.Duration) time.Duration {
 	end := now
 	for n := len(k.steps) - 1; n >= 0; n-- {
-		if at := told - k.steps[n].ahead; at >= k.steps[n].at && at <= end {
+		if at := shown - k.steps[n].ahead; at >= k.steps[n].at && at <= end {
 			return at
 		}
 		end = k.steps[n].at
 	}
-	if told <= end {
-		return told
+	if shown <= end {
+		return shown
 	}
 	return now
 }
--- a/logic/counters.go
+++ b/logic/counters.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// The records of the quota counters, where there may be several. What they mean for calls is decided in logic.go; which counter
-// holds a name is told by the list of counters (Counters).
+// The records of the quota counters, where there may be several. What they mean for calls is decided in logic.go; the list of
+// counters tells which of them holds a name (Counters).
 
 // counter is what is known of one quota counter.
 type counter struct {
--- a/logic/counters_test.go
+++ b/logic/counters_test.go
@@ -85,7 +85,7 @@
 }
 
 // A new counter is called for the first time by all gateways at once: each makes few calls, a share of those that it wants, until
-// answers come. Guards against a crowd of calls that the counter can answer none of.
+// answers come. Guards against so many calls at once that the counter can answer none of them.
 func TestNewCounterGetsFewCalls(t *testing.T) {
 	b := newManyCountersHarness(t, 3)
 	made := 0
--- a/logic/customers.go
+++ b/logic/customers.go
@@ -65,7 +65,7 @@
 
 	demanded       float64 // demand in this interval so far: units, or seconds of attempts in flight
 	lastDemand     float64 // demand a second in the interval before
-	intervalsEnded int     // 0 or more; the first tells no change
+	intervalsEnded int     // intervals that have ended; the first one shows no change of demand
 	meanChange     float64 // smoothed change of the demand from interval to interval
 	meanRise       float64 // the same of the rises alone
 	forecast       float64 // f: forecast of the demand a second in this interval
@@ -94,8 +94,8 @@
 // evenShare is g: the share of a gateway that knows nothing of the others.
 func (c *customer) evenShare() float64 { return c.quota() / c.shares }
 
-// countName is the counter's name for one of the interval's counts. Gateways agree on it without talk. Those that hold the
-// firm to other figures count in other steps and intervals, so their names differ.
+// countName is the counter's name for one of the interval's counts. Gateways agree on it without communication. Those that hold
+// the firm to other figures count in other steps and intervals, so their names differ.
 func (c *customer) countName(what int64) uint64 {
 	if what == bucketDraws {
 		return mix(c.id ^ c.fingerprint ^ mix(uint64(int64((c.filledAt+c.clockAhead)/c.countLength(bucketDraws))<<2|what)))
@@ -131,7 +131,8 @@
 }
 
 const (
-	// epochBursts is the length of a running total (an epoch) in intervals of the customer: the time to fill a burst.
+	// epochBursts is the length of a running total (an epoch) in intervals of the customer, each of them the time to fill a
+	// burst.
 	epochBursts = 8.0
 
 	// maxEpochLength bounds it: the counter keeps a name three times as long, and for 60 s at most.
@@ -155,7 +156,7 @@
 	return s.readAt > 0 && (now-s.readAt).Seconds()*p.Rate <= p.Burst
 }
 
-// rushTime is the time over which the ceiling bears one request from each gateway; 0 if it is known what was drawn of late.
+// rushTime is the time over which the ceiling has room for one request from each gateway; 0 if the recent draws are known.
 // After a pause all gateways may start to draw at once.
 func (c *customer) rushTime(now time.Duration, units float64) float64 {
 	if c.plan.CeilingRate <= 0 || c.bucket.isFresh(now, c.plan) {
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -85,8 +85,8 @@
 	// waited already. Clients that give up soon and retry at once look the same, and are rightly treated so: a
 	// retry storm must not starve others.
 	aim := r.class.Aim
-	// Not taken for later tries are those that only took a moment longer on their way here, and unmarked ones
-	// where clients mark their later tries.
+	// Tries that only took a moment longer to get here are not taken for later ones, nor are unmarked ones where
+	// clients mark their later tries.
 	g.repeatsMarked = g.repeatsMarked || q.Repeat
 	if !q.OwnWait && r.TTL < g.longestTTL[q.Class]-ttlTolerance && (q.Repeat || !g.repeatsMarked) {
 		aim -= max(0, r.class.Deadline-r.TTL)
@@ -296,8 +296,8 @@
 		f = math.Floor(c.forecast/even*steps + g.random())
 	}
 	f = min(f, maxForecastSteps, math.Floor(1023/c.gateways))
-	if told := pack(1, min(f, steps), f); g.addToCount(c, forecastSums, told, nil) {
-		c.reported = told
+	if packed := pack(1, min(f, steps), f); g.addToCount(c, forecastSums, packed, nil) {
+		c.reported = packed
 	}
 }
 
@@ -333,12 +333,12 @@
 	return len(to) > 0
 }
 
-// observe learns from a counter's answer which share of the calls it bears.
+// observe learns from a counter's answer which share of the calls the counter can handle.
 func (k *counter) observe(g *Gateway, st Status, latency time.Duration) {
 	if st == Reset { // a connection that broke or brought garbage says nothing of the counter's load
 		return
 	}
-	// Fewer calls, and none for a while to a silent or full counter, so that no crowd meets it when it is back.
+	// Fewer calls, and none for a while to a silent or full counter, so that it is not flooded when it is back.
 	if st != OK {
 		if k.failures++; k.failures == 1 {
 			k.shareBeforeFailures = k.callShare
@@ -354,7 +354,7 @@
 		}
 		return
 	}
-	if k.unreachable { // nobody was there, which tells nothing of how many calls the counter bears
+	if k.unreachable { // there was no connection, which says nothing about how many calls it can handle
 		k.callShare, k.unreachable = k.shareBeforeFailures, false
 	}
 	if g.unseenShare > 0 && latency > g.set.CounterLimit { // a good answer, but late: too many calls
@@ -370,13 +370,13 @@
 	}
 	c, r := made.customer, made.request
 	g.catchUp(c)
-	calling := g.observeCounters(e)
+	callShare := g.observeCounters(e)
 	if e.Status != OK {
 		// The report may have been added all the same: a later read tells.
 		if made.added && c.reported > 0 && e.Name == c.countName(forecastSums) {
 			after := max(g.set.CounterLimit, 3*tick)
 			if e.Status == Full { // it was not added, so it is reported again
-				c.reported, after = 0, time.Duration(g.random()*float64(lateSumTimeout)/max(calling, minRereportShare))
+				c.reported, after = 0, time.Duration(g.random()*float64(lateSumTimeout)/max(callShare, minRereportShare))
 			}
 			g.scheduleReread(c, after)
 		}
@@ -470,9 +470,9 @@
 	return f + (left-short)/k
 }
 
-// drawOnDemand draws for one request where a share cannot hold a request: it adds its units to the interval's
-// count and goes while the sum is within the quota, or takes a slot of the cap and gives it back. It tells
-// whether the request is dealt with.
+// drawOnDemand draws from the counter for one request, where a share cannot hold one: the request adds its
+// units to the interval's count and goes while the sum is within the quota, or takes a slot of the cap and
+// gives it back later. It returns true if the request has been decided on or waits for an answer.
 func (g *Gateway) drawOnDemand(r *request) bool {
 	c := r.customer
 	if !g.set.HasCounter || !c.withinCeiling(r) {
@@ -568,9 +568,9 @@
 	return len(to) > 0
 }
 
-// slotLimit is how many attempts may be in flight here without a draw: one if the customer asks little. Few
+// slotLimit is how many attempts may be in flight here without a draw: one if the customer sends little. Few
 // gateways take shares below one slot in turns by the clock, which add up to the cap at any time without
-// talk.
+// communication.
 func (c *customer) slotLimit(g *Gateway) int {
 	if c.plan.Open == 0 {
 		return math.MaxInt
@@ -600,7 +600,7 @@
 }
 
 // keptForWorth is what stays in the bucket for requests of more worth. A firm that asks for more than its
-// share gets as many units either way: with some kept, they go to the requests of most worth. The price: a
+// share gets as many units either way: with some kept, they go to the requests of most worth. Trade-off: a
 // burst may end late.
 func (c *customer) keptForWorth(r *request, g *Gateway) float64 {
 	if r.class.Worth >= c.bestWorth ||
@@ -843,7 +843,7 @@
 	default:
 		// Overload shows in time-outs, too, but it also makes the answers slow. While answers are quick, a time-out
 		// counts for little more than cutAboveAimShare: answers lost on the way, servers that drop a part of their
-		// work and rare heavy requests must not close servers with room. The price: an overload so sudden that no
+		// work and rare heavy requests must not close servers with room. Trade-off: an overload so sudden that no
 		// slow answer comes before the time-outs lowers the limit late.
 		if o.Status == Timeout && !s.ejected {
 			share := min(lat/float64(r.class.Aim), 2)
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -265,7 +265,7 @@
 	}
 }
 
-// While the counter fails, few calls are made: it must not be met by a crowd when it is back.
+// While the counter fails, few calls are made: it must not be flooded when it is back.
 func TestCallsBackOff(t *testing.T) {
 	calls := 0
 	runAlone(t, func(Count) (Status, float64) { calls++; return Full, 0 })
--- a/logic/many_test.go
+++ b/logic/many_test.go
@@ -187,7 +187,7 @@
 }
 
 // Calls to a counter must be made again once the cause of throttling is gone: the share of calls made grows with the answers,
-// though one gateway gets few of them, and one failure in twenty must not press it to its minimum.
+// though one gateway gets few of them, and one failure in twenty must not lower it to its minimum.
 func TestCallShareRecovers(t *testing.T) {
 	b := newManyGatewaysHarness(t, false)
 	b.g.callShare = minCallShare
@@ -215,7 +215,7 @@
 	}
 }
 
-// A counter that could not be reached says nothing about the load that it bears: once it is back, as many calls are made as
+// A counter that could not be reached says nothing about the load that it can handle: once it is back, as many calls are made as
 // before. One that turns calls away, or answers none of them in time, is called less as ever.
 func TestCallShareIsRestoredAfterAnOutage(t *testing.T) {
 	for st, after := range map[Status]float64{ConnectFailed: 0.6, Full: 0.2, Timeout: 0.2} {
@@ -296,12 +296,12 @@
 func runGateways(t *testing.T, p Plan, gateways int, demand func(at time.Duration) float64, d, emptied, killed time.Duration, each func(at time.Duration)) (sent, asked int) {
 	set := testSettings()
 	set.Gateways, set.Plans = gateways, []Plan{p}
-	gates := make([]*harness, gateways)
+	harnesses := make([]*harness, gateways)
 	var weights float64
-	for rank := range gates {
+	for rank := range harnesses {
 		set.Rank = rank
-		gates[rank] = newHarness(t, set, readyServers(60)...)
-		gates[rank].g.callShare = 1 // the counter has room for all calls
+		harnesses[rank] = newHarness(t, set, readyServers(60)...)
+		harnesses[rank].g.callShare = 1 // the counter has room for all calls
 		weights += 1 / float64(rank+1)
 	}
 	totals, rng := map[uint64]float64{}, rand.New(rand.NewPCG(7, 7))
@@ -310,12 +310,12 @@
 		if at == emptied {
 			clear(totals)
 		}
-		for rank, b := range gates {
+		for rank, b := range harnesses {
 			if at == killed && rank%2 == 0 {
 				set.Rank = rank
 				now := b.now
 				b = newHarness(t, set, readyServers(60)...)
-				b.now, gates[rank] = now, b
+				b.now, harnesses[rank] = now, b
 			}
 			b.run(step, func() {
 				if rng.Float64() < demand(at)*step.Seconds()/float64(rank+1)/weights {
@@ -392,8 +392,8 @@
 	}
 }
 
-// The last calls of the budget go to the plan of the highest price: where the counter bears few calls, cheap plans must not use
-// them up.
+// The last calls of the budget go to the plan of the highest price: where the counter can handle few calls, cheap plans must not
+// use them up.
 func TestTheLastCallsAreForTheDearestPlan(t *testing.T) {
 	set := testSettings()
 	set.Gateways = 80
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -416,24 +416,24 @@
 // Each gateway keeps to its share of the ceiling by itself, whatever the counter does, and a restart does not refill that share.
 func TestCeilingAcrossGateways(t *testing.T) {
 	set := testSettings()
-	var gates []*harness
+	var harnesses []*harness
 	for rank := range 3 {
 		s := set
 		s.Rank = rank
-		gates = append(gates, newHarness(t, s, readyServers(40)...))
+		harnesses = append(harnesses, newHarness(t, s, readyServers(40)...))
 	}
 	p := set.Plans[2]
 	level, lowest := p.CeilingBurst, p.CeilingBurst
 	for step := range 3000 { // 6 s
 		level = min(level+p.CeilingRate*0.002, p.CeilingBurst)
-		for k, b := range gates {
+		for k, b := range harnesses {
 			if k == 1 && step == 1500 { // killed and started again
 				now := b.now
 				s := set
 				s.Rank = 1
 				b = newHarness(t, s, readyServers(40)...)
 				b.now = now
-				gates[k] = b
+				harnesses[k] = b
 			}
 			b.run(2*ms, func() { b.arrive(Request{Plan: 2, Customer: 9, Units: 3}) })
 			for id := uint64(1); id <= b.nextID; id++ {
@@ -491,17 +491,17 @@
 func checkColdServer(t *testing.T, gateways int) {
 	set := testSettings()
 	set.Gateways, set.HasCounter = gateways, false
-	var gates []*harness
+	var harnesses []*harness
 	for rank := range set.Gateways {
 		s := set
 		s.Rank = rank
 		list := readyServers(2)
 		list[0].Started = 4900 * ms
-		gates = append(gates, newHarness(t, s, list...))
+		harnesses = append(harnesses, newHarness(t, s, list...))
 	}
 	var times, warm []time.Duration
 	for step := range 2000 { // 4 s: two quiet, then more than the warm server may have
-		for _, b := range gates {
+		for _, b := range harnesses {
 			b.run(2*ms, func() {
 				if (step+37*b.set.Rank)%500 == 0 || step > 1000 && (step+7*b.set.Rank)%(50*gateways/60) == 0 {
 					b.arrive(Request{Customer: b.nextID, Units: 0.1})
@@ -521,7 +521,7 @@
 		return n
 	}
 	for _, from := range times {
-		if from+set.Fall > gates[0].now {
+		if from+set.Fall > harnesses[0].now {
 			break
 		}
 		capacity := 0.2 + 0.8*(from-4900*ms).Seconds()/10
--- a/logic/servers.go
+++ b/logic/servers.go
@@ -292,15 +292,15 @@
 	if keyed || len(list) <= maxServersScanned {
 		return list
 	}
-	part := make([]*server, 0, maxServersScanned)
+	sample := make([]*server, 0, maxServersScanned)
 	from, usable := int(g.random()*float64(len(list))), 0
 	for k := 0; k < maxServersScanned && usable < usableServersScanned; k++ {
 		s := list[(from+k)%len(list)]
-		if part = append(part, s); s.usableIn != nil {
+		if sample = append(sample, s); s.usableIn != nil {
 			usable++
 		}
 	}
-	return part
+	return sample
 }
 
 // upstreamNumbered finds an upstream group's record, or makes one. Groups are few and numbered from 0.
@@ -320,7 +320,7 @@
 
 // outDuringPause tells whether an attempt was in flight while this process was paused. What was due then came late for that
 // reason alone, and would eject all servers and press the limit to its minimum. So its time-out does not count, and an answer
-// tells everything but its latency. The price: a process that pauses again and again learns late that servers are slow.
+// tells everything but its latency. Trade-off: a process that pauses again and again learns late that servers are slow.
 func (g *Gateway) outDuringPause(r *request) bool { return r.sentAt < g.resumedAt }
 
 // observedLatency is what an attempt tells about the latency.
--- a/logic/tuning.go
+++ b/logic/tuning.go
@@ -77,7 +77,7 @@
 	// minCallShare is the least share of the wanted calls that is made while a counter fails or is overloaded.
 	minCallShare = 0.05
 
-	// callShareGrowth multiplies that share with each answer: with 1.02, one failure in ten calls does not press it down.
+	// callShareGrowth multiplies that share with each answer: with 1.02, one failure in ten calls does not lower it for good.
 	callShareGrowth = 1.02
 
 	// failuresBeforeBackoff is how many failures in a row show that a counter is down.
@@ -92,8 +92,8 @@
 	// lateSumTimeout is how long the answer to a call is of use if no request waits for it.
 	lateSumTimeout = 250 * ms
 
-	// minRereportShare is the least share of calls made that counts when repeated reports are spread out: the fewer calls a
-	// counter bears, the longer the time they are spread over, lateSumTimeout / minRereportShare at most.
+	// minRereportShare is the least share of calls made that counts when repeated reports are spread out: the fewer calls are
+	// made, the longer the time they are spread over, lateSumTimeout / minRereportShare at most.
 	minRereportShare = 0.3
 )
 
@@ -121,7 +121,7 @@
 	unaskedQuotaShare = 0.8
 
 	// maxOnDemandShares is how many gateways at most are taken to carry a customer whose quota is drawn on demand: most of its
-	// requests come through that few.
+	// requests come through so few. Its share is sized by that number.
 	maxOnDemandShares = 6.0
 
 	// loadEstimateTTL is how long a customer is taken for busy after a counter's answer showed it.
