--- a/logic/due_test.go
+++ b/logic/due_test.go
@@ -135,7 +135,7 @@
 
 // checkSums compares what is kept about servers with a full scan of them.
 func checkSums(t *testing.T, g *Gateway) {
-	f := g.upstream
+	u := g.upstream
 	var inFlight, usable, capacity float64
 	var list, working, cold []*server
 	readyIn := map[int]int{}
@@ -150,7 +150,7 @@
 			}
 			continue
 		}
-		if list = append(list, s); s.State == Ready && !s.ejected && !f.zoneLost(s.Zone, g.now) {
+		if list = append(list, s); s.State == Ready && !s.ejected && !u.zoneLost(s.Zone, g.now) {
 			inFlight, usable, capacity = inFlight+float64(s.inFlight), usable+1, capacity+max(g.warmShare(s), 1-g.unseenShare)
 		}
 		if s.State == Ready {
@@ -163,15 +163,15 @@
 			cold = append(cold, s)
 		}
 	}
-	for zone, h := range f.halls {
+	for zone, h := range u.halls {
 		if h.ready != readyIn[zone] {
 			t.Fatalf("zone %d: %d servers counted as ready, want %d", zone, h.ready, readyIn[zone])
 		}
 	}
-	was := [...]float64{f.inFlight, f.usableServers, f.warmCapacity}
-	f.sumUsable(g)
-	is := [...]float64{f.inFlight, f.usableServers, f.warmCapacity}
-	f.inFlight, f.usableServers, f.warmCapacity = was[0], was[1], was[2]
+	was := [...]float64{u.inFlight, u.usableServers, u.warmCapacity}
+	u.sumUsable(g)
+	is := [...]float64{u.inFlight, u.usableServers, u.warmCapacity}
+	u.inFlight, u.usableServers, u.warmCapacity = was[0], was[1], was[2]
 	if is[0] != inFlight || is[1] != usable || math.Abs(is[2]-capacity) > 1e-9 {
 		t.Fatalf("kept: %v in flight, %v usable, warm capacity %v; want by a full scan: %v, %v, %v", is[0], is[1], is[2], inFlight, usable, capacity)
 	}
@@ -181,10 +181,10 @@
 	if g.firms.Len() != len(g.customers) {
 		t.Fatalf("%d firms are scheduled, want all %d that are known", g.firms.Len(), len(g.customers))
 	}
-	near := slices.Clone(f.nearestFirst)
+	near := slices.Clone(u.nearestFirst)
 	slices.SortFunc(near, byID)
-	if !slices.Equal(f.list, list) || !slices.Equal(near, list) || !slices.Equal(f.withAttempts, working) || !slices.Equal(f.cold, cold) ||
-		!slices.IsSortedFunc(f.nearestFirst, func(a, b *server) int { return cmp.Compare(g.rendezvousRank(a), g.rendezvousRank(b)) }) {
+	if !slices.Equal(u.list, list) || !slices.Equal(near, list) || !slices.Equal(u.withAttempts, working) || !slices.Equal(u.cold, cold) ||
+		!slices.IsSortedFunc(u.nearestFirst, func(a, b *server) int { return cmp.Compare(g.rendezvousRank(a), g.rendezvousRank(b)) }) {
 		t.Fatal("the lists of servers differ from those of a full scan")
 	}
 }
@@ -379,14 +379,14 @@
 		for k := range all {
 			all[k].Zone = k % 2
 		}
-		b := newHarness(t, set, all...)
-		b.run(time.Second, nil)
+		h := newHarness(t, set, all...)
+		h.run(time.Second, nil)
 		var out []*trackedRequest
 		for k := range 40 {
-			if p := b.arrive(Request{Class: keyed, Customer: uint64(k), Units: 1, TTL: 5 * time.Second}); p.inFlight {
+			if p := h.arrive(Request{Class: keyed, Customer: uint64(k), Units: 1, TTL: 5 * time.Second}); p.inFlight {
 				out = append(out, p)
 			}
-			b.run(ms, nil)
+			h.run(ms, nil)
 		}
 		var drains ServerList
 		for _, s := range all {
@@ -395,12 +395,12 @@
 				drains.Servers = append(drains.Servers, s)
 			}
 		}
-		b.list(drains)
+		h.list(drains)
 		for _, p := range out {
-			b.end(p, Reset)
+			h.end(p, Reset)
 		}
 		waiting := 0
-		for _, r := range b.g.queue {
+		for _, r := range h.g.queue {
 			if r.mayHaveRun {
 				waiting++
 			}
@@ -410,7 +410,7 @@
 		}
 		begun := time.Now()
 		for k := range 50 {
-			b.arrive(Request{Customer: uint64(1000 + k), Units: 1})
+			h.arrive(Request{Customer: uint64(1000 + k), Units: 1})
 		}
 		return time.Since(begun) / 50
 	}
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -19,8 +19,8 @@
 func (g *Gateway) onTick() {
 	g.do(SetTimer{tickToken, tick})
 	g.endIntervals()
-	for _, f := range g.upstreams {
-		g.tickUpstream(f)
+	for _, u := range g.upstreams {
+		g.tickUpstream(u)
 	}
 	g.dispatch()
 	if g.now-g.lastSecond < time.Second {
@@ -136,8 +136,8 @@
 }
 
 // nextSendTime estimates when servers have room again: every refusal carries a time to come back.
-func (g *Gateway) nextSendTime(f *upstream) time.Duration {
-	return time.Duration(min(f.latency*float64(len(g.queue)+1)/f.concurrencyLimit(),
+func (g *Gateway) nextSendTime(u *upstream) time.Duration {
+	return time.Duration(min(u.latency*float64(len(g.queue)+1)/u.concurrencyLimit(),
 		float64(customerIdleTimeout)))
 }
 
@@ -562,9 +562,9 @@
 	return c.drawPending
 }
 
-// mayCallCounter keeps the last calls of the budget for the dearest plans.
+// mayCallCounter keeps the last calls of the budget for the plans of the highest price.
 func (g *Gateway) mayCallCounter(c *customer, what int64) bool {
-	to, _ := g.availableCounters(c, what, 1+callsKeptForDearest*(1-c.plan.Price/g.maxPrice))
+	to, _ := g.availableCounters(c, what, 1+callsKeptForMaxPrice*(1-c.plan.Price/g.maxPrice))
 	return len(to) > 0
 }
 
@@ -761,27 +761,27 @@
 }
 
 // tickUpstream looks for hung servers, and refills the budgets of cold servers and of the upstream group.
-func (g *Gateway) tickUpstream(f *upstream) {
-	for k := len(f.cold) - 1; k >= 0; k-- {
-		s := f.cold[k]
+func (g *Gateway) tickUpstream(u *upstream) {
+	for k := len(u.cold) - 1; k >= 0; k-- {
+		s := u.cold[k]
 		w := g.warmShare(s)
-		rate := f.sendRate * w * coldLoadShare
+		rate := u.sendRate * w * coldLoadShare
 		s.coldTokens = min(s.coldTokens+rate*(g.now-s.coldRefilledAt).Seconds(), 1+0.2*rate*g.set.Fall.Seconds())
 		if s.coldRefilledAt = g.now; w >= 1 {
 			g.recount(s)
 		}
 	}
-	warm := f.sumUsable(g)
-	for _, s := range f.withAttempts {
+	warm := u.sumUsable(g)
+	for _, s := range u.withAttempts {
 		g.ejectIfHung(s)
 	}
 	dt := tick.Seconds()
-	f.sendTokens = min(
-		f.sendTokens+f.concurrencyLimit()*dt*float64(time.Second)/min(f.latency, 3*f.idleLatency),
-		1+math.Sqrt(f.concurrencyLimit()))
-	f.raiseLocalLimit(dt)
-	f.sendRate += dt * (f.sent/dt/float64(max(warm, 1)) - f.sendRate)
-	f.sent = 0
+	u.sendTokens = min(
+		u.sendTokens+u.concurrencyLimit()*dt*float64(time.Second)/min(u.latency, 3*u.idleLatency),
+		1+math.Sqrt(u.concurrencyLimit()))
+	u.raiseLocalLimit(dt)
+	u.sendRate += dt * (u.sent/dt/float64(max(warm, 1)) - u.sendRate)
+	u.sent = 0
 }
 
 // ejectIfHung ejects a server whose attempts stay unanswered for far longer than usual, whatever the cause.
@@ -816,14 +816,14 @@
 
 // observeOutcome learns a server's latency and failure rate, and its group's limit, from an outcome.
 func (g *Gateway) observeOutcome(s *server, r *request, o Outcome) {
-	lat, f := g.observedLatency(r), s.upstream
-	f.noteOutcome(s.Zone, o.Status, g.now)
+	lat, u := g.observedLatency(r), s.upstream
+	u.noteOutcome(s.Zone, o.Status, g.now)
 	switch o.Status {
 	case OK:
 		s.answeredAt = g.now
 		s.latency = s.estimatedLatency() + 0.1*(lat-s.estimatedLatency())
-		f.latency += 0.02 * (1 + 6*g.unseenShare) * (lat - f.latency) // where answers are few, each must weigh more
-		f.idleLatency = min(f.idleLatency*1.0001, f.latency)
+		u.latency += 0.02 * (1 + 6*g.unseenShare) * (lat - u.latency) // where answers are few, each must weigh more
+		u.idleLatency = min(u.idleLatency*1.0001, u.latency)
 		s.failureRate -= failureSmoothing * s.failureRate
 		if s.ejected {
 			s.ejected, s.trialPending, s.failureRate = false, false, ejectFailureRate*0.8
@@ -831,12 +831,12 @@
 		} else if s.failureRate < 0.05 {
 			s.backoff = minEjectTime
 		}
-		f.loadPerServer += 0.02 * (f.inFlight/max(f.warmCapacity, 1) - f.loadPerServer)
-		f.servedPerServer = max(0.9998*f.servedPerServer, f.loadPerServer*f.idleLatency/f.latency)
-		g.lowerLimitUnderLoad(f, lat/float64(r.class.Aim))
-		if f.aimShare < growBelowAimShare && (f.inFlight+1 > 0.8*f.concurrencyLimit() ||
-			g.unseenShare > 0 && f.sendTokens < 1) {
-			f.limitPerServer = min(f.limitPerServer*(1+0.005*(1+9*g.unseenShare)), maxServerLimit)
+		u.loadPerServer += 0.02 * (u.inFlight/max(u.warmCapacity, 1) - u.loadPerServer)
+		u.servedPerServer = max(0.9998*u.servedPerServer, u.loadPerServer*u.idleLatency/u.latency)
+		g.lowerLimitUnderLoad(u, lat/float64(r.class.Aim))
+		if u.aimShare < growBelowAimShare && (u.inFlight+1 > 0.8*u.concurrencyLimit() ||
+			g.unseenShare > 0 && u.sendTokens < 1) {
+			u.limitPerServer = min(u.limitPerServer*(1+0.005*(1+9*g.unseenShare)), maxServerLimit)
 		}
 	case Cancelled, Moot, Unsent, Late:
 		s.trialPending = false
@@ -847,10 +847,10 @@
 		// slow answer comes before the time-outs lowers the limit late.
 		if o.Status == Timeout && !s.ejected {
 			share := min(lat/float64(r.class.Aim), 2)
-			if f.latency < slowLatencyFactor*f.idleLatency {
+			if u.latency < slowLatencyFactor*u.idleLatency {
 				share = min(share, maxTimeoutAimShare)
 			}
-			g.lowerLimitUnderLoad(f, share)
+			g.lowerLimitUnderLoad(u, share)
 		}
 		if o.Status == Timeout && s.answeredAt > r.sentAt {
 			return // the server answers others: this request is heavy, and the server is not to blame
@@ -859,7 +859,7 @@
 			s.answeredAt = g.now
 		}
 		// A server that turns all away at once looks idle and would attract every request: it counts as failing.
-		// So does one whose answers nobody can use. Both weigh half, as any server does that now and then.
+		// So does one whose answers nobody can use, though any server has one now and then. Both weigh half.
 		if s.failureRate += failureSmoothing / 2 * (1 - s.failureRate); o.Status != Full && o.Status != Spoilt {
 			s.failureRate += failureSmoothing / 2 * (1 - s.failureRate)
 		}
@@ -876,13 +876,13 @@
 // come. What was once in service at a time (Little's law: in flight times idle latency over latency) stays:
 // where all servers are slow at once there is no queue to drain, and fewer attempts in flight would only
 // leave their cores idle.
-func (g *Gateway) lowerLimitUnderLoad(f *upstream, share float64) {
-	f.aimShare += 0.05 * (1 + 6*g.unseenShare) * (share - f.aimShare)
-	if f.aimShare > cutAboveAimShare &&
-		g.now-f.limitCutAt >= max(minLimitCutInterval, time.Duration(g.unseenShare*f.latency)) {
-		left := max(0.93-0.13*g.unseenShare, min(cutAboveAimShare/f.aimShare, 0.93))
-		f.limitPerServer, f.limitCutAt = max(f.limitPerServer*left, 1/float64(g.set.Gateways),
-			f.servedPerServer*(1-g.unseenShare)), g.now
+func (g *Gateway) lowerLimitUnderLoad(u *upstream, share float64) {
+	u.aimShare += 0.05 * (1 + 6*g.unseenShare) * (share - u.aimShare)
+	if u.aimShare > cutAboveAimShare &&
+		g.now-u.limitCutAt >= max(minLimitCutInterval, time.Duration(g.unseenShare*u.latency)) {
+		left := max(0.93-0.13*g.unseenShare, min(cutAboveAimShare/u.aimShare, 0.93))
+		u.limitPerServer, u.limitCutAt = max(u.limitPerServer*left, 1/float64(g.set.Gateways),
+			u.servedPerServer*(1-g.unseenShare)), g.now
 	}
 }
 
@@ -925,15 +925,15 @@
 }
 
 func (g *Gateway) send(r *request, s *server) {
-	f := r.upstream
+	u := r.upstream
 	r.queued = false
 	r.server, r.sentAt = s, g.now
 	if r.attempts == 0 {
-		f.retryTokens = min(f.retryTokens+retryTokensPerRequest, maxRetryTokens)
+		u.retryTokens = min(u.retryTokens+retryTokensPerRequest, maxRetryTokens)
 	}
 	r.attempts++
-	f.inFlight, f.sent, f.sendTokens = f.inFlight+1, f.sent+1, f.sendTokens-1
-	f.meanUnits += 0.02 * (max(r.Units, 1e-3) - f.meanUnits) // never 0: sizes are divided by it
+	u.inFlight, u.sent, u.sendTokens = u.inFlight+1, u.sent+1, u.sendTokens-1
+	u.meanUnits += 0.02 * (max(r.Units, 1e-3) - u.meanUnits) // never 0: sizes are divided by it
 	s.addAttempt(r)
 	if s.ejected {
 		s.trialPending, s.ejectedUntil = true, g.now+s.backoff
@@ -943,8 +943,8 @@
 	}
 	wait := r.deadline - g.now
 	// Leave time for a second attempt, where one is allowed.
-	if r.class.Effect == Safe && f.retryTokens >= 1 && r.attempts < g.set.MaxAttempts {
-		wait = min(wait, max(r.usefulUntil-g.now-time.Duration(2*f.latency), time.Duration(6*f.latency)))
+	if r.class.Effect == Safe && u.retryTokens >= 1 && r.attempts < g.set.MaxAttempts {
+		wait = min(wait, max(r.usefulUntil-g.now-time.Duration(2*u.latency), time.Duration(6*u.latency)))
 	}
 	g.do(Send{r.ID, s.ID, wait, r.keyDeadline()})
 }
@@ -952,10 +952,10 @@
 // chooseServer finds the server with the least work for its speed, or nil if none may take the request. Many
 // gateways look at a few drawn at random first: otherwise all would find the same server best.
 func (g *Gateway) chooseServer(r *request) (best *server) {
-	if f := r.upstream; g.unseenShare > 0 && len(f.list) > drawnServers {
+	if u := r.upstream; g.unseenShare > 0 && len(u.list) > drawnServers {
 		near := make([]*server, 0, nearbyServers)
-		for _, s := range f.nearestFirst[:min(len(f.nearestFirst), maxServersScanned)] {
-			if s.State == Ready && !f.zoneLost(s.Zone, g.now) && (!s.ejected || g.trialDue(r, s)) {
+		for _, s := range u.nearestFirst[:min(len(u.nearestFirst), maxServersScanned)] {
+			if s.State == Ready && !u.zoneLost(s.Zone, g.now) && (!s.ejected || g.trialDue(r, s)) {
 				if near = append(near, s); len(near) == nearbyServers {
 					break
 				}
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -95,40 +95,40 @@
 
 // A long surge must not cause long holds after it: E is bounded by the local bucket.
 func TestSurgeLeavesNoWindup(t *testing.T) {
-	b := newHarness(t, testSettings(), readyServers(40)...)
+	h := newHarness(t, testSettings(), readyServers(40)...)
 	answer := func() {
-		b.answerAttempts(20 * ms)
+		h.answerAttempts(20 * ms)
 	}
-	b.run(10*time.Second, func() {
-		b.arrive(Request{Customer: 1, Units: 2})
+	h.run(10*time.Second, func() {
+		h.arrive(Request{Customer: 1, Units: 2})
 		answer()
 	})
-	c := b.g.customers[1]
+	c := h.g.customers[1]
 	if c.recentExcess > c.bucketSize() {
 		t.Errorf("E is %.1f, want at most the bucket of %.1f", c.recentExcess, c.bucketSize())
 	}
-	b.run(2*time.Second, answer)
-	if p := b.arrive(Request{Customer: 1, Units: 2}); !p.inFlight {
+	h.run(2*time.Second, answer)
+	if p := h.arrive(Request{Customer: 1, Units: 2}); !p.inFlight {
 		t.Errorf("two seconds after the surge a request is not sent at once, its answer is %q", p.answer)
 	}
 }
 
 // Held requests leave in the order of their arrival.
 func TestHeldLeaveInOrder(t *testing.T) {
-	b := newHarness(t, testSettings(), readyServers(40)...)
+	h := newHarness(t, testSettings(), readyServers(40)...)
 	var ps []*trackedRequest
 	for range 7 { // the local bucket is 10 units, the share 10 a second
-		ps = append(ps, b.arrive(Request{Customer: 1, Units: 2}))
+		ps = append(ps, h.arrive(Request{Customer: 1, Units: 2}))
 	}
 	if !ps[4].inFlight || ps[5].inFlight || ps[6].inFlight {
 		t.Fatal("not just the five requests that the bucket covers were sent at once")
 	}
-	b.run(450*ms, nil)
+	h.run(450*ms, nil)
 	if !ps[5].inFlight || !ps[6].inFlight || ps[5].sentAt >= ps[6].sentAt {
 		t.Errorf("held requests sent at %v and %v, want both sent, in order", ps[5].sentAt, ps[6].sentAt)
 	}
 	for range 9 {
-		p := b.arrive(Request{Customer: 1, Units: 2})
+		p := h.arrive(Request{Customer: 1, Units: 2})
 		if p.answer == "refused" {
 			return
 		}
@@ -177,18 +177,18 @@
 func TestALargeAttemptWeighsMore(t *testing.T) {
 	for seed := range uint64(20) {
 		g := New(testSettings(), seed)
-		f := g.upstreamNumbered(0)
-		f.meanUnits = 2
+		u := g.upstreamNumbered(0)
+		u.meanUnits = 2
 		g.servers = map[ServerID]*server{}
-		large, small := &server{upstream: f, Server: Server{ID: 1, State: Ready}}, &server{upstream: f, Server: Server{ID: 2, State: Ready}}
-		f.list, f.usableServers, f.warmCapacity = []*server{large, small}, 2, 2
+		large, small := &server{upstream: u, Server: Server{ID: 1, State: Ready}}, &server{upstream: u, Server: Server{ID: 2, State: Ready}}
+		u.list, u.usableServers, u.warmCapacity = []*server{large, small}, 2, 2
 		large.addAttempt(&request{Request: Request{Units: 8}})
 		small.addAttempt(&request{Request: Request{Units: 1}})
 		small.addAttempt(&request{Request: Request{Units: 1}})
-		if g.leastLoaded(&request{upstream: f}, f.list, true) != small {
+		if g.leastLoaded(&request{upstream: u}, u.list, true) != small {
 			t.Fatalf("seed %d: the server with the large attempt was chosen", seed)
 		}
-		if f.latency = float64(100 * ms); g.expectedLatency(&request{upstream: f, Request: Request{Units: 8}, class: Class{Aim: time.Second}}) != 400*ms {
+		if u.latency = float64(100 * ms); g.expectedLatency(&request{upstream: u, Request: Request{Units: 8}, class: Class{Aim: time.Second}}) != 400*ms {
 			t.Fatal("an attempt of four times the mean units is not expected to take four times the latency (400ms)")
 		}
 	}
@@ -217,30 +217,30 @@
 
 // runAlone plays six seconds of a customer that sends to one gateway only, and answers its counter calls.
 func runAlone(t *testing.T, answer func(Count) (Status, float64)) *harness {
-	b := newHarness(t, testSettings(), readyServers(40)...)
+	h := newHarness(t, testSettings(), readyServers(40)...)
 	k := 0
-	b.run(6*time.Second, func() {
+	h.run(6*time.Second, func() {
 		if k++; k%50 == 0 { // ten requests a second of two units; g is ten units a second
-			b.arrive(Request{Customer: 1, Units: 2})
+			h.arrive(Request{Customer: 1, Units: 2})
 		}
-		b.answerAttempts(20 * ms)
-		counts := b.counts
-		b.counts = nil
+		h.answerAttempts(20 * ms)
+		counts := h.counts
+		h.counts = nil
 		for _, c := range counts {
 			st, total := answer(c)
-			b.handle(CountResult{Name: c.Name, Status: st, Total: total})
+			h.handle(CountResult{Name: c.Name, Status: st, Total: total})
 		}
 	})
-	return b
+	return h
 }
 
 func TestBusyGatewayGetsTheIdleOnesShare(t *testing.T) {
 	sums := map[uint64]float64{}
-	b := runAlone(t, func(c Count) (Status, float64) {
+	h := runAlone(t, func(c Count) (Status, float64) {
 		sums[c.Name] += c.Amount
 		return OK, sums[c.Name]
 	})
-	if c := b.g.customers[1]; c.share < 18 {
+	if c := h.g.customers[1]; c.share < 18 {
 		t.Errorf("share %.1f of 30 after six seconds of a demand of 20 at this gateway alone, want at least 18", c.share)
 	}
 }
@@ -255,12 +255,12 @@
 		"absurd":  func(Count) (Status, float64) { return OK, 1e30 },
 		"stolen":  func(c Count) (Status, float64) { return OK, pack(2, 3, 3) },
 	} {
-		b := runAlone(t, answer)
-		if c := b.g.customers[1]; !almostEqual(c.share, 10) {
+		h := runAlone(t, answer)
+		if c := h.g.customers[1]; !almostEqual(c.share, 10) {
 			t.Errorf("%s: share %.2f, want the even share of 10", name, c.share)
 		}
-		if name == "timeout" && len(b.counts) > 0 {
-			t.Errorf("%d counter calls are not answered", len(b.counts))
+		if name == "timeout" && len(h.counts) > 0 {
+			t.Errorf("%d counter calls are not answered", len(h.counts))
 		}
 	}
 }
@@ -276,35 +276,35 @@
 
 // A server that takes requests and answers none is ejected before its attempts time out.
 func TestHungServerIsEjected(t *testing.T) {
-	b := newHarness(t, testSettings(), readyServers(4)...)
+	h := newHarness(t, testSettings(), readyServers(4)...)
 	toIt := 0
 	k := 0
-	b.run(4*time.Second, func() {
+	h.run(4*time.Second, func() {
 		if k++; k%10 == 0 {
-			b.arrive(Request{Customer: uint64(k), Units: 1})
+			h.arrive(Request{Customer: uint64(k), Units: 1})
 		}
-		for id := uint64(1); id <= b.nextID; id++ {
-			p := b.requests[id]
+		for id := uint64(1); id <= h.nextID; id++ {
+			p := h.requests[id]
 			switch {
 			case p == nil || !p.inFlight:
 			case p.cancelled:
-				b.end(p, Cancelled)
-			case b.now >= p.deadline || p.timeout > 0 && b.now >= p.sentAt+p.timeout:
-				b.end(p, Timeout)
-			case p.server != 1 && b.now-p.sentAt >= 50*ms:
-				b.end(p, OK)
+				h.end(p, Cancelled)
+			case h.now >= p.deadline || p.timeout > 0 && h.now >= p.sentAt+p.timeout:
+				h.end(p, Timeout)
+			case p.server != 1 && h.now-p.sentAt >= 50*ms:
+				h.end(p, OK)
 			}
 		}
 	})
-	for _, s := range b.sent {
+	for _, s := range h.sent {
 		if s == 1 {
 			toIt++
 		}
 	}
 	if toIt > 20 {
-		t.Errorf("%d of %d attempts went to the hung server, want at most 20", toIt, len(b.sent))
+		t.Errorf("%d of %d attempts went to the hung server, want at most 20", toIt, len(h.sent))
 	}
-	if !b.g.servers[1].ejected {
+	if !h.g.servers[1].ejected {
 		t.Error("the hung server is not ejected")
 	}
 }
@@ -317,9 +317,9 @@
 		"NaN units": {Units: math.NaN(), TTL: time.Second},
 		"negative":  {Units: -3, TTL: time.Second},
 	} {
-		b := newHarness(t, testSettings(), readyServers(2)...)
+		h := newHarness(t, testSettings(), readyServers(2)...)
 		q.ID, q.Spread = 1, -7
-		acts := b.g.Handle(b.now, q)
+		acts := h.g.Handle(h.now, q)
 		if len(acts) != 1 || acts[0] != (Refuse{ID: 1}) {
 			t.Errorf("%s: actions %+v, want one refusal", name, acts)
 		}
--- a/logic/many_test.go
+++ b/logic/many_test.go
@@ -16,24 +16,24 @@
 }
 
 // answerCalls answers the counter calls so far, all with one total.
-func (b *harness) answerCalls(st Status, total float64) {
-	counts := b.counts
-	b.counts = nil
+func (h *harness) answerCalls(st Status, total float64) {
+	counts := h.counts
+	h.counts = nil
 	for _, c := range counts {
-		b.handle(CountResult{Name: c.Name, Status: st, Total: total})
+		h.handle(CountResult{Name: c.Name, Status: st, Total: total})
 	}
 }
 
 // A customer whose share is far below one request must be neither refused while quota is left nor let through when none is.
 func TestDrawDecidesWhereAShareHoldsNoRequest(t *testing.T) {
 	for total, goes := range map[float64]bool{2: true, 30: true, 31: false} {
-		b := newManyGatewaysHarness(t, false)
-		b.g.callShare = 1
-		p := b.arrive(Request{Customer: 7, Units: 2})
-		if len(b.counts) != 1 || b.counts[0].Amount != 2 || p.inFlight || p.answer != "" {
-			t.Fatalf("calls %+v, sent %v, answer %q; want one call of 2 units and no decision yet", b.counts, p.inFlight, p.answer)
+		h := newManyGatewaysHarness(t, false)
+		h.g.callShare = 1
+		p := h.arrive(Request{Customer: 7, Units: 2})
+		if len(h.counts) != 1 || h.counts[0].Amount != 2 || p.inFlight || p.answer != "" {
+			t.Fatalf("calls %+v, sent %v, answer %q; want one call of 2 units and no decision yet", h.counts, p.inFlight, p.answer)
 		}
-		b.answerCalls(OK, total)
+		h.answerCalls(OK, total)
 		if p.inFlight != goes {
 			t.Errorf("sum %v of 30: sent %v, want %v", total, p.inFlight, goes)
 		}
@@ -42,47 +42,47 @@
 
 // While the counter fails, a first request that the even share allows (at least one request) must still be let through.
 func TestDrawWithoutACounter(t *testing.T) {
-	b := newManyGatewaysHarness(t, false)
-	b.g.callShare = 1
-	p := b.arrive(Request{Customer: 7, Units: 1})
-	b.answerCalls(Timeout, 0)
+	h := newManyGatewaysHarness(t, false)
+	h.g.callShare = 1
+	p := h.arrive(Request{Customer: 7, Units: 1})
+	h.answerCalls(Timeout, 0)
 	if !p.inFlight {
 		t.Error("the first request was not sent on the gateway's own share")
 	}
 	for range 20 {
-		b.arrive(Request{Customer: 7, Units: 1})
-		b.answerCalls(Timeout, 0)
+		h.arrive(Request{Customer: 7, Units: 1})
+		h.answerCalls(Timeout, 0)
 	}
-	if out := b.g.customers[7].inFlight; out < 1 || out > 30/maxOnDemandShares {
+	if out := h.g.customers[7].inFlight; out < 1 || out > 30/maxOnDemandShares {
 		t.Errorf("%d requests in flight, want 1 to %v: a sixth of a burst of 30", out, 30/maxOnDemandShares)
 	}
-	if b.g.noCallsUntil <= b.now {
+	if h.g.noCallsUntil <= h.now {
 		t.Error("calls to a silent counter do not pause")
 	}
 }
 
 // A slot of a cap is given back once, at the end of its attempt, to the count that it was drawn from.
 func TestSlotIsGivenBack(t *testing.T) {
-	b := newManyGatewaysHarness(t, true)
-	b.g.callShare = 1
-	b.g.loadEstimates[9] = loadEstimate{0.9, b.now + time.Hour}
-	p := b.arrive(Request{Customer: 9, Plan: 1, Units: 1})
+	h := newManyGatewaysHarness(t, true)
+	h.g.callShare = 1
+	h.g.loadEstimates[9] = loadEstimate{0.9, h.now + time.Hour}
+	p := h.arrive(Request{Customer: 9, Plan: 1, Units: 1})
 	var name uint64
-	for _, c := range b.counts {
+	for _, c := range h.counts {
 		if c.Amount == 1 {
 			name = c.Name
 		}
 	}
 	if name == 0 {
-		t.Fatalf("no slot drawn: %+v", b.counts)
+		t.Fatalf("no slot drawn: %+v", h.counts)
 	}
-	b.answerCalls(OK, 4)
+	h.answerCalls(OK, 4)
 	if !p.inFlight {
 		t.Fatal("the fourth of four slots was not used")
 	}
-	b.run(3*time.Second/2, func() { b.answerAttempts(50 * ms) })
+	h.run(3*time.Second/2, func() { h.answerAttempts(50 * ms) })
 	given := 0
-	for _, c := range b.counts {
+	for _, c := range h.counts {
 		if c.Name == name && c.Amount == -1 {
 			given++
 		}
@@ -90,8 +90,8 @@
 	if given != 1 {
 		t.Errorf("slot given back %d times, want once", given)
 	}
-	q := b.arrive(Request{Customer: 9, Plan: 1, Units: 1})
-	b.answerCalls(OK, 5)
+	q := h.arrive(Request{Customer: 9, Plan: 1, Units: 1})
+	h.answerCalls(OK, 5)
 	if q.inFlight {
 		t.Error("a fifth attempt was sent on a cap of four")
 	}
@@ -99,16 +99,16 @@
 
 // Clients that give up soon and retry at once get what is left over: while other requests wait, their tries are refused.
 func TestImpatientRepeatsGetLeftovers(t *testing.T) {
-	b := newHarness(t, testSettings(), readyServers(8)...)
-	p := b.arrive(Request{Customer: 1, Units: 1})
-	b.end(p, OK)
-	if p := b.arrive(Request{Customer: 3, Units: 1, TTL: 300 * ms}); !p.inFlight {
+	h := newHarness(t, testSettings(), readyServers(8)...)
+	p := h.arrive(Request{Customer: 1, Units: 1})
+	h.end(p, OK)
+	if p := h.arrive(Request{Customer: 3, Units: 1, TTL: 300 * ms}); !p.inFlight {
 		t.Error("an impatient try was not sent although there was room")
 	}
 	for range 6 { // the local bucket of ten falls below one half
-		b.arrive(Request{Customer: 2, Units: 1})
+		h.arrive(Request{Customer: 2, Units: 1})
 	}
-	if p := b.arrive(Request{Customer: 2, Units: 1, TTL: 300 * ms}); p.answer != "refused" {
+	if p := h.arrive(Request{Customer: 2, Units: 1, TTL: 300 * ms}); p.answer != "refused" {
 		t.Errorf("an impatient try at a bucket less than half full: answer %q, want refused", p.answer)
 	}
 }
@@ -135,19 +135,19 @@
 
 // One bad answer must not lower the concurrency limit again and again where answers are few.
 func TestLimitIsCutOncePerAnswer(t *testing.T) {
-	b := newManyGatewaysHarness(t, true)
-	p := b.arrive(Request{Customer: 1, Units: 0.01})
-	b.answerCalls(OK, 0.01)
+	h := newManyGatewaysHarness(t, true)
+	p := h.arrive(Request{Customer: 1, Units: 0.01})
+	h.answerCalls(OK, 0.01)
 	if !p.inFlight {
 		t.Fatal("not sent")
 	}
-	b.g.aimShare = 2
-	before := b.g.limitPerServer
-	b.run(500*ms, nil)
-	b.end(p, OK)
-	b.run(3*time.Second, nil)
-	if b.g.limitPerServer < 0.75*before { // a second cut would leave less
-		t.Errorf("limit %.4f after one slow answer, %.4f before: want at most one cut", b.g.limitPerServer, before)
+	h.g.aimShare = 2
+	before := h.g.limitPerServer
+	h.run(500*ms, nil)
+	h.end(p, OK)
+	h.run(3*time.Second, nil)
+	if h.g.limitPerServer < 0.75*before { // a second cut would leave less
+		t.Errorf("limit %.4f after one slow answer, %.4f before: want at most one cut", h.g.limitPerServer, before)
 	}
 }
 
@@ -163,24 +163,24 @@
 		{"four of ten lost", 4, 120 * ms, 0.7, 100},
 		{"all slow", 0, 550 * ms, 0, 0.5},
 	} {
-		b := newManyGatewaysHarness(t, true)
-		start := b.g.limitPerServer
+		h := newManyGatewaysHarness(t, true)
+		start := h.g.limitPerServer
 		for k := range 200 {
-			p := b.arrive(Request{Customer: uint64(k), Units: 1})
+			p := h.arrive(Request{Customer: uint64(k), Units: 1})
 			if !p.inFlight { // no room
-				b.run(2*time.Second, nil)
+				h.run(2*time.Second, nil)
 				continue
 			}
-			b.run(c.answer, nil)
+			h.run(c.answer, nil)
 			if k%10 < c.lost {
-				b.run(700*ms-c.answer, nil)
-				b.end(p, Timeout)
+				h.run(700*ms-c.answer, nil)
+				h.end(p, Timeout)
 			} else {
-				b.end(p, OK)
+				h.end(p, OK)
 			}
-			b.run(1200*ms, nil)
+			h.run(1200*ms, nil)
 		}
-		if share := b.g.limitPerServer / start; share < c.least || share > c.most {
+		if share := h.g.limitPerServer / start; share < c.least || share > c.most {
 			t.Errorf("%s: the limit is %.2f of its start, want %v to %v", c.name, share, c.least, c.most)
 		}
 	}
@@ -189,29 +189,29 @@
 // Calls to a counter must be made again once the cause of throttling is gone: the share of calls made grows with the answers,
 // though one gateway gets few of them, and one failure in twenty must not lower it to its minimum.
 func TestCallShareRecovers(t *testing.T) {
-	b := newManyGatewaysHarness(t, false)
-	b.g.callShare = minCallShare
+	h := newManyGatewaysHarness(t, false)
+	h.g.callShare = minCallShare
 	play := func(calls, fullEvery int) { // 0: none turned away
 		for k := range calls {
 			st := OK
 			if fullEvery > 0 && k%fullEvery == 0 {
 				st = Full
 			}
-			b.g.calls[1] = append(b.g.calls[1], call{customer: &customer{gateways: 2, interval: time.Second}})
-			b.handle(CountResult{Name: 1, Status: st})
+			h.g.calls[1] = append(h.g.calls[1], call{customer: &customer{gateways: 2, interval: time.Second}})
+			h.handle(CountResult{Name: 1, Status: st})
 		}
 	}
 	play(160, 0)
-	if b.g.callShare < 0.9 {
-		t.Errorf("share of calls %.2f after 160 answers, want at least 0.9", b.g.callShare)
+	if h.g.callShare < 0.9 {
+		t.Errorf("share of calls %.2f after 160 answers, want at least 0.9", h.g.callShare)
 	}
 	play(2000, 20)
-	if b.g.callShare < 0.7 {
-		t.Errorf("share of calls %.2f with one in twenty turned away, want at least 0.7", b.g.callShare)
+	if h.g.callShare < 0.7 {
+		t.Errorf("share of calls %.2f with one in twenty turned away, want at least 0.7", h.g.callShare)
 	}
 	play(100, 2)
-	if b.g.callShare > 2*minCallShare {
-		t.Errorf("share of calls %.2f with every second turned away, want at most %v", b.g.callShare, 2*minCallShare)
+	if h.g.callShare > 2*minCallShare {
+		t.Errorf("share of calls %.2f with every second turned away, want at most %v", h.g.callShare, 2*minCallShare)
 	}
 }
 
@@ -219,13 +219,13 @@
 // before. One that turns calls away, or answers none of them in time, is called less as ever.
 func TestCallShareIsRestoredAfterAnOutage(t *testing.T) {
 	for st, after := range map[Status]float64{ConnectFailed: 0.6, Full: 0.2, Timeout: 0.2} {
-		b := newManyGatewaysHarness(t, false)
-		b.g.callShare = 0.6
+		h := newManyGatewaysHarness(t, false)
+		h.g.callShare = 0.6
 		for _, got := range []Status{Timeout, Timeout, Reset, st, st, st, st, st, OK} {
-			b.g.calls[1] = append(b.g.calls[1], call{customer: &customer{gateways: 2, interval: time.Second}})
-			b.handle(CountResult{Name: 1, Status: got})
+			h.g.calls[1] = append(h.g.calls[1], call{customer: &customer{gateways: 2, interval: time.Second}})
+			h.handle(CountResult{Name: 1, Status: got})
 		}
-		if got := b.g.callShare; math.Abs(got-after) > 0.1 {
+		if got := h.g.callShare; math.Abs(got-after) > 0.1 {
 			t.Errorf("after an outage that ended with status %v the share of calls is %.2f, want about %.1f", st, got, after)
 		}
 	}
@@ -239,9 +239,9 @@
 		set := testSettings()
 		set.Gateways = gateways
 		set.Plans[0].Burst = 5 * set.Plans[0].Rate
-		b := newHarness(t, set, readyServers(3)...)
-		b.arrive(Request{Customer: 1, Units: 1, Spread: 3})
-		if got := b.g.customers[1].interval; got != span {
+		h := newHarness(t, set, readyServers(3)...)
+		h.arrive(Request{Customer: 1, Units: 1, Spread: 3})
+		if got := h.g.customers[1].interval; got != span {
 			t.Errorf("%d gateways: interval %v, want %v", gateways, got, span)
 		}
 	}
@@ -255,16 +255,16 @@
 	all := map[ServerID]int{}
 	for rank := range set.Gateways {
 		set.Rank = rank
-		b := newHarness(t, set, readyServers(60)...)
+		h := newHarness(t, set, readyServers(60)...)
 		own := map[ServerID]int{}
 		for n := range 60 {
-			b.arrive(Request{Customer: uint64(n + 1), Units: 0.1})
-			b.run(100*ms, func() { b.answerAttempts(20 * ms) })
-			for _, s := range b.sent {
+			h.arrive(Request{Customer: uint64(n + 1), Units: 0.1})
+			h.run(100*ms, func() { h.answerAttempts(20 * ms) })
+			for _, s := range h.sent {
 				own[s]++
 				all[s]++
 			}
-			b.sent = b.sent[:0]
+			h.sent = h.sent[:0]
 		}
 		if len(own) > nearbyServers {
 			t.Fatalf("gateway %d used %d of 60 servers, want at most %d", rank, len(own), nearbyServers)
@@ -280,12 +280,12 @@
 // The servers that a gateway keeps to stay the same while others come and go: otherwise each change would cost all gateways
 // handshakes.
 func TestOwnServersStayWhenOthersGo(t *testing.T) {
-	b := newManyGatewaysHarness(t, false)
-	before := slices.Clone(b.g.nearestFirst[:nearbyServers])
-	gone := b.g.nearestFirst[nearbyServers+3].Server
+	h := newManyGatewaysHarness(t, false)
+	before := slices.Clone(h.g.nearestFirst[:nearbyServers])
+	gone := h.g.nearestFirst[nearbyServers+3].Server
 	gone.State = Gone
-	b.list(ServerList{Servers: []Server{gone}})
-	if !slices.Equal(before, b.g.nearestFirst[:nearbyServers]) || len(b.g.nearestFirst) != 29 {
+	h.list(ServerList{Servers: []Server{gone}})
+	if !slices.Equal(before, h.g.nearestFirst[:nearbyServers]) || len(h.g.nearestFirst) != 29 {
 		t.Error("the order of the servers that stay has changed, or the one that is gone is still listed")
 	}
 }
@@ -310,30 +310,30 @@
 		if at == emptied {
 			clear(totals)
 		}
-		for rank, b := range harnesses {
+		for rank, h := range harnesses {
 			if at == killed && rank%2 == 0 {
 				set.Rank = rank
-				now := b.now
-				b = newHarness(t, set, readyServers(60)...)
-				b.now, harnesses[rank] = now, b
+				now := h.now
+				h = newHarness(t, set, readyServers(60)...)
+				h.now, harnesses[rank] = now, h
 			}
-			b.run(step, func() {
+			h.run(step, func() {
 				if rng.Float64() < demand(at)*step.Seconds()/float64(rank+1)/weights {
-					b.arrive(Request{Customer: 7, Units: 1})
+					h.arrive(Request{Customer: 7, Units: 1})
 					asked++
 				}
-				for _, c := range b.counts {
+				for _, c := range h.counts {
 					totals[c.Name] += c.Amount
-					b.handle(CountResult{Name: c.Name, Status: OK, Total: totals[c.Name], Latency: 5 * ms})
+					h.handle(CountResult{Name: c.Name, Status: OK, Total: totals[c.Name], Latency: 5 * ms})
 				}
-				b.counts = b.counts[:0]
+				h.counts = h.counts[:0]
 			})
-			for range b.sent {
+			for range h.sent {
 				sent++
 				each(at)
 			}
-			b.sent = b.sent[:0]
-			b.answerAttempts(150 * ms)
+			h.sent = h.sent[:0]
+			h.answerAttempts(150 * ms)
 		}
 	}
 	return sent, asked
@@ -394,41 +394,41 @@
 
 // The last calls of the budget go to the plan of the highest price: where the counter can handle few calls, cheap plans must not
 // use them up.
-func TestTheLastCallsAreForTheDearestPlan(t *testing.T) {
+func TestLastCallsGoToTheHighestPrice(t *testing.T) {
 	set := testSettings()
 	set.Gateways = 80
 	cheap := Plan{Rate: 0.84, Burst: 3, Price: 0.72}
 	set.Plans = []Plan{cheap, fullPlan}
-	b := newHarness(t, set, readyServers(60)...)
+	h := newHarness(t, set, readyServers(60)...)
 	for n := range 40 {
-		b.arrive(Request{Customer: uint64(n + 10), Units: 1})
+		h.arrive(Request{Customer: uint64(n + 10), Units: 1})
 	}
-	before := len(b.counts)
-	b.arrive(Request{Customer: 1, Plan: 1, Units: 1, Spread: 22})
-	if before == 0 || len(b.counts) != before+1 {
-		t.Errorf("%d calls for cheap firms, then %d for a dear one; want some, then 1", before, len(b.counts)-before)
+	before := len(h.counts)
+	h.arrive(Request{Customer: 1, Plan: 1, Units: 1, Spread: 22})
+	if before == 0 || len(h.counts) != before+1 {
+		t.Errorf("%d calls for firms of a cheap plan, then %d for one of the most expensive; want some, then 1", before, len(h.counts)-before)
 	}
 }
 
 // An attempt that was refused by a server that drains or is gone has cost that server nothing. It must use up neither the retry
 // budget nor the room for others: discovery is late, and in a release a third of the tries end so.
 func TestTriesThatNeverRanCostLittle(t *testing.T) {
-	b := newManyGatewaysHarness(t, false)
-	b.set.HasCounter = false
-	b.g.set.HasCounter = false
+	h := newManyGatewaysHarness(t, false)
+	h.set.HasCounter = false
+	h.g.set.HasCounter = false
 	served := 0
 	for n := range 60 {
-		p := b.arrive(Request{Customer: uint64(n), Units: 0.1})
+		p := h.arrive(Request{Customer: uint64(n), Units: 0.1})
 		for k := 0; p.inFlight && k < 2; k++ {
-			b.end(p, []Status{Full, ConnectFailed}[k])
-			b.run(tick, nil)
+			h.end(p, []Status{Full, ConnectFailed}[k])
+			h.run(tick, nil)
 		}
 		if p.inFlight {
-			b.end(p, OK)
+			h.end(p, OK)
 			served++
 		}
-		b.run(200*ms, nil)
-		for _, s := range b.g.list { // each server is tried once in a long while, so it starts anew
+		h.run(200*ms, nil)
+		for _, s := range h.g.list { // each server is tried once in a long while, so it starts anew
 			s.ejected, s.failureRate, s.backoff = false, 0, minEjectTime
 		}
 	}
@@ -440,12 +440,12 @@
 // Each of many gateways sends to a server seldom: the first sign that it is gone must be enough, or each gateway pays for more.
 func TestOneFailureEjectsAmongManyGateways(t *testing.T) {
 	for _, st := range []Status{Full, Timeout, Reset, ConnectFailed, Error, Spoilt} {
-		b := newManyGatewaysHarness(t, false)
-		b.g.set.HasCounter = false
-		p := b.arrive(Request{Customer: 1, Units: 0.1})
+		h := newManyGatewaysHarness(t, false)
+		h.g.set.HasCounter = false
+		p := h.arrive(Request{Customer: 1, Units: 0.1})
 		at := p.server
-		b.end(p, st)
-		if !b.g.servers[at].ejected {
+		h.end(p, st)
+		if !h.g.servers[at].ejected {
 			t.Errorf("status %d: the server is not ejected", st)
 		}
 	}
@@ -460,34 +460,34 @@
 	for k := range list {
 		list[k].Zone = k % 2
 	}
-	b := newHarness(t, set, list...)
-	send := func() *trackedRequest { return b.arrive(Request{Customer: b.nextID, Units: 0.1}) }
+	h := newHarness(t, set, list...)
+	send := func() *trackedRequest { return h.arrive(Request{Customer: h.nextID, Units: 0.1}) }
 	toLost, after := 0, 0
 	for n := range 60 {
 		p := send()
-		for p.inFlight && b.g.servers[p.server].Zone == 1 {
+		for p.inFlight && h.g.servers[p.server].Zone == 1 {
 			if toLost++; n >= 30 {
 				after++
 			}
-			b.end(p, ConnectFailed)
+			h.end(p, ConnectFailed)
 		}
 		if p.inFlight {
-			b.end(p, OK)
+			h.end(p, OK)
 		}
-		b.run(20*ms, nil)
+		h.run(20*ms, nil)
 	}
 	if toLost < lostZoneFailures || toLost > 2*lostZoneFailures || after > 1 {
 		t.Errorf("%d attempts at the lost hall, want %d to %d; %d after half of the time, want at most 1", toLost, lostZoneFailures,
 			2*lostZoneFailures, after)
 	}
-	b.run(lostZoneRetry, nil)
+	h.run(lostZoneRetry, nil)
 	for range 40 {
 		if p := send(); p.inFlight {
-			b.end(p, OK)
+			h.end(p, OK)
 		}
-		b.run(20*ms, nil)
+		h.run(20*ms, nil)
 	}
-	if b.g.zoneLost(1, b.now) || b.g.halls[1].failures > 0 {
+	if h.g.zoneLost(1, h.now) || h.g.halls[1].failures > 0 {
 		t.Error("the hall is not used again after it answers")
 	}
 }
@@ -504,18 +504,18 @@
 	var cold, warm float64
 	for rank := range set.Gateways {
 		set.Rank = rank
-		b := newHarness(t, set, list...)
+		h := newHarness(t, set, list...)
 		for n := range 20 {
-			b.arrive(Request{Customer: uint64(n + 1), Units: 0.1})
-			b.run(100*ms, func() { b.answerAttempts(80 * ms) })
-			for _, s := range b.sent {
+			h.arrive(Request{Customer: uint64(n + 1), Units: 0.1})
+			h.run(100*ms, func() { h.answerAttempts(80 * ms) })
+			for _, s := range h.sent {
 				if s <= 36 {
 					cold++
 				} else {
 					warm++
 				}
 			}
-			b.sent = b.sent[:0]
+			h.sent = h.sent[:0]
 		}
 	}
 	// A cold server has 0.2 of its capacity at the start and 0.36 two seconds later.
@@ -530,17 +530,17 @@
 	for _, next := range []Plan{{Rate: 28, Burst: 52, Price: 1.8}, {Open: 3, Price: 1.8}} {
 		set := testSettings()
 		set.Gateways = 60
-		b := newHarness(t, set, readyServers(60)...)
+		h := newHarness(t, set, readyServers(60)...)
 		book := &fakeBook{plan: fullPlan}
-		b.g.Use(book, nil)
-		b.arrive(Request{Customer: 7, Units: 1})
-		if len(b.counts) != 1 {
-			t.Fatalf("counter calls %+v, want one", b.counts)
+		h.g.Use(book, nil)
+		h.arrive(Request{Customer: 7, Units: 1})
+		if len(h.counts) != 1 {
+			t.Fatalf("counter calls %+v, want one", h.counts)
 		}
 		book.plan = next
-		b.handle(PlansChanged{})
-		b.handle(CountResult{Name: b.counts[0].Name, Status: OK, Total: 1})
-		if c := b.g.customers[7]; c.drawnUnits != 0 || c.drawPending && next.Rate <= 0 {
+		h.handle(PlansChanged{})
+		h.handle(CountResult{Name: h.counts[0].Name, Status: OK, Total: 1})
+		if c := h.g.customers[7]; c.drawnUnits != 0 || c.drawPending && next.Rate <= 0 {
 			t.Errorf("%+v: %v units are left of the old plan, draw pending %v; want none", next, c.drawnUnits, c.drawPending)
 		}
 	}
@@ -552,15 +552,15 @@
 	dealtOut := func(units float64, p Plan) bool {
 		set := testSettings()
 		set.Gateways, set.Plans = 6, append(set.Plans, p)
-		b := newHarness(t, set, readyServers(30)...)
-		b.g.callShare = 1
+		h := newHarness(t, set, readyServers(30)...)
+		h.g.callShare = 1
 		for k := range 200 {
-			b.arrive(Request{Customer: uint64(100 + k), Plan: 2, Units: units, Spread: 2})
-			b.run(60*ms, func() { b.answerAttempts(50 * ms) })
+			h.arrive(Request{Customer: uint64(100 + k), Plan: 2, Units: units, Spread: 2})
+			h.run(60*ms, func() { h.answerAttempts(50 * ms) })
 		}
-		b.g.callsLeft, b.counts = counterCallBurst, nil
-		b.arrive(Request{Customer: 7, Plan: len(set.Plans) - 1, Units: 1})
-		return len(b.counts) == 0
+		h.g.callsLeft, h.counts = counterCallBurst, nil
+		h.arrive(Request{Customer: 7, Plan: len(set.Plans) - 1, Units: 1})
+		return len(h.counts) == 0
 	}
 	ways := map[bool]int{}
 	for burst := 2.0; burst <= 100; burst += 2 {
--- a/logic/plans_test.go
+++ b/logic/plans_test.go
@@ -40,40 +40,40 @@
 func newPlanHarness(p Plan) *planHarness {
 	set := testSettings()
 	set.Gateways, set.Plans, set.HasCounter = 1, []Plan{p}, false
-	b := &planHarness{g: New(set, 1), f: &fakeBook{plan: p}, now: time.Hour}
-	b.g.Use(b.f, b.f)
-	b.handle(ServerList{Whole: true, Servers: readyServers(4)})
-	return b
+	h := &planHarness{g: New(set, 1), f: &fakeBook{plan: p}, now: time.Hour}
+	h.g.Use(h.f, h.f)
+	h.handle(ServerList{Whole: true, Servers: readyServers(4)})
+	return h
 }
 
-func (b *planHarness) handle(ev Event) {
-	for _, a := range b.g.Handle(b.now, ev) {
+func (h *planHarness) handle(ev Event) {
+	for _, a := range h.g.Handle(h.now, ev) {
 		switch a := a.(type) {
 		case Send:
-			b.sent++
-			b.handle(Outcome{ID: a.ID, Server: a.Server, Status: OK, Closed: true})
-			b.done++
+			h.sent++
+			h.handle(Outcome{ID: a.ID, Server: a.Server, Status: OK, Closed: true})
+			h.done++
 		case Refuse, Fail:
-			b.done++
+			h.done++
 		}
 	}
 }
 
-func (b *planHarness) change(p Plan) {
-	b.f.plan = p
-	b.handle(PlansChanged{})
+func (h *planHarness) change(p Plan) {
+	h.f.plan = p
+	h.handle(PlansChanged{})
 }
 
-func (b *planHarness) ask() {
-	b.next++
-	b.handle(Request{ID: b.next, Customer: 7, TTL: 4 * time.Second, Units: 1, Spread: 1})
+func (h *planHarness) ask() {
+	h.next++
+	h.handle(Request{ID: h.next, Customer: 7, TTL: 4 * time.Second, Units: 1, Spread: 1})
 }
 
 // pass lets time pass in ticks.
-func (b *planHarness) pass(d time.Duration) {
-	for until := b.now + d; b.now < until; {
-		b.now += tick
-		b.handle(Timer{Token: tickToken})
+func (h *planHarness) pass(d time.Duration) {
+	for until := h.now + d; h.now < until; {
+		h.now += tick
+		h.handle(Timer{Token: tickToken})
 	}
 }
 
@@ -90,32 +90,32 @@
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		p := draw(t)
-		b := newPlanHarness(p)
+		h := newPlanHarness(p)
 		asked := 0
 		most, seen := 0.0, false // units allowed by all plans in force since the firm was first seen, taken together
 		ask := func() {
 			if !seen {
 				most, seen = p.Burst, true
 			}
-			b.ask()
+			h.ask()
 			asked++
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"change": func(t *rapid.T) {
 				most += p.Rate * tick.Seconds() // firms without held requests take the change up within a tick
 				p = draw(t)
-				b.change(p)
+				h.change(p)
 			},
 			"back and forth": func(t *rapid.T) {
 				level, ceiling := 0.0, 0.0
 				ask()
-				c := b.g.customers[7]
+				c := h.g.customers[7]
 				level, ceiling = c.level, c.ceiling
 				for range 3 {
-					b.change(draw(t))
+					h.change(draw(t))
 				}
-				b.change(p)
-				b.handle(Timer{Token: tickToken})
+				h.change(p)
+				h.handle(Timer{Token: tickToken})
 				if c.level > level || c.ceiling > ceiling {
 					t.Fatalf("changes raised the bucket from %v to %v or the ceiling from %v to %v", level, c.level, ceiling, c.ceiling)
 				}
@@ -128,17 +128,17 @@
 			"wait": func(t *rapid.T) {
 				d := time.Duration(rapid.IntRange(1, 200).Draw(t, "ticks")) * tick
 				most += p.Rate * d.Seconds()
-				b.pass(d)
+				h.pass(d)
 			},
 			"": func(t *rapid.T) {
-				if b.sent > most+1e-6 {
-					t.Fatalf("%v units sent on, %v allowed", b.sent, most)
+				if h.sent > most+1e-6 {
+					t.Fatalf("%v units sent on, %v allowed", h.sent, most)
 				}
 			},
 		})
-		b.pass(6 * time.Second)
-		if b.done != asked {
-			t.Fatalf("%d of %d requests have their final answer", b.done, asked)
+		h.pass(6 * time.Second)
+		if h.done != asked {
+			t.Fatalf("%d of %d requests have their final answer", h.done, asked)
 		}
 	})
 }
@@ -146,24 +146,24 @@
 // A plan is lowered during a burst: held requests that can no longer be served in time are refused at once, with a true time to
 // come back.
 func TestALoweredPlanRefusesAtOnceWhatCannotPassAnyMore(t *testing.T) {
-	b := newPlanHarness(Plan{Name: "full", Rate: 20, Burst: 20, Price: 1})
+	h := newPlanHarness(Plan{Name: "full", Rate: 20, Burst: 20, Price: 1})
 	for range 30 {
-		b.ask()
+		h.ask()
 	}
-	c := b.g.customers[7]
+	c := h.g.customers[7]
 	if len(c.held) == 0 {
 		t.Fatal("no request is held before the plan is lowered")
 	}
-	held, done := len(c.held), b.done
-	b.f.plan = Plan{Name: "full", Rate: 0.5, Burst: 1, Price: 1}
+	held, done := len(c.held), h.done
+	h.f.plan = Plan{Name: "full", Rate: 0.5, Burst: 1, Price: 1}
 	var after []time.Duration
-	for _, a := range b.g.Handle(b.now, PlansChanged{}) {
+	for _, a := range h.g.Handle(h.now, PlansChanged{}) {
 		if r, ok := a.(Refuse); ok {
 			after = append(after, r.RetryAfter)
-			b.done++
+			h.done++
 		}
 	}
-	if len(after) == 0 || len(after) != b.done-done || len(c.held)+len(after) != held {
+	if len(after) == 0 || len(after) != h.done-done || len(c.held)+len(after) != held {
 		t.Fatalf("%d held, then %d refused and %d held; want some refused and none lost", held, len(after), len(c.held))
 	}
 	for _, d := range after {
@@ -177,50 +177,50 @@
 // the figures do.
 func TestCountNamesDifferByPlanFigures(t *testing.T) {
 	p := Plan{Name: "full", Rate: 20, Burst: 20, Price: 1}
-	a, b := newPlanHarness(p), newPlanHarness(p)
+	a, h := newPlanHarness(p), newPlanHarness(p)
 	a.ask()
-	b.ask()
+	h.ask()
 	name := func(x *planHarness) uint64 { return x.g.customers[7].countName(forecastSums) }
-	if name(a) != name(b) {
+	if name(a) != name(h) {
 		t.Fatal("the same figures give different names")
 	}
 	p.Rate = 10
 	a.change(p)
 	a.ask()
-	if name(a) == name(b) {
+	if name(a) == name(h) {
 		t.Fatal("different figures give the same name")
 	}
-	b.change(p)
-	b.pass(tick)
+	h.change(p)
+	h.pass(tick)
 	a.pass(tick)
-	if name(a) != name(b) {
+	if name(a) != name(h) {
 		t.Fatal("the same figures again give different names")
 	}
 	p.Price = 3
 	a.change(p)
 	a.pass(tick)
-	b.pass(tick)
-	if name(a) != name(b) {
+	h.pass(tick)
+	if name(a) != name(h) {
 		t.Fatal("a change of the price changed the name of a count")
 	}
 }
 
 // A reservation lets requests through that the bucket does not hold, and the ceiling holds all the same.
 func TestReservationIsWithinQuotaAndUnderTheCeiling(t *testing.T) {
-	b := newPlanHarness(Plan{Name: "full", Rate: 1, Burst: 2, Price: 1})
-	b.f.left = 10
+	h := newPlanHarness(Plan{Name: "full", Rate: 1, Burst: 2, Price: 1})
+	h.f.left = 10
 	for range 30 {
-		b.ask()
+		h.ask()
 	}
-	if b.sent != 12 {
-		t.Fatalf("%v units sent on, want 12: a bucket of 2 and a reservation of 10", b.sent)
+	if h.sent != 12 {
+		t.Fatalf("%v units sent on, want 12: a bucket of 2 and a reservation of 10", h.sent)
 	}
-	b = newPlanHarness(Plan{Name: "full", Rate: 1, Burst: 2, Price: 1, CeilingRate: 1, CeilingBurst: 5, CeilingSlack: 4})
-	b.f.left = 100
+	h = newPlanHarness(Plan{Name: "full", Rate: 1, Burst: 2, Price: 1, CeilingRate: 1, CeilingBurst: 5, CeilingSlack: 4})
+	h.f.left = 100
 	for range 30 {
-		b.ask()
+		h.ask()
 	}
-	if b.sent > 4 {
-		t.Fatalf("%v units sent on, want at most 4: a new ceiling bucket holds 3.6", b.sent)
+	if h.sent > 4 {
+		t.Fatalf("%v units sent on, want at most 4: a new ceiling bucket holds 3.6", h.sent)
 	}
 }
--- a/logic/servers.go
+++ b/logic/servers.go
@@ -88,11 +88,11 @@
 }
 
 // hall finds the record of a zone, or makes one.
-func (f *upstream) hall(zone int) *hall {
-	h := f.halls[zone]
+func (u *upstream) hall(zone int) *hall {
+	h := u.halls[zone]
 	if h == nil {
 		h = &hall{}
-		f.halls[zone] = h
+		u.halls[zone] = h
 	}
 	return h
 }
@@ -106,8 +106,8 @@
 )
 
 // noteOutcome counts how an attempt in a zone ended.
-func (f *upstream) noteOutcome(zone int, st Status, now time.Duration) {
-	switch h := f.hall(zone); st {
+func (u *upstream) noteOutcome(zone int, st Status, now time.Duration) {
+	switch h := u.hall(zone); st {
 	case OK:
 		h.failures = 0
 	case ConnectFailed, Timeout:
@@ -117,8 +117,8 @@
 
 // zoneLost tells whether a whole zone seems to be cut off. After a while one more attempt may find out. Without this, one of
 // many gateways would have to fail at each of its servers.
-func (f *upstream) zoneLost(zone int, now time.Duration) bool {
-	return f.hall(zone).lost(now)
+func (u *upstream) zoneLost(zone int, now time.Duration) bool {
+	return u.hall(zone).lost(now)
 }
 
 func (h *hall) lost(now time.Duration) bool {
@@ -126,18 +126,18 @@
 }
 
 // sumUsable sums up the usable servers. It returns the number of warm ones, those in lost zones included.
-func (f *upstream) sumUsable(g *Gateway) (warm int) {
-	f.inFlight, f.usableServers, f.warmCapacity = 0, 0, 0
-	for _, h := range f.halls {
+func (u *upstream) sumUsable(g *Gateway) (warm int) {
+	u.inFlight, u.usableServers, u.warmCapacity = 0, 0, 0
+	for _, h := range u.halls {
 		if warm += h.warm; !h.lost(g.now) { // these are whole numbers: their sum is the same in any order of the map
-			f.inFlight += float64(h.inFlight)
-			f.usableServers += float64(h.usable)
-			f.warmCapacity += float64(h.warm)
+			u.inFlight += float64(h.inFlight)
+			u.usableServers += float64(h.usable)
+			u.warmCapacity += float64(h.warm)
 		}
 	}
-	for _, s := range f.cold {
+	for _, s := range u.cold {
 		if s.usableIn != nil && !s.usableIn.lost(g.now) {
-			f.warmCapacity += max(g.warmShare(s), 1-g.unseenShare)
+			u.warmCapacity += max(g.warmShare(s), 1-g.unseenShare)
 		}
 	}
 	return warm
@@ -145,22 +145,22 @@
 
 // recount brings the sums of the halls up to date with a server that has changed.
 func (g *Gateway) recount(s *server) {
-	f, warm := s.upstream, g.warmShare(s) >= 1
+	u, warm := s.upstream, g.warmShare(s) >= 1
 	if h := s.usableIn; h != nil {
 		h.add(s, -1)
 	}
 	if s.usableIn, s.countedWarm = nil, warm; s.listed && s.State == Ready && !s.ejected {
-		s.usableIn = f.hall(s.Zone)
+		s.usableIn = u.hall(s.Zone)
 		s.usableIn.add(s, 1)
 	}
 	if s.readyIn != nil {
 		s.readyIn.ready--
 	}
 	if s.readyIn = nil; s.listed && s.State == Ready {
-		s.readyIn = f.hall(s.Zone)
+		s.readyIn = u.hall(s.Zone)
 		s.readyIn.ready++
 	}
-	f.cold = withServer(f.cold, s, byID, s.listed && !warm)
+	u.cold = withServer(u.cold, s, byID, s.listed && !warm)
 }
 
 func (h *hall) add(s *server, sign int) {
@@ -209,33 +209,33 @@
 	if g.watching = !l.Failed && !l.Cached; l.Failed {
 		return
 	}
-	f := g.upstreamNumbered(l.Group)
+	u := g.upstreamNumbered(l.Group)
 	if l.Whole {
-		for _, s := range f.list {
+		for _, s := range u.list {
 			s.listed = false
 		}
 	}
 	for _, e := range l.Servers {
 		s := g.servers[e.ID]
 		if s == nil {
-			s = &server{upstream: f, backoff: minEjectTime, latency: g.initialServerLatency(f)}
+			s = &server{upstream: u, backoff: minEjectTime, latency: g.initialServerLatency(u)}
 			g.servers[e.ID] = s
 		}
 		if s.Started != e.Started { // a new process: nothing known of the old one applies
-			s.failureRate, s.ejected, s.trialPending, s.backoff, s.latency = 0, false, false, minEjectTime, g.initialServerLatency(f)
+			s.failureRate, s.ejected, s.trialPending, s.backoff, s.latency = 0, false, false, minEjectTime, g.initialServerLatency(u)
 			s.coldTokens, s.coldRefilledAt = g.random(), g.now // random, so that not all gateways send at once
 			s.startedAt = g.clock.gatewayTime(e.Started, g.now)
-			f.noteOutcome(e.Zone, OK, g.now)
+			u.noteOutcome(e.Zone, OK, g.now)
 		}
 		s.Server = e
 		s.listed = e.State != Gone
 	}
-	g.updateLists(f, l)
+	g.updateLists(u, l)
 	g.dispatch()
 }
 
 // updateLists brings an upstream group's lists of servers up to date. A few changes are no reason to sort all.
-func (g *Gateway) updateLists(f *upstream, l ServerList) {
+func (g *Gateway) updateLists(u *upstream, l ServerList) {
 	byDistance := func(a, b *server) int {
 		return cmp.Or(cmp.Compare(g.rendezvousRank(a), g.rendezvousRank(b)), byID(a, b))
 	}
@@ -246,32 +246,32 @@
 			}
 		}
 	}
-	if l.Whole || len(l.Servers) > len(f.list)/8 {
-		old := f.list
-		f.list = make([]*server, 0, len(l.Servers))
+	if l.Whole || len(l.Servers) > len(u.list)/8 {
+		old := u.list
+		u.list = make([]*server, 0, len(l.Servers))
 		for _, s := range old {
 			if !s.listed {
 				changed(s)
 			}
 		}
 		for _, s := range g.servers {
-			if s.upstream == f && s.listed {
-				f.list = append(f.list, s)
-			} else if s.upstream == f {
+			if s.upstream == u && s.listed {
+				u.list = append(u.list, s)
+			} else if s.upstream == u {
 				changed(s)
 			}
 		}
-		slices.SortFunc(f.list, byID)
-		for _, s := range f.list {
+		slices.SortFunc(u.list, byID)
+		for _, s := range u.list {
 			changed(s)
 		}
-		f.nearestFirst = slices.Clone(f.list)
-		slices.SortFunc(f.nearestFirst, byDistance)
+		u.nearestFirst = slices.Clone(u.list)
+		slices.SortFunc(u.nearestFirst, byDistance)
 		return
 	}
 	for _, e := range l.Servers {
-		if s := g.servers[e.ID]; s != nil && s.upstream == f {
-			f.list, f.nearestFirst = withServer(f.list, s, byID, s.listed), withServer(f.nearestFirst, s, byDistance, s.listed)
+		if s := g.servers[e.ID]; s != nil && s.upstream == u {
+			u.list, u.nearestFirst = withServer(u.list, s, byID, s.listed), withServer(u.nearestFirst, s, byDistance, s.listed)
 			changed(s)
 		}
 	}
@@ -342,11 +342,11 @@
 
 // initialServerLatency is the latency of a server that has not been tried yet. One of many gateways tries it late: until then
 // it is 0, which stands for that of the whole upstream group as it changes.
-func (g *Gateway) initialServerLatency(f *upstream) float64 {
+func (g *Gateway) initialServerLatency(u *upstream) float64 {
 	if g.unseenShare > 0 {
 		return 0
 	}
-	return f.latency
+	return u.latency
 }
 
 // expectedLatency is a server's latency. Where none is known, it is a little below the group's, so that the server gets tried.
@@ -372,50 +372,50 @@
 // noteSent takes note of whether an attempt could leave, or not for want of a connection, port or buffer of this process. It
 // guards against using up all the attempts that a request may have at once, and against a refusal while there is time. An
 // attempt that was too late to leave says nothing about that.
-func (f *upstream) noteSent(st Status) {
+func (u *upstream) noteSent(st Status) {
 	switch {
 	case st == Unsent:
-		f.localLimit = max(1, f.inFlight)
-	case st == OK && f.localLimit > 0: // the shortage may have lasted for a moment only
-		f.localLimit += 1 / f.localLimit
+		u.localLimit = max(1, u.inFlight)
+	case st == OK && u.localLimit > 0: // the shortage may have lasted for a moment only
+		u.localLimit += 1 / u.localLimit
 	}
 }
 
 // raiseLocalLimit lets some more attempts find out, after a while, whether this process is still short.
-func (f *upstream) raiseLocalLimit(dt float64) {
-	if f.localLimit <= 0 {
+func (u *upstream) raiseLocalLimit(dt float64) {
+	if u.localLimit <= 0 {
 		return
 	}
-	if f.localLimit += dt * localLimitGrowth; f.localLimit > 2*f.concurrencyLimit()+1 {
-		f.localLimit = 0
+	if u.localLimit += dt * localLimitGrowth; u.localLimit > 2*u.concurrencyLimit()+1 {
+		u.localLimit = 0
 	}
 }
 
 // chargeRetry takes a retry off the budget. One of many gateways is charged little where nothing ran, since that cost the
 // servers next to nothing. What did not leave costs nothing at all.
-func (f *upstream) chargeRetry(st Status, little bool) {
+func (u *upstream) chargeRetry(st Status, little bool) {
 	switch {
 	case st == Unsent || st == Late:
-		f.sendTokens++
+		u.sendTokens++
 	case little:
-		f.retryTokens, f.sendTokens = f.retryTokens-unrunRetryCost, f.sendTokens+1
+		u.retryTokens, u.sendTokens = u.retryTokens-unrunRetryCost, u.sendTokens+1
 	default:
-		f.retryTokens--
+		u.retryTokens--
 	}
 }
 
 // concurrencyLimit is how many attempts may be in flight from here on the mean. Below one, a first attempt of each gateway is
 // too much for all together: then send tokens come with time, and some are saved up for random bursts.
-func (f *upstream) concurrencyLimit() float64 { return f.limitPerServer * max(f.warmCapacity, 1) }
+func (u *upstream) concurrencyLimit() float64 { return u.limitPerServer * max(u.warmCapacity, 1) }
 
 // hasRoom tells whether one more attempt may leave.
-func (g *Gateway) hasRoom(f *upstream) bool {
-	b := f.concurrencyLimit()
-	if f.localLimit > 0 && f.inFlight+1 > f.localLimit {
+func (g *Gateway) hasRoom(u *upstream) bool {
+	b := u.concurrencyLimit()
+	if u.localLimit > 0 && u.inFlight+1 > u.localLimit {
 		return false
 	}
 	if g.unseenShare > 0 {
-		return f.sendTokens >= 1 && f.inFlight < b+math.Sqrt(b)+1
+		return u.sendTokens >= 1 && u.inFlight < b+math.Sqrt(b)+1
 	}
-	return f.inFlight < b+0.5
+	return u.inFlight < b+0.5
 }
--- a/logic/state.go
+++ b/logic/state.go
@@ -108,7 +108,7 @@
 	// typicalUnits is the units of a request by the settings alone: all gateways must agree on how a firm is counted.
 	typicalUnits float64
 
-	maxPrice   float64       // price of the dearest plan
+	maxPrice   float64       // highest price of a plan
 	turnTime   time.Duration // length of a turn at a cap, by the settings: the same at all gateways
 	callBurst  float64       // calls saved up at most, for each counter
 	counterMap Counters      // which counters hold a name; nil: there is one counter
@@ -225,7 +225,7 @@
 // pauseThreshold is the time without a tick that shows that this process was paused.
 const pauseThreshold = 300 * time.Millisecond
 
-// highestPrice is the price of the dearest plan.
+// highestPrice is the highest price of a plan.
 func highestPrice(plans []Plan) float64 {
 	price := 1e-9
 	for _, p := range plans {
--- a/logic/tuning.go
+++ b/logic/tuning.go
@@ -71,8 +71,8 @@
 	// much for a counter that many call.
 	manyGatewaysCallBurst = 8.0
 
-	// callsKeptForDearest is how many calls stay saved for the dearest plan.
-	callsKeptForDearest = 3.0
+	// callsKeptForMaxPrice is how many calls stay saved for the plan of the highest price.
+	callsKeptForMaxPrice = 3.0
 
 	// minCallShare is the least share of the wanted calls that is made while a counter fails or is overloaded.
 	minCallShare = 0.05
