--- a/logic/logic.go
+++ b/logic/logic.go
@@ -380,7 +380,7 @@
 			}
 			g.scheduleReread(c, after)
 		}
-		g.logLimited("counter", fmt.Sprintf("a call failed (%d), even parts meanwhile", e.Status))
+		g.logLimited("counter", fmt.Sprintf("a call failed (status %d), using even shares meanwhile", e.Status))
 		if r != nil {
 			r.drawsMade = maxDrawsPerRequest // no further draws: it is decided by what is known here
 			g.admit(r)
