--- a/logic/api.go
+++ b/logic/api.go
@@ -8,7 +8,7 @@
 // Effect says what it does to repeat a request.
 type Effect int
 
-// The kinds of effect.
+// The effects of a repeat.
 const (
 	Safe   Effect = iota // may be repeated at will
 	Keyed                // carries a key, by which hosts of one group drop a repeat for a while (KeyTTL)
@@ -73,10 +73,10 @@
 	Counters(now time.Duration, name uint64, began time.Duration) []int
 }
 
-// Settings are what a gateway is told at its start.
+// Settings configure a gateway at its start.
 type Settings struct {
-	Gateways, Rank int
-	Zone           int
+	Gateways, Rank int // number of gateways; number of this one, from 0
+	Zone           int // of this gateway
 	Zones          int
 	Classes        []Class
 	Plans          []Plan
@@ -137,7 +137,7 @@
 	Draining
 )
 
-// Server is a line of the list of servers.
+// Server is an entry of the list of servers.
 type Server struct {
 	ID      ServerID
 	Weight  float64
@@ -179,7 +179,7 @@
 // Status is how an attempt, probe or counter call ended.
 type Status int
 
-// The ways to end.
+// The statuses of an attempt, probe or counter call.
 const (
 	OK Status = iota
 	Error
@@ -250,7 +250,7 @@
 	Load   []float64
 }
 
-// Message comes from another gateway (event).
+// Message is a message from another gateway (event).
 type Message struct {
 	From int
 	Data []byte
