--- a/logic/api.go
+++ b/logic/api.go
@@ -62,7 +62,7 @@
 	Take(now time.Duration, firm uint64, units float64) bool
 	// Return gives back what was taken for a request that was never sent on.
 	Return(now time.Duration, firm uint64, units float64)
-	// Coming tells whether more may be leased for the firm soon (within leaseWait).
+	// Coming tells whether more may be leased for the firm soon: a request is then held for leaseWait.
 	Coming(now time.Duration, firm uint64) bool
 }
 
@@ -188,7 +188,7 @@
 	ConnectFailed
 	Reset // the connection broke
 	Cancelled
-	Moot   // no attempt was made: the request was over, or had used up its attempts
+	Moot   // no attempt was made: the request was over, out of time, or had used up its attempts
 	Spoilt // an answer came that cannot be used: the attempt may have run
 	Unsent // it could not leave for want of a connection, port or buffer of this process: the server is not to blame
 	Late   // its time was over before it could leave: neither the server nor a shortage here is to blame
--- a/logic/customers.go
+++ b/logic/customers.go
@@ -132,7 +132,7 @@
 
 const (
 	// epochBursts is the length of a running total (an epoch) in intervals of the customer, each of them the time to fill a
-	// burst.
+	// burst, and at least a second.
 	epochBursts = 8.0
 
 	// maxEpochLength bounds it: the counter keeps a name three times as long, and for 60 s at most.
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -128,15 +128,15 @@
 	mayRun := r.mayHaveRun || r.server != nil
 	known := r.class.Effect == Keyed && r.class.KeyGroup == GroupAll && r.server == nil
 	if r.class.Effect == Safe || !mayRun || known {
-		g.do(Refuse{r.ID, min(max(after, g.nextSendTime(r.upstream)), g.set.MaxRetryAfter)})
+		g.do(Refuse{r.ID, min(max(after, g.timeUntilRoom(r.upstream)), g.set.MaxRetryAfter)})
 	} else {
 		g.do(Fail{r.ID})
 	}
 	g.drop(r)
 }
 
-// nextSendTime estimates when servers have room again: every refusal carries a time to come back.
-func (g *Gateway) nextSendTime(u *upstream) time.Duration {
+// timeUntilRoom estimates when servers have room again: every refusal carries a time to come back.
+func (g *Gateway) timeUntilRoom(u *upstream) time.Duration {
 	return time.Duration(min(u.latency*float64(len(g.queue)+1)/u.concurrencyLimit(),
 		float64(customerIdleTimeout)))
 }
@@ -172,7 +172,7 @@
 	default:
 		r.upstream.chargeRetry(o.Status, neverRan && g.unseenShare > 0)
 		r.queued = true
-		g.enqueue(r, o.Status != Unsent) // Unsent: another request finds out whether this process is still short
+		g.enqueue(r, o.Status != Unsent) // Unsent: another request finds out first if the shortage here lasts
 	}
 	g.releaseHeld(r.customer)
 	g.dispatch()
@@ -421,7 +421,7 @@
 	case what == bucketDraws:
 		c.drawPending = false
 		if made.planRevision == c.planRevision && c.sharedBucket { // units drawn under another plan are of no use
-			apart := g.random() * c.rushTime(g.now, g.meanRequestUnits) // all may start at once
+			apart := g.random() * c.rushTime(g.now, g.meanRequestUnits) // all gateways may start at once
 			c.bucket.update(g.now, e.Name, e.Total, c.plan, c.totalAge(g.now))
 			c.drawnUnits += made.units
 			wait := apart + max(0, -c.bucket.level)/c.plan.Rate
@@ -568,9 +568,9 @@
 	return len(to) > 0
 }
 
-// slotLimit is how many attempts may be in flight here without a draw: one if the customer sends little. Few
-// gateways take shares below one slot in turns by the clock, which add up to the cap at any time without
-// communication.
+// slotLimit is how many attempts may be in flight here without a draw. Few gateways take the fractions of
+// slots in turns by the clock, which add up to the cap at any time without communication. The rest get the
+// whole slots of the share and at least one: many gateways, or few while the customer sends little.
 func (c *customer) slotLimit(g *Gateway) int {
 	if c.plan.Open == 0 {
 		return math.MaxInt
--- a/logic/many_test.go
+++ b/logic/many_test.go
@@ -40,7 +40,8 @@
 	}
 }
 
-// While the counter fails, a first request that the even share allows (at least one request) must still be let through.
+// While the counter fails, a first request must still be let through: the quota is then dealt out over maxOnDemandShares gateways
+// at most, so that an even share holds a request.
 func TestDrawWithoutACounter(t *testing.T) {
 	h := newManyGatewaysHarness(t, false)
 	h.g.callShare = 1
--- a/logic/servers.go
+++ b/logic/servers.go
@@ -21,7 +21,7 @@
 	failureRate float64 // smoothed
 	latency     float64 // smoothed, in ns; 0: not known
 
-	answeredAt   time.Duration // the last answer that shows the server alive
+	answeredAt   time.Duration // the last outcome that shows that the server is not hung: an answer, or a failure but a time-out
 	ejectedUntil time.Duration // if ejected: the time of the next trial
 	backoff      time.Duration // length of the next ejection
 	ejected      bool
@@ -76,8 +76,8 @@
 	limitCutAt time.Duration // the last time the limit was lowered
 }
 
-// hall sums up the servers of a zone: those that are usable unless the zone is lost, and how many attempts in a row found
-// nobody there.
+// hall sums up the servers of a zone that are usable unless the zone is lost, and counts the attempts there that could not connect
+// or timed out since the last good answer.
 type hall struct {
 	failures    int           // connects that failed and time-outs since the last good answer
 	lastFailure time.Duration // the last of them
@@ -349,7 +349,7 @@
 	return u.latency
 }
 
-// expectedLatency is a server's latency. Where none is known, it is a little below the group's, so that the server gets tried.
+// estimatedLatency is a server's latency. Where none is known, it is a little below the group's, so that the server gets tried.
 func (s *server) estimatedLatency() float64 {
 	if s.latency == 0 {
 		return 0.9 * s.upstream.latency
@@ -369,9 +369,9 @@
 // localLimitGrowth is by how many attempts in flight the local limit grows in a second, to see whether there is room again.
 const localLimitGrowth = 3.0
 
-// noteSent takes note of whether an attempt could leave, or not for want of a connection, port or buffer of this process. It
-// guards against using up all the attempts that a request may have at once, and against a refusal while there is time. An
-// attempt that was too late to leave says nothing about that.
+// noteSent takes note of whether an attempt could leave, or not for want of a connection, port or buffer of this process. Without
+// the limit, requests would use up all their attempts at once and be refused while there is still time. An attempt that was too
+// late to leave says nothing about a shortage.
 func (u *upstream) noteSent(st Status) {
 	switch {
 	case st == Unsent:
--- a/logic/tuning.go
+++ b/logic/tuning.go
@@ -15,7 +15,8 @@
 	// answerMargin is how long before the client's deadline the final answer goes out.
 	answerMargin = 6 * ms
 
-	// customerIdleTimeout is how long a customer is remembered after its last request.
+	// customerIdleTimeout is how long a customer is remembered after its last request. It also bounds the time to come back that
+	// a refusal gets from the servers' load (see timeUntilRoom).
 	customerIdleTimeout = 60 * time.Second
 
 	// logInterval is the least time between two log lines of the same kind.
@@ -49,7 +50,8 @@
 	// gateways gets even shares.
 	maxPackedSum = 127
 
-	// minSummedCapShare is the share of a concurrency cap below which whole attempts are too coarse for a split by sums.
+	// minSummedCapShare is a gateway's even share of a concurrency cap, in attempts, below which it is too coarse for a split by
+	// sums.
 	minSummedCapShare = 2.0
 )
 
@@ -77,16 +79,19 @@
 	// minCallShare is the least share of the wanted calls that is made while a counter fails or is overloaded.
 	minCallShare = 0.05
 
-	// callShareGrowth multiplies that share with each answer: with 1.02, one failure in ten calls does not lower it for good.
+	// callShareGrowth multiplies that share with each answer. A failure multiplies it by 0.8, and with 1.02 twelve answers make up
+	// for that. So one failure in thirteen calls is tolerated; at one in twelve or more the share falls towards its minimum.
 	callShareGrowth = 1.02
 
 	// failuresBeforeBackoff is how many failures in a row show that a counter is down.
 	failuresBeforeBackoff = 3
 
-	// maxCounterBackoff bounds the time without a call to a counter that fails: it may be back without anybody noticing.
+	// maxCounterBackoff bounds the mean pause in calls to a counter that fails: it may be back without anybody noticing. Each
+	// pause is drawn between half the mean and one and a half times the mean.
 	maxCounterBackoff = time.Second
 
-	// maxFullCounterBackoff is the same bound for a counter that turns calls away.
+	// maxFullCounterBackoff is the same bound for a counter that turns calls away. It is not reached: the mean pause is twice
+	// maxCounterBackoff at most, since that bound is applied before the last doubling.
 	maxFullCounterBackoff = 4 * time.Second
 
 	// lateSumTimeout is how long the answer to a call is of use if no request waits for it.
@@ -97,8 +102,10 @@
 	minRereportShare = 0.3
 )
 
-// Shares of a cap below one slot go round among few gateways by the clock (see slotLimit).
+// Few gateways take the fractions of slots of a cap in turns by the clock (see slotLimit). Beside a rate, a share below one slot
+// is taken so even while the customer sends little: gateways that each allowed one attempt would exceed the cap together.
 const (
+	// maxTurnTime bounds the length of a turn.
 	maxTurnTime = 600 * ms
 
 	// turnAimShare bounds the length of a turn to this share of the shortest aim, so that the wait for a turn leaves time for
@@ -108,7 +115,8 @@
 
 // Draws from the counter, where a share is too coarse to be dealt out.
 const (
-	// slotDrawInterval is how long a slot of a cap is missing if its return was lost.
+	// slotDrawInterval is the length of the intervals in which drawn slots of a cap are counted. Each interval has a new count, so
+	// a slot whose return was lost is missing for so long at most.
 	slotDrawInterval = 2 * time.Second
 
 	// maxDrawsPerRequest bounds the counter calls that one request may cause.
@@ -127,11 +135,11 @@
 	// loadEstimateTTL is how long a customer is taken for busy after a counter's answer showed it.
 	loadEstimateTTL = 8 * time.Second
 
-	// sharedBucketRequests is the size of a share, in requests, below which it is too coarse for sums: the customer's units are
-	// drawn from a token bucket shared by all gateways.
+	// sharedBucketRequests is the size of a gateway's bucket, in requests of typical units, below which its share is too coarse for
+	// sums: the customer's units are drawn from a token bucket shared by all gateways.
 	sharedBucketRequests = 4.0
 
-	// maxDrawUnits is how many units are drawn from the shared bucket at once.
+	// maxDrawUnits is how many units are drawn from the shared bucket at once, unless one request needs more.
 	maxDrawUnits = 3.0
 )
 
@@ -162,7 +170,8 @@
 	minEjectTime = time.Second
 	maxEjectTime = 8 * time.Second
 
-	// manyGatewaysEjectFactor lengthens the time before a trial at one of many gateways, since each of them tries the server.
+	// manyGatewaysEjectFactor lengthens the time before a trial by this times unseenShare, to five times at most: each of many
+	// gateways tries the server.
 	manyGatewaysEjectFactor = 4.0
 
 	// hungLatencies is how many mean latencies a server's attempts may be unanswered, taken together, before it looks hung.
@@ -177,7 +186,8 @@
 	retryTokensPerRequest = 0.2  // earned by each first attempt
 	maxRetryTokens        = 20.0 // that may be saved up
 
-	// unrunRetryCost is what a retry costs at one of many gateways if nothing ran at the server; any other costs 1.
+	// unrunRetryCost is what a retry costs at one of many gateways if nothing ran at the server. Where the attempt did not leave,
+	// the retry costs nothing; any other costs 1.
 	unrunRetryCost = 0.2
 )
 
