--- a/Makefile
+++ b/Makefile
@@ -30,7 +30,7 @@
 
 # The long form of the model of leases: three limiters through two terms.
 states:
-	BRAMBLEFALL_STATES=1 go test ./internal/lease -run AllStates -count 1 -v
+	BRAMBLEFALL_STATES=1 go test ./internal/lease -run StateSpace -count 1 -v
 
 # Generated code of the admin service; needs protoc, protoc-gen-go and protoc-gen-go-grpc.
 .PHONY: generate
