--- a/cmd/bramblefall/crossing_test.go
+++ b/cmd/bramblefall/crossing_test.go
@@ -27,26 +27,26 @@
 
 // door is a server whose connections come up when the test says so: what waits in the kernel's queue is accepted by hand,
 // and while that is full the kernel drops what else comes, to be asked again a second later.
-type door struct {
+type gatedListener struct {
 	t    *testing.T
 	fd   int
 	addr string
 }
 
-func newDoor(t *testing.T) *door {
+func newGatedListener(t *testing.T) *gatedListener {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = syscall.Close(fd) })
-	host := netip.MustParseAddrPort(anyPort(t)).Addr()
+	host := netip.MustParseAddrPort(reserveAddress(t)).Addr()
 	require.NoError(t, syscall.Bind(fd, &syscall.SockaddrInet4{Addr: host.As4()}))
 	require.NoError(t, syscall.Listen(fd, 0))
 	at, err := syscall.Getsockname(fd)
 	require.NoError(t, err)
-	return &door{t, fd, netip.AddrPortFrom(host, uint16(at.(*syscall.SockaddrInet4).Port)).String()}
+	return &gatedListener{t, fd, netip.AddrPortFrom(host, uint16(at.(*syscall.SockaddrInet4).Port)).String()}
 }
 
 // accept takes the connection that waits, or the next.
-func (d *door) accept() net.Conn {
+func (d *gatedListener) accept() net.Conn {
 	fd, _, err := syscall.Accept(d.fd)
 	require.NoError(d.t, err)
 	file := os.NewFile(uintptr(fd), "accepted")
@@ -54,24 +54,24 @@
 	require.NoError(d.t, err)
 	require.NoError(d.t, file.Close())
 	d.t.Cleanup(func() { _ = conn.Close() })
-	require.NoError(d.t, conn.SetDeadline(time.Now().Add(patience)))
+	require.NoError(d.t, conn.SetDeadline(time.Now().Add(testTimeout)))
 	return conn
 }
 
 // shut fills the queue, so that nothing more comes up.
-func (d *door) shut() {
+func (d *gatedListener) fillBacklog() {
 	conn, err := net.Dial("tcp", d.addr)
 	require.NoError(d.t, err)
 	d.t.Cleanup(func() { _ = conn.Close() })
 }
 
 // knocked waits until a connection has been asked for that does not come up.
-func (d *door) knocked() {
-	remote := inSocketTable(d.addr) + " 02 " // in SYN_SENT
+func (d *gatedListener) waitForPendingDial() {
+	remote := procNetTCPAddress(d.addr) + " 02 " // in SYN_SENT
 	require.Eventually(d.t, func() bool {
 		table, err := os.ReadFile("/proc/net/tcp")
 		return err == nil && strings.Contains(string(table), remote)
-	}, patience, time.Millisecond)
+	}, testTimeout, time.Millisecond)
 }
 
 // command reads one command; nil: the connection has ended.
@@ -95,7 +95,7 @@
 }
 
 // class changes one class of the settings.
-func class(set object, n int, changes object) object {
+func changeClass(set object, n int, changes object) object {
 	c := set["classes"].([]object)[n]
 	for k, v := range changes {
 		c[k] = v
@@ -108,22 +108,22 @@
 func TestARepeatDoesNotLeaveAfterItsWindow(t *testing.T) {
 	t.Parallel()
 	const window = 2 * time.Second // the kernel asks again after 1 and 3 s
-	set := class(settings(), 1, object{"keyTtl": window.Seconds()})
+	set := changeClass(settings(), 1, object{"keyTtl": window.Seconds()})
 	set["caps"].(object)["connectTimeout"] = 8.0
-	d := newDoor(t)
-	c := start(t, world{settings: set, servers: []*server{{id: "s-1", zone: "hall-a", state: "ready", addr: d.addr}}}).dial()
+	d := newGatedListener(t)
+	c := start(t, fixture{settings: set, servers: []*server{{id: "s-1", zone: "hall-a", state: "ready", addr: d.addr}}}).dial()
 	began := time.Now()
-	c.write(command(post("01")...))
+	c.write(encodeCommand(doArgs("01")...))
 	first := d.accept()
 	require.NotNil(t, readCommand(first))
-	d.shut()
+	d.fillBacklog()
 	_, err := first.Write([]byte("-ERR failed\r\n"))
 	require.NoError(t, err)
-	d.knocked() // the repeat has its server, and no connection
+	d.waitForPendingDial() // the repeat has its server, and no connection
 	require.Less(t, time.Since(began), window, "the machine was too busy for this test")
 	time.Sleep(time.Until(began.Add(window)))
 	_ = d.accept() // the one that filled the queue
-	assert.Equal(t, "-ERR failed", c.answer())
+	assert.Equal(t, "-ERR failed", c.readReply())
 	late := d.accept()
 	require.NoError(t, late.SetReadDeadline(time.Now().Add(time.Second)))
 	assert.Nil(t, readCommand(late), "a repeat that no server drops any more")
@@ -148,9 +148,9 @@
 					gap.Store(max(gap.Load(), int64(time.Since(before))))
 				}
 			})
-			l := start(t, world{servers: []*server{s}})
+			l := start(t, fixture{servers: []*server{s}})
 			for try := 0; ; try++ {
-				got := l.dial().do(post(fmt.Sprint("id", try))...)
+				got := l.dial().do(doArgs(fmt.Sprint("id", try))...)
 				if !whole {
 					assert.Equal(t, "-ERR failed", got)
 					return
@@ -172,21 +172,21 @@
 	open := make(chan struct{})
 	s := newServer(t, "s-1", "hall-a", func(conn net.Conn, args []string) {
 		<-open
-		value("v"+args[2])(conn, args)
+		replyValue("v"+args[2])(conn, args)
 	})
 	set := settings()
 	set["tariffs"].([]object)[0]["perSecond"], set["tariffs"].([]object)[0]["depth"] = 1e5, 1e5
-	c := start(t, world{settings: set, servers: []*server{s}}).dial()
+	c := start(t, fixture{settings: set, servers: []*server{s}}).dial()
 	var text strings.Builder
 	for n := range all {
-		text.WriteString(command(ask(fmt.Sprintf("id%d", n))...))
+		text.WriteString(encodeCommand(askArgs(fmt.Sprintf("id%d", n))...))
 	}
 	c.write(text.String())
-	require.Eventually(t, func() bool { return len(s.seen()) > 0 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return len(s.received()) > 0 }, testTimeout, time.Millisecond)
 	close(open)
 	served := 0
 	for n := range all {
-		switch got := c.answer(); {
+		switch got := c.readReply(); {
 		case strings.HasPrefix(got, "-BUSY"): // refused by the module, or in its turn
 		default:
 			require.Equal(t, fmt.Sprintf("vid%d", n), got, "an answer in another's place")
@@ -198,12 +198,12 @@
 }
 
 // agent answers watches as the test says: answer is called with the number of the ask and the connection.
-func agent(t *testing.T, answer func(ask int, conn net.Conn)) *registry {
-	asks := make(chan int, 1)
-	asks <- 0
-	return &registry{addr: acceptOn(t, func(conn net.Conn) {
-		n := <-asks
-		asks <- n + 1
+func newAgent(t *testing.T, answer func(request int, conn net.Conn)) *registry {
+	requests := make(chan int, 1)
+	requests <- 0
+	return &registry{addr: serveConns(t, func(conn net.Conn) {
+		n := <-requests
+		requests <- n + 1
 		if _, err := conn.Read(make([]byte, 4<<10)); err == nil {
 			answer(n, conn)
 		}
@@ -211,62 +211,62 @@
 }
 
 // until the limiter leaves.
-func until(conn net.Conn) { _, _ = conn.Read(make([]byte, 1)) }
+func waitForClose(conn net.Conn) { _, _ = conn.Read(make([]byte, 1)) }
 
-const chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+const chunkedHeader = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 func chunk(line string) string { return fmt.Sprintf("%x\r\n%s\n\r\n", len(line)+1, line) }
 
 // moved is a world whose known list names one server, and the list's line by which that one drains and another is ready.
-func moved(t *testing.T) (w world, left *server, line string) {
-	left = newServer(t, "s-1", "hall-a", value("old"))
-	now := entries([]*server{left, newServer(t, "s-2", "hall-a", value("new"))})
+func drainedServerFixture(t *testing.T) (w fixture, draining *server, line string) {
+	draining = newServer(t, "s-1", "hall-a", replyValue("old"))
+	now := serverEntries([]*server{draining, newServer(t, "s-2", "hall-a", replyValue("new"))})
 	now[0]["state"] = "draining"
 	raw, err := json.Marshal(object{"version": 7, "full": true, "servers": now})
 	require.NoError(t, err)
-	return world{servers: []*server{left}}, left, string(raw)
+	return fixture{servers: []*server{draining}}, draining, string(raw)
 }
 
 // What the agent has binds a new process from its first moment: with an old list known, nothing is served by it while the
 // agent's answer is on its way.
 func TestANewProcessWaitsForItsAgentBeforeItServes(t *testing.T) {
 	t.Parallel()
-	w, left, line := moved(t)
-	w.registry = agent(t, func(_ int, conn net.Conn) {
+	w, left, line := drainedServerFixture(t)
+	w.registry = newAgent(t, func(_ int, conn net.Conn) {
 		time.Sleep(200 * time.Millisecond)
-		_, _ = conn.Write([]byte(chunked + chunk(line)))
-		until(conn)
+		_, _ = conn.Write([]byte(chunkedHeader + chunk(line)))
+		waitForClose(conn)
 	})
-	assert.Equal(t, "new", start(t, w).dial().do(ask("01")...))
-	assert.Empty(t, left.seen())
+	assert.Equal(t, "new", start(t, w).dial().do(askArgs("01")...))
+	assert.Empty(t, left.received())
 }
 
 // An agent that is silent, since discovery is down, holds no start up for long, and the old list serves meanwhile.
 func TestASilentAgentHoldsNoStartUp(t *testing.T) {
 	t.Parallel()
-	s := newServer(t, "s-1", "hall-a", value("v"))
-	w := world{servers: []*server{s}, registry: agent(t, func(_ int, conn net.Conn) { until(conn) })}
-	assert.Equal(t, "v", start(t, w).dial().do(ask("01")...))
+	s := newServer(t, "s-1", "hall-a", replyValue("v"))
+	w := fixture{servers: []*server{s}, registry: newAgent(t, func(_ int, conn net.Conn) { waitForClose(conn) })}
+	assert.Equal(t, "v", start(t, w).dial().do(askArgs("01")...))
 }
 
 // Another deployment's file at SIGHUP: its addresses are followed, and nothing of its settings is in force beside the old
 // ones. Which of them differ is logged in one line.
 func TestHalfOfAnotherDeploymentIsNotInForce(t *testing.T) {
 	t.Parallel()
-	w := world{servers: []*server{newServer(t, "s-1", "hall-a", value("v"))}, counter: newCounter(t)}
+	w := fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}, counter: newCounter(t)}
 	l := start(t, w)
 	c := l.dial()
-	require.Equal(t, "v", c.do(ask("01")...))
-	other := class(settings(), 0, object{"name": "guide-read", "deadline": 1.0})
+	require.Equal(t, "v", c.do(askArgs("01")...))
+	other := changeClass(settings(), 0, object{"name": "guide-read", "deadline": 1.0})
 	other["tariffs"] = []object{plan("grend", 1, 3, 0)}
-	next := world{settings: other, servers: w.servers, counter: newCounter(t)}
+	next := fixture{settings: other, servers: w.servers, counter: newCounter(t)}
 	raw, err := json.Marshal(next.config(t))
 	require.NoError(t, err)
 	l.reload(raw, "settings differ that hold until a restart")
-	require.Eventually(t, func() bool { return strings.Contains(l.log.String(), "read the configuration anew") }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return strings.Contains(l.log.String(), "read the configuration anew") }, testTimeout, time.Millisecond)
 	assert.Contains(t, l.log.String(), "settings=[Classes]")
-	assert.Equal(t, "v", c.do(ask("02")...), "the old class and plan")
-	require.Eventually(t, func() bool { _, conns := next.counter.made(); return conns > 0 }, patience, time.Millisecond, "the new counter")
+	assert.Equal(t, "v", c.do(askArgs("02")...), "the old class and plan")
+	require.Eventually(t, func() bool { _, conns := next.counter.callsAndConns(); return conns > 0 }, testTimeout, time.Millisecond, "the new counter")
 }
 
 // descriptors is how many the limiter holds.
@@ -285,24 +285,24 @@
 			t.Parallel()
 			set := settings()
 			set["caps"].(object)["connectTimeout"] = 8.0
-			d := newDoor(t)
-			l := start(t, world{settings: set, servers: []*server{{id: "s-1", zone: "hall-a", state: "ready", addr: d.addr}}})
+			d := newGatedListener(t)
+			l := start(t, fixture{settings: set, servers: []*server{{id: "s-1", zone: "hall-a", state: "ready", addr: d.addr}}})
 			c := l.dial()
 			if !again {
-				d.shut()
+				d.fillBacklog()
 			}
-			c.write(command(ask("01")...))
+			c.write(encodeCommand(askArgs("01")...))
 			if again {
 				first := d.accept()
 				require.NotNil(t, readCommand(first))
-				d.shut()
+				d.fillBacklog()
 				_, err := first.Write([]byte("-ERR failed\r\n"))
 				require.NoError(t, err)
 			}
-			d.knocked()
+			d.waitForPendingDial()
 			before := l.descriptors()
 			require.NoError(t, c.conn.Close())
-			require.Eventually(t, func() bool { return l.descriptors() < before }, patience, time.Millisecond, "its end is seen")
+			require.Eventually(t, func() bool { return l.descriptors() < before }, testTimeout, time.Millisecond, "its end is seen")
 			_ = d.accept() // the one that filled the queue
 			late := d.accept()
 			require.NoError(t, late.SetReadDeadline(time.Now().Add(time.Second)))
@@ -322,9 +322,9 @@
 			t.Parallel()
 			set := settings()
 			set["caps"].(object)["connectTimeout"] = 8.0
-			s := newServer(t, "s-1", "hall-a", value("v"))
-			w := world{settings: set, servers: []*server{s}, sockets: 600}
-			d := newDoor(t)
+			s := newServer(t, "s-1", "hall-a", replyValue("v"))
+			w := fixture{settings: set, servers: []*server{s}, maxDescriptors: 600}
+			d := newGatedListener(t)
 			if dialling {
 				w.servers = []*server{{id: "s-1", zone: "hall-a", state: "ready", addr: d.addr}}
 			}
@@ -335,18 +335,18 @@
 				require.Equal(t, "+PONG", clients[len(clients)-1].do("PING"))
 			}
 			if dialling {
-				d.shut()
-				clients[0].write(command(ask("id0")...))
-				d.knocked()
+				d.fillBacklog()
+				clients[0].write(encodeCommand(askArgs("id0")...))
+				d.waitForPendingDial()
 			}
 			require.NoError(t, l.cmd.Process.Signal(syscall.SIGSTOP))
 			require.Eventually(t, func() bool {
 				state, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", l.cmd.Process.Pid))
 				return err == nil && strings.Contains(string(state), ") T ")
-			}, patience, time.Millisecond)
+			}, testTimeout, time.Millisecond)
 			for n, c := range clients {
 				if !dialling {
-					c.write(command(ask(fmt.Sprintf("id%d", n))...))
+					c.write(encodeCommand(askArgs(fmt.Sprintf("id%d", n))...))
 				}
 				require.NoError(t, c.conn.Close())
 			}
@@ -355,15 +355,15 @@
 				_ = d.accept() // the one that filled the queue
 				late = d.accept()
 			}
-			time.Sleep(goneAfter)
+			time.Sleep(clientGoneGrace)
 			require.NoError(t, l.cmd.Process.Signal(syscall.SIGCONT))
 			if dialling {
 				require.NoError(t, late.SetReadDeadline(time.Now().Add(time.Second)))
 				assert.Nil(t, readCommand(late), "a request that nobody waits for")
 				return
 			}
-			assert.Equal(t, "v", l.dial().do(ask("last")...))
-			for _, args := range s.seen() {
+			assert.Equal(t, "v", l.dial().do(askArgs("last")...))
+			for _, args := range s.received() {
 				assert.Equal(t, "last", args[2], "a request that nobody waits for")
 			}
 		})
@@ -376,39 +376,39 @@
 	t.Parallel()
 	s := newServer(t, "s-1", "hall-a", func(conn net.Conn, args []string) {
 		if args[2] == "last" {
-			value("v")(conn, args)
+			replyValue("v")(conn, args)
 		}
 	})
-	w := world{servers: []*server{s}, sockets: 600}
+	w := fixture{servers: []*server{s}, maxDescriptors: 600}
 	l := start(t, w)
 	base := l.descriptors()
 	var clients []*client
 	for n := range 200 {
 		c := l.dial()
 		clients = append(clients, c)
-		switch text := command(ask(fmt.Sprintf("id%d", n))...); n % 4 {
+		switch text := encodeCommand(askArgs(fmt.Sprintf("id%d", n))...); n % 4 {
 		case 1:
 			c.write(text + text[:20])
 		case 2:
-			c.write(text + command(ask(fmt.Sprintf("more%d", n))...))
+			c.write(text + encodeCommand(askArgs(fmt.Sprintf("more%d", n))...))
 		default:
 			c.write(text)
 		}
 	}
-	require.Eventually(t, func() bool { return len(s.seen()) > 0 && l.descriptors() > base+200 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return len(s.received()) > 0 && l.descriptors() > base+200 }, testTimeout, time.Millisecond)
 	for n, c := range clients {
 		if n%4 == 3 {
 			require.NoError(t, c.conn.(*net.TCPConn).SetLinger(0))
 		}
 		require.NoError(t, c.conn.Close())
 	}
-	require.Eventually(t, func() bool { return l.descriptors() < base+100 }, patience, time.Millisecond, "their ends are seen")
+	require.Eventually(t, func() bool { return l.descriptors() < base+100 }, testTimeout, time.Millisecond, "their ends are seen")
 	last := l.dial()
 	require.Equal(t, "+PONG", last.do("PING"))
-	time.Sleep(goneAfter) // what crossed their ends has come by now
-	sent := len(s.seen())
-	require.Equal(t, "v", last.do(ask("last")...))
-	seen := s.seen()
+	time.Sleep(clientGoneGrace) // what crossed their ends has come by now
+	sent := len(s.received())
+	require.Equal(t, "v", last.do(askArgs("last")...))
+	seen := s.received()
 	assert.Equal(t, 1, len(seen)-sent, "only the last client's: %v", seen[sent:])
 }
 
@@ -422,16 +422,16 @@
 		indent bool
 		slowly bool
 	}{
-		"chunks":         {head: chunked, chunks: true},
-		"indented":       {head: chunked, chunks: true, indent: true},
-		"byte by byte":   {head: chunked, chunks: true, slowly: true},
+		"chunks":         {head: chunkedHeader, chunks: true},
+		"indented":       {head: chunkedHeader, chunks: true, indent: true},
+		"byte by byte":   {head: chunkedHeader, chunks: true, slowly: true},
 		"no length":      {head: "HTTP/1.1 200 OK\r\n\r\n"},
 		"no length, 1.0": {head: "HTTP/1.0 200 OK\r\n\r\n", indent: true},
 		"a length":       {head: "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w, left, line := moved(t)
+			w, left, line := drainedServerFixture(t)
 			if c.indent {
 				var b bytes.Buffer
 				require.NoError(t, json.Indent(&b, []byte(line), "", "  "))
@@ -447,9 +447,9 @@
 				text = c.head + text
 			}
 			taken := make(chan struct{})
-			w.registry = agent(t, func(n int, conn net.Conn) {
+			w.registry = newAgent(t, func(n int, conn net.Conn) {
 				if n > 0 {
-					until(conn) // only the first answer says anything
+					waitForClose(conn) // only the first answer says anything
 					return
 				}
 				for k := range len(text) {
@@ -459,15 +459,15 @@
 					}
 				}
 				<-taken
-				reset(conn, nil)
+				resetConn(conn, nil)
 			})
 			l := start(t, w)
 			cl := l.dial()
-			assert.Equal(t, "new", cl.do(ask("01")...))
+			assert.Equal(t, "new", cl.do(askArgs("01")...))
 			close(taken)
-			require.Eventually(t, func() bool { return strings.Contains(l.log.String(), "the watch of discovery ended") }, patience, time.Millisecond)
-			assert.Equal(t, "new", cl.do(ask("02")...))
-			assert.Empty(t, left.seen())
+			require.Eventually(t, func() bool { return strings.Contains(l.log.String(), "the watch of discovery ended") }, testTimeout, time.Millisecond)
+			assert.Equal(t, "new", cl.do(askArgs("02")...))
+			assert.Empty(t, left.received())
 		})
 	}
 }
@@ -476,11 +476,11 @@
 func TestToldToEndBeforeClientsAreLetIn(t *testing.T) {
 	t.Parallel()
 	asked := make(chan struct{})
-	w := world{settings: settings(), registry: agent(t, func(n int, conn net.Conn) {
+	w := fixture{settings: settings(), registry: newAgent(t, func(n int, conn net.Conn) {
 		if n == 0 {
 			close(asked)
 		}
-		until(conn)
+		waitForClose(conn)
 	})}
 	cmd := exec.Command(binary, "-config", writeJSON(t, filepath.Join(t.TempDir(), "config.json"), w.config(t)))
 	require.NoError(t, cmd.Start())
@@ -493,19 +493,19 @@
 // A client that leaves while the rest of its large command waits for a server that does not read: it is never whole.
 func TestALargeCommandIsNotFinishedForAClientThatLeft(t *testing.T) {
 	t.Parallel()
-	d := newDoor(t)
+	d := newGatedListener(t)
 	require.NoError(t, syscall.SetsockoptInt(d.fd, syscall.SOL_SOCKET, syscall.SO_RCVBUF, 2048)) // its connections inherit it
-	l := start(t, world{servers: []*server{{id: "s-1", zone: "hall-a", state: "ready", addr: d.addr}}})
+	l := start(t, fixture{servers: []*server{{id: "s-1", zone: "hall-a", state: "ready", addr: d.addr}}})
 	c := l.dial()
-	args := post("01")
+	args := doArgs("01")
 	args[4] = strings.Repeat("b", 60<<10)
-	c.write(command(args...))
+	c.write(encodeCommand(args...))
 	conn := d.accept()
 	_, err := conn.Read(make([]byte, 1)) // it has begun
 	require.NoError(t, err)
 	before := l.descriptors()
 	require.NoError(t, c.conn.Close())
-	require.Eventually(t, func() bool { return l.descriptors() <= before-2 }, patience, time.Millisecond, "both connections are over")
+	require.Eventually(t, func() bool { return l.descriptors() <= before-2 }, testTimeout, time.Millisecond, "both connections are over")
 	rest, _ := io.ReadAll(conn)
 	assert.Less(t, len(rest), 60<<10, "all of it has come")
 }
@@ -521,14 +521,14 @@
 	}
 	t.Run("the system's word", func(t *testing.T) {
 		t.Parallel()
-		l := start(t, world{servers: []*server{newServer(t, "s-1", "hall-a", value("v")), newServer(t, "s-2", "hall-a", value("v"))}})
+		l := start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v")), newServer(t, "s-2", "hall-a", replyValue("v"))}})
 		c := l.dial()
 		require.Equal(t, "+PONG", c.do("PING"))
 		limit(l, 3) // no new one, whatever is free
-		assert.Regexp(t, "^-BUSY", c.do(post("01")...))
-		l.says("no descriptor left")
+		assert.Regexp(t, "^-BUSY", c.do(doArgs("01")...))
+		l.waitForLog("no descriptor left")
 		limit(l, 128)
-		assert.Equal(t, "v", c.do(post("02")...))
+		assert.Equal(t, "v", c.do(doArgs("02")...))
 		assert.NotContains(t, l.log.String(), "left out")
 	})
 	t.Run("its own count", func(t *testing.T) {
@@ -537,9 +537,9 @@
 		release := make(chan struct{})
 		slow := func(conn net.Conn, args []string) {
 			<-release
-			value("v")(conn, args)
+			replyValue("v")(conn, args)
 		}
-		w := world{}
+		w := fixture{}
 		for k := range 8 {
 			w.servers = append(w.servers, newServer(t, fmt.Sprint("s-", k), "hall-a", slow))
 		}
@@ -547,27 +547,27 @@
 		c := l.dial()
 		var text strings.Builder
 		for k := range 2 * most {
-			text.WriteString(command(post(fmt.Sprint("id", k))...))
+			text.WriteString(encodeCommand(doArgs(fmt.Sprint("id", k))...))
 		}
 		c.write(text.String())
-		l.says("no descriptor left")
+		l.waitForLog("no descriptor left")
 		close(release)
 		for range 2 * most {
-			require.Regexp(t, "^(v|-BUSY)", c.answer())
+			require.Regexp(t, "^(v|-BUSY)", c.readReply())
 		}
 		assert.NotContains(t, l.log.String(), "left out")
 	})
 }
 
 // serves tells whether a new client gets a value: one may be turned away unread where there is no room.
-func (l *limiter) serves(id string) bool {
+func (l *limiter) servesNewClient(id string) bool {
 	conn, err := net.Dial("tcp", l.addr)
 	if err != nil {
 		return false
 	}
 	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(patience))
-	_, _ = io.WriteString(conn, command("PING")+command(ask(id)...))
+	_ = conn.SetDeadline(time.Now().Add(testTimeout))
+	_, _ = io.WriteString(conn, encodeCommand("PING")+encodeCommand(askArgs(id)...))
 	text := make([]byte, len("+PONG\r\n$1\r\nv\r\n"))
 	_, err = io.ReadFull(conn, text)
 	return err == nil && string(text) == "+PONG\r\n$1\r\nv\r\n"
@@ -578,8 +578,8 @@
 // served.
 func TestAFloodOfConnectionsLeavesRoomForOthers(t *testing.T) {
 	t.Parallel()
-	s := newServer(t, "s-1", "hall-a", value("v"))
-	l := start(t, world{servers: []*server{s}}) // 128 descriptors
+	s := newServer(t, "s-1", "hall-a", replyValue("v"))
+	l := start(t, fixture{servers: []*server{s}}) // 128 descriptors
 	for n := range 300 {
 		conn, err := net.Dial("tcp", l.addr)
 		require.NoError(t, err)
@@ -588,12 +588,12 @@
 		case 1:
 			_, _ = conn.Write([]byte("*"))
 		case 2:
-			_, _ = conn.Write([]byte(strings.Repeat(command("PING"), 300)))
+			_, _ = conn.Write([]byte(strings.Repeat(encodeCommand("PING"), 300)))
 		}
 		require.LessOrEqual(t, l.descriptors(), 128)
 		if n%100 == 99 {
 			again := 0
-			require.Eventually(t, func() bool { again++; return l.serves(fmt.Sprint(n, "-", again)) }, patience, 10*time.Millisecond)
+			require.Eventually(t, func() bool { again++; return l.servesNewClient(fmt.Sprint(n, "-", again)) }, testTimeout, 10*time.Millisecond)
 		}
 	}
 }
@@ -603,16 +603,16 @@
 func TestTheFirstLineOfAnIndentedListLetsNobodyIn(t *testing.T) {
 	t.Parallel()
 	for range 10 { // a limiter lets clients in after a second whatever has come: a machine that stood still gives no verdict
-		w, left, line := moved(t)
+		w, left, line := drainedServerFixture(t)
 		w.settings = settings()
 		w.settings["rules"].(object)["drainGrace"] = 2.0 // a list may stand still for longer than this test lets it
 		var b bytes.Buffer
 		require.NoError(t, json.Indent(&b, []byte(line), "", "  "))
 		first, rest, _ := strings.Cut(b.String(), "\n")
 		serving, whole := make(chan struct{}), make(chan struct{})
-		w.registry = agent(t, func(n int, conn net.Conn) {
+		w.registry = newAgent(t, func(n int, conn net.Conn) {
 			if n == 0 {
-				_, _ = conn.Write([]byte(chunked + chunk(first)))
+				_, _ = conn.Write([]byte(chunkedHeader + chunk(first)))
 				select {
 				case <-serving: // too soon
 				case <-time.After(300 * time.Millisecond):
@@ -620,7 +620,7 @@
 				}
 				_, _ = conn.Write([]byte(chunk(rest)))
 			}
-			until(conn)
+			waitForClose(conn)
 		})
 		l := start(t, w)
 		close(serving)
@@ -632,8 +632,8 @@
 		default:
 			require.Fail(t, "let in by the first line")
 		}
-		assert.Equal(t, "new", l.dial().do(ask("01")...))
-		assert.Empty(t, left.seen())
+		assert.Equal(t, "new", l.dial().do(askArgs("01")...))
+		assert.Empty(t, left.received())
 		return
 	}
 	require.Fail(t, "discovery's word came too late each time")
--- a/cmd/bramblefall/disk_test.go
+++ b/cmd/bramblefall/disk_test.go
@@ -27,9 +27,9 @@
 			half := filepath.Join(state, "plans.state.new-123")
 			require.NoError(t, os.WriteFile(half, []byte("half"), 0o600))
 			var broken atomic.Bool
-			w := world{servers: []*server{newServer(t, "s-1", "hall-a", value("v"))},
-				operator: script(t, filepath.Join(dir, "operator.star"), fmt.Sprintf("bramblefall(admin = admin(socket = %q), state_dir = %q)\n", socket, state)),
-				fails: func(number int32, _ uint64, _ int) syscall.Errno {
+			w := fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))},
+				operatorFile: writeScript(t, filepath.Join(dir, "operator.star"), fmt.Sprintf("bramblefall(admin = admin(socket = %q), state_dir = %q)\n", socket, state)),
+				syscallErrors: func(number int32, _ uint64, _ int) syscall.Errno {
 					if number == unix.SYS_FSYNC && broken.Load() {
 						return errno
 					}
@@ -38,7 +38,7 @@
 			l := start(t, w)
 			assert.NoFileExists(t, half)
 			apply := func(want, number int) string {
-				_, said := cli(t, want, "plans", "apply", script(t, filepath.Join(dir, fmt.Sprint(number, ".star")), versionFile(number, "", "rate = 100, burst = 50")), "--socket", socket)
+				_, said := runCLI(t, want, "plans", "apply", writeScript(t, filepath.Join(dir, fmt.Sprint(number, ".star")), planScript(number, "", "rate = 100, burst = 50")), "--socket", socket)
 				return said
 			}
 			broken.Store(true)
@@ -48,12 +48,12 @@
 			require.Eventually(t, func() bool {
 				_, err := os.Stat(filepath.Join(state, "plans.state"))
 				return err == nil
-			}, patience, 10*time.Millisecond, "the disk works again")
+			}, testTimeout, 10*time.Millisecond, "the disk works again")
 			time.Sleep(100 * time.Millisecond) // for its directory's sync
 			require.NoError(t, l.cmd.Process.Kill())
-			await(t, l.ended, "the kill")
+			await(t, l.exited, "the kill")
 			start(t, w)
-			out, _ := cli(t, 0, "plans", "list", "--socket", socket)
+			out, _ := runCLI(t, 0, "plans", "list", "--socket", socket)
 			require.Regexp(t, `1 +in force.*n1`, out)
 			left, err := filepath.Glob(filepath.Join(state, "*"))
 			require.NoError(t, err)
--- a/cmd/bramblefall/drain_test.go
+++ b/cmd/bramblefall/drain_test.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	drainGrace   = 2.0             // seconds, in the settings of these tests
-	verdictGrace = 3 * time.Second // for a busy machine; the old waits of discovery's client were over it
-	drainEvery   = 150 * time.Millisecond
-	renewAfter   = 4 * time.Second
-	drainTest    = 10 * time.Second
+	drainGraceSeconds   = 2.0             // seconds, in the settings of these tests
+	auditGrace = 3 * time.Second // for a busy machine; the old waits of discovery's client were over it
+	drainInterval   = 150 * time.Millisecond
+	restartDelay   = 4 * time.Second
+	drainTestDuration    = 10 * time.Second
 )
 
 // fleet is several limiters in one world, each with an agent of its own.
@@ -34,12 +34,12 @@
 }
 
 // startFleet starts as many limiters as there are hands. Dress changes the configuration of each; nil: it is as usual.
-func startFleet(t *testing.T, nodes int, dress func(f *fleet, k int, config object), hands ...func(int) standin.Trouble) *fleet {
-	look()
+func startFleet(t *testing.T, nodes int, customize func(f *fleet, k int, config object), troubles ...func(int) standin.Trouble) *fleet {
+	trackSources()
 	f := &fleet{world: standin.NewWorld(fault.Plan{})}
 	t.Cleanup(f.world.Close)
 	f.world.Unchecked = true
-	f.world.Audit.Drains(verdictGrace)
+	f.world.Audit.Drains(auditGrace)
 	for k := range nodes {
 		n, err := f.world.AddNode(fmt.Sprintf("s-%d", k), []string{"hall-a", "hall-b"}[k%2])
 		require.NoError(t, err)
@@ -49,17 +49,17 @@
 	}
 	d, err := f.world.AddDiscovery()
 	require.NoError(t, err)
-	for k, hand := range hands {
-		agent, err := d.AddAgent(k, hand)
+	for k, trouble := range troubles {
+		agent, err := d.AddAgent(k, trouble)
 		require.NoError(t, err)
-		set := settings()
-		set["balancers"], set["rank"] = len(hands), k
-		set["rules"].(object)["drainGrace"] = drainGrace
-		config := object{"name": fmt.Sprintf("n%d", k), "listen": anyPort(t),
+		s := settings()
+		s["balancers"], s["rank"] = len(troubles), k
+		s["rules"].(object)["drainGrace"] = drainGraceSeconds
+		config := object{"name": fmt.Sprintf("n%d", k), "listen": reserveAddress(t),
 			"seed": fmt.Sprintf("%x", k+1), "limits": object{"cores": 1.0, "memory_mb": 192, "sockets": 256},
-			"settings": set, "known": d.Known(k), "discovery": agent}
-		if dress != nil {
-			dress(f, k, config)
+			"settings": s, "known": d.Known(k), "discovery": agent}
+		if customize != nil {
+			customize(f, k, config)
 		}
 		f.configs = append(f.configs, config)
 		f.limiters = append(f.limiters, f.start(t, k))
@@ -80,7 +80,7 @@
 
 // ask keeps one request after the other at a limiter until stop, with a pause between them. Each has its one answer, and a
 // value is that request's own. It counts what was served.
-func (f *fleet) ask(l *standin.Limiter, stop <-chan struct{}, pause time.Duration, words string, served *atomic.Int64) error {
+func (f *fleet) sendRequests(l *standin.Limiter, stop <-chan struct{}, pause time.Duration, fields string, served *atomic.Int64) error {
 	conn, err := net.Dial("tcp", l.Addr)
 	if err != nil {
 		return err
@@ -97,10 +97,10 @@
 		case <-time.After(pause):
 		}
 		id := fmt.Sprintf("%08x", f.ids.Add(1))
-		args := ask(id)
-		args[3] = words
-		_ = conn.SetDeadline(time.Now().Add(patience))
-		if _, err := conn.Write([]byte(command(args...))); err != nil {
+		args := askArgs(id)
+		args[3] = fields
+		_ = conn.SetDeadline(time.Now().Add(testTimeout))
+		if _, err := conn.Write([]byte(encodeCommand(args...))); err != nil {
 			return err
 		}
 		line, err := in.ReadString('\n')
@@ -141,20 +141,20 @@
 	errs := make(chan error, 8)
 	for k, l := range f.limiters {
 		for range 2 {
-			asking.Go(func() { errs <- f.ask(l, stop, 0, ask("")[3], &served[k]) })
+			asking.Go(func() { errs <- f.sendRequests(l, stop, 0, askArgs("")[3], &served[k]) })
 		}
 	}
 	var renewing sync.WaitGroup
-	for k, began := 0, time.Now(); time.Since(began) < drainTest; k++ {
+	for k, began := 0, time.Now(); time.Since(began) < drainTestDuration; k++ {
 		n := f.world.Nodes[k%len(f.world.Nodes)]
 		f.world.Tell(n, "draining", time.Time{})
-		if time.Since(began) < drainTest-renewAfter {
+		if time.Since(began) < drainTestDuration-restartDelay {
 			renewing.Go(func() {
-				time.Sleep(renewAfter)
+				time.Sleep(restartDelay)
 				f.world.Renew(n, time.Now())
 			})
 		}
-		time.Sleep(drainEvery)
+		time.Sleep(drainInterval)
 	}
 	renewing.Wait()
 	close(stop)
--- a/cmd/bramblefall/endpoints_test.go
+++ b/cmd/bramblefall/endpoints_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const endpointGrace = 550 * time.Millisecond // the settings' 500, and 50 that every limit on sockets is longer
+const endpointDrainWait = 550 * time.Millisecond // the settings' 500, and 50 that every limit on sockets is longer
 
 // An endpoint that leaves the group, in whatever way, may answer what it has: calls in hand are not cut off, and nothing new goes
 // there.
@@ -35,30 +35,30 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			held := make(chan struct{})
-			leaves := &others{answer: func(context.Context, *rlsv3.RateLimitRequest) (*rlsv3.RateLimitResponse, error) {
+			leaves := &externalService{respond: func(context.Context, *rlsv3.RateLimitRequest) (*rlsv3.RateLimitResponse, error) {
 				<-held
-				return verdictOf(within)(nil, nil)
+				return respondWith(verdictOK)(nil, nil)
 			}}
-			stays := &others{answer: verdictOf(rlsv3.RateLimitResponse_OVER_LIMIT)}
+			stays := &externalService{respond: respondWith(rlsv3.RateLimitResponse_OVER_LIMIT)}
 			addr := leaves.listen(t)
-			file := second(t, addr)
-			l := start(t, world{second: file})
-			s := l.service()
+			file := writeRateLimitFile(t, addr)
+			l := start(t, fixture{rateLimitFile: file})
+			s := l.rateLimitClient()
 			verdicts := make(chan rlsv3.RateLimitResponse_Code, 1)
 			go func() {
-				answer, err := s.ShouldRateLimit(inTime(t), call(of("a1")))
+				answer, err := s.ShouldRateLimit(testContext(t), rateLimitRequest(firmDescriptor("a1")))
 				assert.NoError(t, err)
 				verdicts <- answer.GetOverallCode()
 			}()
-			require.Eventually(t, func() bool { return leaves.calls() == 1 }, patience, time.Millisecond)
+			require.Eventually(t, func() bool { return leaves.calls() == 1 }, testTimeout, time.Millisecond)
 			writeAssignments(t, filepath.Dir(file), rest(t, addr, stays.listen(t)))
-			time.Sleep(endpointGrace) // what the files say is in force
+			time.Sleep(endpointDrainWait) // what the files say is in force
 			for firm := range 5 {
-				_, err := s.ShouldRateLimit(inTime(t), call(of(fmt.Sprintf("b%d", firm))))
+				_, err := s.ShouldRateLimit(testContext(t), rateLimitRequest(firmDescriptor(fmt.Sprintf("b%d", firm))))
 				require.NoError(t, err)
 			}
 			close(held)
-			assert.Equal(t, within, <-verdicts, "the one that had the call has answered it")
+			assert.Equal(t, verdictOK, <-verdicts, "the one that had the call has answered it")
 			assert.Equal(t, 1, leaves.calls())
 			assert.Equal(t, 5, stays.calls())
 		})
@@ -68,14 +68,14 @@
 // An endpoint that two clusters name is ours as our cluster says: what becomes of it in the other changes nothing.
 func TestAnEndpointInTwoClusters(t *testing.T) {
 	t.Parallel()
-	a, b := &others{answer: verdictOf(within)}, &others{answer: verdictOf(within)}
+	a, b := &externalService{respond: respondWith(verdictOK)}, &externalService{respond: respondWith(verdictOK)}
 	first, then := a.listen(t), b.listen(t)
-	file := second(t, first)
+	file := writeRateLimitFile(t, first)
 	dir := filepath.Dir(file)
-	s := start(t, world{second: file}).service()
+	s := start(t, fixture{rateLimitFile: file}).rateLimitClient()
 	asks := func(n int) {
 		for firm := range n {
-			_, err := s.ShouldRateLimit(inTime(t), call(of(fmt.Sprintf("%x", 1+firm))))
+			_, err := s.ShouldRateLimit(testContext(t), rateLimitRequest(firmDescriptor(fmt.Sprintf("%x", 1+firm))))
 			require.NoError(t, err)
 		}
 	}
@@ -87,12 +87,12 @@
 	} {
 		before := a.calls()
 		writeAssignments(t, dir, other, ours)
-		time.Sleep(endpointGrace)
+		time.Sleep(endpointDrainWait)
 		asks(5)
 		require.Equal(t, before+5, a.calls(), name)
 	}
 	writeAssignments(t, dir, assignment("audit", locality(t, "hall-a", 0, 0, first)), assignment("limits", locality(t, "hall-a", 0, 1, first, then)))
-	time.Sleep(endpointGrace)
+	time.Sleep(endpointDrainWait)
 	before := a.calls()
 	asks(5)
 	require.Equal(t, before, a.calls(), "it drains in our cluster, and is ready in the other")
--- a/cmd/bramblefall/fault_test.go
+++ b/cmd/bramblefall/fault_test.go
@@ -23,17 +23,17 @@
 // (make faults plays 100,000), BRAMBLEFALL_SEED which ones.
 
 const (
-	faultScripts = 6000
-	faultsAtOnce = 200
-	idleSoon     = 1.0 // seconds: connections to nodes close themselves before the count of descriptors
-	restless     = 48  // goroutines of a limiter at rest, with both fronts, over which there is a leak
-	restful      = 20  // descriptors, likewise: streams, pollers, two listeners, watch, counter
+	scriptsPerPlan = 6000
+	concurrentScripts = 200
+	connIdleSeconds     = 1.0 // seconds: connections to nodes close themselves before the count of descriptors
+	maxRestGoroutines     = 48  // goroutines of a limiter at rest, with both fronts, over which there is a leak
+	maxRestDescriptors      = 20  // descriptors, likewise: streams, pollers, two listeners, watch, counter
 )
 
-func fromEnv(name string, otherwise uint64) uint64 {
+func envUint(name string, fallback uint64) uint64 {
 	n, err := strconv.ParseUint(os.Getenv(name), 0, 64)
 	if err != nil {
-		return otherwise
+		return fallback
 	}
 	return n
 }
@@ -41,7 +41,7 @@
 // raceBinary builds the program with the race detector.
 func raceBinary(t *testing.T) string {
 	t.Helper()
-	look()
+	trackSources()
 	path := filepath.Join(t.TempDir(), "bramblefall-race")
 	out, err := exec.Command("go", "build", "-race", "-o", path, ".").CombinedOutput()
 	require.NoError(t, err, string(out))
@@ -49,11 +49,11 @@
 }
 
 // playFaults runs one plan against a new limiter and gives what broke; "" if nothing did.
-func playFaults(t *testing.T, binary string, p fault.Plan) (standin.Tally, string) {
+func playFaultPlan(t *testing.T, binary string, p fault.Plan) (standin.Tally, string) {
 	w := standin.NewWorld(p)
 	defer w.Close()
-	for k, hall := range []string{"hall-a", "hall-a", "hall-b", "hall-b"} {
-		_, err := w.AddNode(fmt.Sprintf("s-%d", k), hall)
+	for k, zone := range []string{"hall-a", "hall-a", "hall-b", "hall-b"} {
+		_, err := w.AddNode(fmt.Sprintf("s-%d", k), zone)
 		require.NoError(t, err)
 	}
 	c, err := w.AddCounter()
@@ -61,15 +61,15 @@
 	d, err := w.AddDiscovery()
 	require.NoError(t, err)
 	set := settings()
-	set["caps"].(object)["connIdle"] = idleSoon
+	set["caps"].(object)["connIdle"] = connIdleSeconds
 	dir := t.TempDir()
-	second := writeJSON(t, filepath.Join(dir, "ratelimit.json"), object{"listen": anyPort(t)})
-	l, err := standin.Start(binary, dir, object{"name": "n0", "listen": anyPort(t), "seed": "8c1f30d27a5be964",
+	second := writeJSON(t, filepath.Join(dir, "ratelimit.json"), object{"listen": reserveAddress(t)})
+	l, err := standin.Start(binary, dir, object{"name": "n0", "listen": reserveAddress(t), "seed": "8c1f30d27a5be964",
 		"limits": object{"cores": 4.0, "memory_mb": 1024, "sockets": 1024}, "settings": set, "known": d.List(),
 		"counter": c.Addr, "discovery": d.Addr}, "-ratelimit", second)
 	require.NoError(t, err)
 	defer l.Kill()
-	w.Play(p, l.Addr, l.GRPCAddr, faultsAtOnce)
+	w.Play(p, l.Addr, l.GRPCAddr, concurrentScripts)
 	if crash := l.Crashed(); crash != "" {
 		return w.Audit.Tally(), crash
 	}
@@ -78,31 +78,31 @@
 	}
 	tally := w.Audit.Tally()
 	held, err := l.Descriptors()
-	for waited := time.Duration(0); held > restful && waited < patience; waited += 100 * time.Millisecond {
+	for waited := time.Duration(0); held > maxRestDescriptors && waited < testTimeout; waited += 100 * time.Millisecond {
 		time.Sleep(100 * time.Millisecond)
 		held, err = l.Descriptors()
 	}
-	if err != nil || held > restful {
+	if err != nil || held > maxRestDescriptors {
 		return tally, fmt.Sprintf("%d descriptors at rest: %v", held, err)
 	}
-	if n, err := l.Goroutines(); err != nil || n > restless {
-		return tally, fmt.Sprintf("%d goroutines at rest: %v\n%s\n%s", n, err, whereGoroutinesBegan(l.Log()), l.Log())
+	if n, err := l.Goroutines(); err != nil || n > maxRestGoroutines {
+		return tally, fmt.Sprintf("%d goroutines at rest: %v\n%s\n%s", n, err, goroutinesByCreator(l.Log()), l.Log())
 	}
 	return tally, ""
 }
 
 // whereGoroutinesBegan counts the goroutines of a dump by where they were started.
-func whereGoroutinesBegan(dump string) string {
+func goroutinesByCreator(dump string) string {
 	counts := map[string]int{}
 	for line := range strings.Lines(dump) {
-		if _, begun, ok := strings.Cut(line, "created by "); ok {
-			begun, _, _ = strings.Cut(begun, " in goroutine")
-			counts[strings.TrimSpace(begun)]++
+		if _, creator, ok := strings.Cut(line, "created by "); ok {
+			creator, _, _ = strings.Cut(creator, " in goroutine")
+			counts[strings.TrimSpace(creator)]++
 		}
 	}
 	var list strings.Builder
-	for _, begun := range slices.Sorted(maps.Keys(counts)) {
-		fmt.Fprintf(&list, "%d begun in %s\n", counts[begun], begun)
+	for _, creator := range slices.Sorted(maps.Keys(counts)) {
+		fmt.Fprintf(&list, "%d begun in %s\n", counts[creator], creator)
 	}
 	return list.String()
 }
@@ -112,14 +112,14 @@
 // netpoll's log of an event that only race builds give to the wrong owner, right behind its line "operator has critical
 // problem! event=1". docs/incidents has both, with the load that brings them.
 func TestNoFaultOfAPeerCrashesOrLeaksOrMixesUp(t *testing.T) {
-	seed, scripts := fromEnv("BRAMBLEFALL_SEED", 1), fromEnv("BRAMBLEFALL_SCRIPTS", faultScripts)
+	seed, scripts := envUint("BRAMBLEFALL_SEED", 1), envUint("BRAMBLEFALL_SCRIPTS", scriptsPerPlan)
 	binary := raceBinary(t)
 	began := time.Now()
 	for left := int(scripts); left > 0; seed++ {
-		p := fault.Draw(seed, min(left, faultScripts))
-		tally, broke := playFaults(t, binary, p)
+		p := fault.Draw(seed, min(left, scriptsPerPlan))
+		tally, broke := playFaultPlan(t, binary, p)
 		if broke != "" {
-			fails := func(smaller fault.Plan) bool { _, again := playFaults(t, binary, smaller); return again != "" }
+			fails := func(smaller fault.Plan) bool { _, again := playFaultPlan(t, binary, smaller); return again != "" }
 			p = fault.Shrink(p, 30, fails)
 			t.Fatalf("seed %d: %.4000s\nsmallest plan found, %d scripts: %.4000s", seed, broke, len(p.Scripts), fmt.Sprint(p.Scripts))
 		}
--- a/cmd/bramblefall/fleet_test.go
+++ b/cmd/bramblefall/fleet_test.go
@@ -27,12 +27,12 @@
 			t.Parallel()
 			set := settings()
 			change(set)
-			s := newServer(t, "s-1", "hall-a", value("v"))
-			l := start(t, world{settings: set, servers: []*server{s}, counter: newCounter(t)})
+			s := newServer(t, "s-1", "hall-a", replyValue("v"))
+			l := start(t, fixture{settings: set, servers: []*server{s}, counter: newCounter(t)})
 			assert.Equal(t, strings.Contains(name, "place"), strings.Contains(l.log.String(), "beyond the fleet"))
 			c := l.dial()
 			for k := range 3 {
-				assert.Regexp(t, "^(v|-BUSY.*)$", c.do(ask(fmt.Sprintf("%02x", k+1))...))
+				assert.Regexp(t, "^(v|-BUSY.*)$", c.do(askArgs(fmt.Sprintf("%02x", k+1))...))
 			}
 		})
 	}
@@ -43,24 +43,24 @@
 	t.Parallel()
 	set := settings()
 	set["balancers"] = 80
-	s, r := newServer(t, "s-0", "hall-a", value("v")), newRegistry(t)
-	c := start(t, world{settings: set, servers: []*server{s}, registry: r}).dial()
+	s, r := newServer(t, "s-0", "hall-a", replyValue("v")), newRegistry(t)
+	c := start(t, fixture{settings: set, servers: []*server{s}, registry: r}).dial()
 	var many []*server
 	for k := range 5000 {
 		many = append(many, &server{id: fmt.Sprintf("s-%d", k), addr: s.addr, zone: "hall-b", state: "ready"})
 	}
-	r.tell(2, true, append(many, many...)...)
+	r.sendList(2, true, append(many, many...)...)
 	for k := range 60 {
-		require.Equal(t, "v", c.do(ask(fmt.Sprintf("%03x", k+1))...))
+		require.Equal(t, "v", c.do(askArgs(fmt.Sprintf("%03x", k+1))...))
 		time.Sleep(25 * time.Millisecond) // a connection rests after an answer
 	}
 	assert.LessOrEqual(t, s.connections(), 12, "servers that one of many limiters keeps to, and the first")
-	r.tell(3, true)
+	r.sendList(3, true)
 	id := 0x1000
-	next := func() string { id++; return c.do(ask(fmt.Sprintf("%04x", id))...) }
-	require.Eventually(t, func() bool { return next()[0] == '-' }, patience, time.Millisecond)
-	r.tell(4, true, s)
-	require.Eventually(t, func() bool { return next() == "v" }, patience, time.Millisecond)
+	next := func() string { id++; return c.do(askArgs(fmt.Sprintf("%04x", id))...) }
+	require.Eventually(t, func() bool { return next()[0] == '-' }, testTimeout, time.Millisecond)
+	r.sendList(4, true, s)
+	require.Eventually(t, func() bool { return next() == "v" }, testTimeout, time.Millisecond)
 }
 
 // At a planned restart the last answers go out before the platform kills: 0.7 s after the longest deadline, 3 s at most.
--- a/cmd/bramblefall/heldup_test.go
+++ b/cmd/bramblefall/heldup_test.go
@@ -16,21 +16,21 @@
 )
 
 const (
-	heldUpFor   = 4 * time.Second
-	runsAtMost  = 2 * time.Millisecond // between two standstills
-	standsFor   = 10 * time.Millisecond
-	badClients  = 400
-	mayHold     = 128                    // descriptors, as the limiter's configuration says
-	clientsRoom = 32                     // client connections that it has room for
-	clientsStay = 200 * time.Millisecond // at the most
+	intermittentDuration   = 4 * time.Second
+	maxRunTime  = 2 * time.Millisecond // between two standstills
+	stopDuration   = 10 * time.Millisecond
+	floodClients  = 400
+	floodDescriptorLimit     = 128                    // descriptors, as the limiter's configuration says
+	clientConnectionLimit = 32                     // client connections that it has room for
+	maxClientStay = 200 * time.Millisecond // at the most
 )
 
 // heldUp has the limiter's process run for a moment by chance and then stand still, over and over, as where others take the
 // processors. It looks at each standstill.
-func (l *limiter) heldUp(rng *rand.Rand, lasts time.Duration, look func()) {
-	for until := time.Now().Add(lasts); time.Now().Before(until); {
-		time.Sleep(time.Duration(rng.Int64N(int64(runsAtMost))))
-		l.stopped(standsFor, look)
+func (l *limiter) runIntermittently(rng *rand.Rand, duration time.Duration, inspect func()) {
+	for until := time.Now().Add(duration); time.Now().Before(until); {
+		time.Sleep(time.Duration(rng.Int64N(int64(maxRunTime))))
+		l.whileStopped(stopDuration, inspect)
 	}
 }
 
@@ -42,13 +42,13 @@
 	t.Parallel()
 	slow := newServer(t, "s-1", "hall-a", func(conn net.Conn, args []string) {
 		time.Sleep(20 * time.Millisecond)
-		value("v")(conn, args)
+		replyValue("v")(conn, args)
 	})
-	l := start(t, world{servers: []*server{slow}, sockets: mayHold})
+	l := start(t, fixture{servers: []*server{slow}, maxDescriptors: floodDescriptorLimit})
 	stop := make(chan struct{})
 	var flood sync.WaitGroup
 	var ids atomic.Int64
-	for range badClients {
+	for range floodClients {
 		flood.Go(func() {
 			for {
 				select {
@@ -60,22 +60,22 @@
 				if err != nil {
 					continue
 				}
-				_, _ = io.WriteString(conn, command(ask(fmt.Sprintf("%08x", ids.Add(1)))...))
-				time.Sleep(time.Duration(rand.Int64N(int64(clientsStay))))
+				_, _ = io.WriteString(conn, encodeCommand(askArgs(fmt.Sprintf("%08x", ids.Add(1)))...))
+				time.Sleep(time.Duration(rand.Int64N(int64(maxClientStay))))
 				_ = conn.Close() // without having read an answer
 			}
 		})
 	}
 	most := 0
-	l.heldUp(rand.New(rand.NewPCG(1, 1)), heldUpFor, func() { most = max(most, l.descriptors()) })
+	l.runIntermittently(rand.New(rand.NewPCG(1, 1)), intermittentDuration, func() { most = max(most, l.descriptors()) })
 	close(stop)
 	flood.Wait()
 	t.Logf("%d descriptors at the most, %d requests", most, ids.Load())
-	require.LessOrEqual(t, most, mayHold)
-	require.Greater(t, most, clientsRoom, "this shows little")
+	require.LessOrEqual(t, most, floodDescriptorLimit)
+	require.Greater(t, most, clientConnectionLimit, "this shows little")
 	require.NoError(t, l.cmd.Process.Signal(syscall.SIGCONT))
 	asked := 0
-	require.Eventually(t, func() bool { asked++; return l.serves(fmt.Sprint("after-", asked)) }, patience, 10*time.Millisecond, "it serves on")
+	require.Eventually(t, func() bool { asked++; return l.servesNewClient(fmt.Sprint("after-", asked)) }, testTimeout, 10*time.Millisecond, "it serves on")
 }
 
 // A write that the kernel cannot take at once is finished by netpoll's poller, which ends the connection on any error but EAGAIN.
@@ -85,7 +85,7 @@
 	t.Parallel()
 	const answers, ahead, signalEvery = 640, 64, 50 * time.Microsecond // 4 MB ahead: more than the kernel takes
 	large := strings.Repeat("p", 60<<10)
-	l := start(t, world{servers: []*server{newServer(t, "s-1", "hall-a", value(large))}})
+	l := start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue(large))}})
 	c := l.dial()
 	require.NoError(t, c.conn.(*net.TCPConn).SetReadBuffer(16<<10)) // the kernel holds little, so most of each value waits
 	stop := make(chan struct{})
@@ -102,7 +102,7 @@
 			}
 			_ = l.cmd.Process.Signal(syscall.SIGURG) // the Go runtime's own, which means nothing else
 			if signals.Add(1)%100 == 0 {
-				l.stopped(time.Millisecond, func() {})
+				l.whileStopped(time.Millisecond, func() {})
 			}
 		}
 	})
@@ -110,11 +110,11 @@
 	for n := range answers {
 		if n%ahead == 0 {
 			for k := range ahead {
-				c.write(command(ask(fmt.Sprintf("%04x", n+k))...))
+				c.write(encodeCommand(askArgs(fmt.Sprintf("%04x", n+k))...))
 			}
 			time.Sleep(20 * time.Millisecond) // they wait for this client
 		}
-		if answer := c.answer(); answer == large { // fails the test where the connection has ended
+		if answer := c.readReply(); answer == large { // fails the test where the connection has ended
 			values++
 		} else {
 			require.Regexp(t, "^-BUSY", answer, "answer %d", n) // the bound on tries out, or on what waits for this client
--- a/cmd/bramblefall/helper_test.go
+++ b/cmd/bramblefall/helper_test.go
@@ -29,16 +29,16 @@
 // The tests of this folder start the real program as a process and talk to it as clients, servers, discovery and
 // the counter would. This file is their one helper.
 
-const patience = 20 * time.Second // a test that waits so long has failed; no verdict depends on less
+const testTimeout = 20 * time.Second // a test that waits so long has failed; no verdict depends on less
 
 // goneAfter is when a client that has closed its connection has gone: no attempt for it begins later.
-const goneAfter = 100 * time.Millisecond
+const clientGoneGrace = 100 * time.Millisecond
 
 var binary string
 
 func TestMain(m *testing.M) {
-	if os.Getenv(filterVariable) != "" {
-		panic(becomeFiltered())
+	if os.Getenv(filterEnv) != "" {
+		panic(execFiltered())
 	}
 	dir, err := os.MkdirTemp("", "bramblefall")
 	if err != nil {
@@ -56,7 +56,7 @@
 
 // look guards against a verdict of go test's cache that is older than the program, which is built out of its sight:
 // what a test has looked at counts there, so the tests look at the sources.
-var look = sync.OnceFunc(func() {
+var trackSources = sync.OnceFunc(func() {
 	for _, sources := range []string{"../../go.*", "../../logic/*.go", "../../internal/*/*.go", "*.go"} {
 		files, _ := filepath.Glob(sources)
 		for _, f := range files {
@@ -100,7 +100,7 @@
 	path     string // of its configuration
 	addr     string // of the RESP2 front
 	grpcAddr string
-	ended    chan struct{}
+	exited    chan struct{}
 	log      lockedLog
 }
 
@@ -122,31 +122,31 @@
 }
 
 // world is what a limiter meets: settings, servers by id, a counter and discovery.
-type world struct {
+type fixture struct {
 	settings object
 	servers  []*server
 	counter  *quotaCounter
 	registry *registry
-	second   string // the rate limit file; "": none
-	operator string // the operators' file; "": none
-	memory   int    // the cap in MB; 0: 192
-	sockets  int    // 0: 128
-	limited  bool   // the kernel holds the process to its sockets, too
+	rateLimitFile   string // the rate limit file; "": none
+	operatorFile string // the operators' file; "": none
+	memoryMB   int    // the cap in MB; 0: 192
+	maxDescriptors  int    // 0: 128
+	enforceRlimit  bool   // the kernel holds the process to its sockets, too
 	cores    float64
-	fails    failing    // system calls of the process that fail; nil: none
+	syscallErrors    syscallErrorFunc    // system calls of the process that fail; nil: none
 	clock    *wallClock // nil: the machine's
 }
 
 // config is the file that tells a limiter of its world.
-func (w world) config(t *testing.T) object {
+func (f fixture) config(t *testing.T) object {
 	cfg := object{"name": "n0", "listen": limiterAddress(t), "seed": "8c1f30d27a5be964",
-		"limits": object{"cores": cmp.Or(w.cores, 1.0), "memory_mb": cmp.Or(w.memory, 192), "sockets": cmp.Or(w.sockets, 128)}, "settings": w.settings,
-		"known": object{"version": 1, "full": true, "servers": entries(w.servers)}}
-	if w.counter != nil {
-		cfg["counter"] = w.counter.addr
+		"limits": object{"cores": cmp.Or(f.cores, 1.0), "memory_mb": cmp.Or(f.memoryMB, 192), "sockets": cmp.Or(f.maxDescriptors, 128)}, "settings": f.settings,
+		"known": object{"version": 1, "full": true, "servers": serverEntries(f.servers)}}
+	if f.counter != nil {
+		cfg["counter"] = f.counter.addr
 	}
-	if w.registry != nil {
-		cfg["discovery"] = w.registry.addr
+	if f.registry != nil {
+		cfg["discovery"] = f.registry.addr
 	}
 	return cfg
 }
@@ -159,35 +159,35 @@
 }
 
 // start runs a limiter in a world. It is killed at the test's end unless it has ended before.
-func start(t *testing.T, w world) *limiter {
+func start(t *testing.T, f fixture) *limiter {
 	t.Helper()
-	look()
-	if w.settings == nil {
-		w.settings = settings()
+	trackSources()
+	if f.settings == nil {
+		f.settings = settings()
 	}
-	path := writeJSON(t, filepath.Join(t.TempDir(), "config.json"), w.config(t))
+	path := writeJSON(t, filepath.Join(t.TempDir(), "config.json"), f.config(t))
 	args := []string{"-config", path}
-	if w.second != "" {
-		args = append(args, "-ratelimit", w.second)
+	if f.rateLimitFile != "" {
+		args = append(args, "-ratelimit", f.rateLimitFile)
 	}
-	if w.operator != "" {
-		args = append(args, "-operator", w.operator)
+	if f.operatorFile != "" {
+		args = append(args, "-operator", f.operatorFile)
 	}
-	l := &limiter{t: t, path: path, cmd: exec.Command(binary, args...), ended: make(chan struct{})}
-	if w.limited {
-		l.cmd = exec.Command("sh", append([]string{"-c", `ulimit -n "$0" && exec "$@"`, fmt.Sprint(cmp.Or(w.sockets, 128)), binary}, args...)...)
+	l := &limiter{t: t, path: path, cmd: exec.Command(binary, args...), exited: make(chan struct{})}
+	if f.enforceRlimit {
+		l.cmd = exec.Command("sh", append([]string{"-c", `ulimit -n "$0" && exec "$@"`, fmt.Sprint(cmp.Or(f.maxDescriptors, 128)), binary}, args...)...)
 	}
-	if w.registry != nil { // as on the platform, where the environment keeps the first address
-		l.cmd.Env = append(os.Environ(), "RELAY_DISCOVERY="+w.registry.addr)
+	if f.registry != nil { // as on the platform, where the environment keeps the first address
+		l.cmd.Env = append(os.Environ(), "RELAY_DISCOVERY="+f.registry.addr)
 	}
-	if w.clock != nil {
-		l.cmd.Env = append(w.clock.environment(), "RELAY_DISCOVERY=")
-		if w.registry != nil {
-			l.cmd.Env = append(w.clock.environment(), "RELAY_DISCOVERY="+w.registry.addr)
+	if f.clock != nil {
+		l.cmd.Env = append(f.clock.environment(), "RELAY_DISCOVERY=")
+		if f.registry != nil {
+			l.cmd.Env = append(f.clock.environment(), "RELAY_DISCOVERY="+f.registry.addr)
 		}
 	}
-	if w.fails != nil {
-		filter(t, l.cmd, w.fails)
+	if f.syscallErrors != nil {
+		filterSyscalls(t, l.cmd, f.syscallErrors)
 	}
 	out, err := l.cmd.StderrPipe()
 	require.NoError(t, err)
@@ -207,11 +207,11 @@
 			}
 		}
 		_ = l.cmd.Wait()
-		close(l.ended)
+		close(l.exited)
 	}()
 	t.Cleanup(func() {
 		_ = l.cmd.Process.Kill()
-		<-l.ended
+		<-l.exited
 		require.NotContains(t, l.log.String(), "panic")
 		require.NotContains(t, l.log.String(), "DATA RACE") // where the tests are run with GOFLAGS=-race
 	})
@@ -220,27 +220,27 @@
 }
 
 // reload replaces the configuration and waits for the limiter to say what it made of it.
-func (l *limiter) reload(raw []byte, word string) {
+func (l *limiter) reload(raw []byte, message string) {
 	l.t.Helper()
-	before := strings.Count(l.log.String(), word)
+	before := strings.Count(l.log.String(), message)
 	require.NoError(l.t, os.WriteFile(l.path, raw, 0o600))
 	require.NoError(l.t, l.cmd.Process.Signal(syscall.SIGHUP))
-	require.Eventually(l.t, func() bool { return strings.Count(l.log.String(), word) > before }, patience, time.Millisecond)
+	require.Eventually(l.t, func() bool { return strings.Count(l.log.String(), message) > before }, testTimeout, time.Millisecond)
 }
 
 // holding gives a client connection whose one request a server has got and not answered.
-func (l *limiter) holding(s *server) *client {
+func (l *limiter) holdRequest(s *server) *client {
 	l.t.Helper()
 	c := l.dial()
-	c.write(command(post("01")...))
-	require.Eventually(l.t, func() bool { return len(s.seen()) == 1 }, patience, time.Millisecond)
+	c.write(encodeCommand(doArgs("01")...))
+	require.Eventually(l.t, func() bool { return len(s.received()) == 1 }, testTimeout, time.Millisecond)
 	return c
 }
 
 // leaves waits for the program to end by itself, with code 0.
-func (l *limiter) leaves() {
+func (l *limiter) waitForCleanExit() {
 	l.t.Helper()
-	await(l.t, l.ended, "the program's end")
+	await(l.t, l.exited, "the program's end")
 	require.Zero(l.t, l.cmd.ProcessState.ExitCode())
 }
 
@@ -250,7 +250,7 @@
 	t.Helper()
 	select {
 	case v = <-c:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		require.Fail(t, "waited in vain for "+what)
 	}
 	return v
@@ -267,11 +267,11 @@
 	conn, err := net.Dial("tcp", l.addr)
 	require.NoError(l.t, err)
 	l.t.Cleanup(func() { _ = conn.Close() })
-	require.NoError(l.t, conn.SetDeadline(time.Now().Add(patience)))
+	require.NoError(l.t, conn.SetDeadline(time.Now().Add(testTimeout)))
 	return &client{l.t, conn, bufio.NewReader(conn)}
 }
 
-func command(args ...string) string {
+func encodeCommand(args ...string) string {
 	var raw [][]byte
 	for _, a := range args {
 		raw = append(raw, []byte(a))
@@ -285,7 +285,7 @@
 }
 
 // answer reads one answer: its line, or a bulk string's value.
-func (c *client) answer() string {
+func (c *client) readReply() string {
 	c.t.Helper()
 	line, err := c.in.ReadString('\n')
 	require.NoError(c.t, err)
@@ -303,12 +303,12 @@
 
 func (c *client) do(args ...string) string {
 	c.t.Helper()
-	c.write(command(args...))
-	return c.answer()
+	c.write(encodeCommand(args...))
+	return c.readReply()
 }
 
 // ended waits for the limiter to close the connection.
-func (c *client) ended() {
+func (c *client) expectClosed() {
 	c.t.Helper()
 	_, err := c.in.ReadByte()
 	require.ErrorIs(c.t, err, io.EOF)
@@ -316,11 +316,11 @@
 
 const firm = "00000000b4d65521"
 
-func ask(id string) []string {
+func askArgs(id string) []string {
 	return []string{"Q.ASK", firm, id, "c=balance-read,t=regular,d=4000,units=1,spread=1,first=0"}
 }
 
-func post(id string) []string {
+func doArgs(id string) []string {
 	return []string{"Q.DO", firm, id, "c=transfer-post,t=regular,d=6000,k=5c0f6e1a2b3d4c59,units=1,spread=1,first=0", "BODY"}
 }
 
@@ -328,31 +328,31 @@
 type server struct {
 	id, zone, state string
 	addr            string
-	handle          func(conn net.Conn, args []string)
+	reply          func(conn net.Conn, args []string)
 
 	mu       sync.Mutex
 	commands [][]string
-	conns    int
-	left     chan struct{} // a connection has ended
+	connCount    int
+	disconnected     chan struct{} // a connection has ended
 }
 
-func value(text string) func(net.Conn, []string) {
+func replyValue(text string) func(net.Conn, []string) {
 	return func(conn net.Conn, _ []string) {
 		_, _ = fmt.Fprintf(conn, "*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(text), text)
 	}
 }
 
-func says(text string) func(net.Conn, []string) {
+func replyRaw(text string) func(net.Conn, []string) {
 	return func(conn net.Conn, _ []string) { _, _ = io.WriteString(conn, text) }
 }
 
 func newServer(t *testing.T, id, zone string, handle func(net.Conn, []string)) *server {
-	s := &server{id: id, zone: zone, state: "ready", handle: handle, left: make(chan struct{}, 1000)}
-	s.addr = acceptOn(t, func(conn net.Conn) {
+	s := &server{id: id, zone: zone, state: "ready", reply: handle, disconnected: make(chan struct{}, 1000)}
+	s.addr = serveConns(t, func(conn net.Conn) {
 		s.mu.Lock()
-		s.conns++
+		s.connCount++
 		s.mu.Unlock()
-		defer func() { s.left <- struct{}{} }()
+		defer func() { s.disconnected <- struct{}{} }()
 		var p resp.Parser
 		buf := make([]byte, 128<<10)
 		for {
@@ -369,14 +369,14 @@
 				s.mu.Lock()
 				s.commands = append(s.commands, args)
 				s.mu.Unlock()
-				s.handle(conn, args)
+				s.reply(conn, args)
 			}
 		}
 	})
 	return s
 }
 
-func (s *server) seen() [][]string {
+func (s *server) received() [][]string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([][]string(nil), s.commands...)
@@ -385,11 +385,11 @@
 func (s *server) connections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.conns
+	return s.connCount
 }
 
 // anyPort is an address to listen on that nobody else on the machine is given, also once its listener has closed.
-func anyPort(t *testing.T) string {
+func reserveAddress(t *testing.T) string {
 	t.Helper()
 	address, err := loopback.AnyPort()
 	require.NoError(t, err)
@@ -404,21 +404,21 @@
 	if address, ok := limiterAddresses.Load(t); ok {
 		return address.(string)
 	}
-	address := anyPort(t)
+	address := reserveAddress(t)
 	limiterAddresses.Store(t, address)
 	t.Cleanup(func() { limiterAddresses.Delete(t) })
 	return address
 }
 
 // inSocketTable is an address as /proc/net/tcp words it.
-func inSocketTable(addr string) string {
+func procNetTCPAddress(addr string) string {
 	at := netip.MustParseAddrPort(addr)
 	ip := at.Addr().As4()
 	return fmt.Sprintf("%02X%02X%02X%02X:%04X", ip[3], ip[2], ip[1], ip[0], at.Port())
 }
 
 // acceptOn accepts connections on a free loopback port until the test ends.
-func acceptOn(t *testing.T, handle func(net.Conn)) string {
+func serveConns(t *testing.T, handle func(net.Conn)) string {
 	l, err := loopback.Listen()
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
@@ -438,7 +438,7 @@
 	return l.Addr().String()
 }
 
-func entries(servers []*server) []object {
+func serverEntries(servers []*server) []object {
 	list := []object{}
 	for _, s := range servers {
 		list = append(list, object{"id": s.id, "addr": s.addr, "zone": s.zone, "kind": "std-3core", "cell": 0,
@@ -452,43 +452,43 @@
 	addr   string
 	silent bool
 	reply  string        // instead of the total, if not empty
-	late   time.Duration // of each answer
-	spoil  string        // the first answer, raw; its connection is of no further use
-	gone   bool          // its connections end
+	replyDelay   time.Duration // of each answer
+	corruptReply  string        // the first answer, raw; its connection is of no further use
+	closeConns   bool          // its connections end
 
 	mu    sync.Mutex
-	names map[string]float64
+	totals map[string]float64
 	calls int
 	conns int
-	lost  int // calls on a connection of no further use
+	staleCalls  int // calls on a connection of no further use
 }
 
 func newCounter(t *testing.T) *quotaCounter {
-	c := &quotaCounter{names: map[string]float64{}}
-	c.addr = acceptOn(t, func(conn net.Conn) {
+	c := &quotaCounter{totals: map[string]float64{}}
+	c.addr = serveConns(t, func(conn net.Conn) {
 		c.mu.Lock()
 		c.conns++
 		c.mu.Unlock()
 		lines := bufio.NewScanner(conn)
-		for useless := false; lines.Scan(); {
+		for corrupted := false; lines.Scan(); {
 			c.mu.Lock()
-			spoil, late, gone := c.spoil, c.late, c.gone
-			if c.spoil = ""; useless && lines.Text() != "ping" {
-				c.lost++
+			spoil, late, gone := c.corruptReply, c.replyDelay, c.closeConns
+			if c.corruptReply = ""; corrupted && lines.Text() != "ping" {
+				c.staleCalls++
 			}
 			c.mu.Unlock()
 			if gone {
 				return
 			}
 			if spoil != "" {
-				useless = true
+				corrupted = true
 				_, _ = io.WriteString(conn, spoil)
 			}
-			if useless {
+			if corrupted {
 				continue
 			}
 			time.Sleep(late)
-			if text := c.call(strings.Fields(lines.Text())); text != "" {
+			if text := c.handleCall(strings.Fields(lines.Text())); text != "" {
 				_, _ = io.WriteString(conn, text+"\r\n")
 			}
 		}
@@ -496,38 +496,38 @@
 	return c
 }
 
-func (c *quotaCounter) call(words []string) string {
+func (c *quotaCounter) handleCall(fields []string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(words) == 1 && words[0] == "ping" {
+	if len(fields) == 1 && fields[0] == "ping" {
 		return "pong"
 	}
 	c.calls++
 	if c.silent || c.reply != "" {
 		return c.reply
 	}
-	if len(words) != 4 || words[0] != "add" {
+	if len(fields) != 4 || fields[0] != "add" {
 		return "error"
 	}
-	amount, err := strconv.ParseFloat(words[2], 64)
+	amount, err := strconv.ParseFloat(fields[2], 64)
 	if err != nil {
 		return "error"
 	}
-	c.names[words[1]] += amount
-	return "ok " + strconv.FormatFloat(c.names[words[1]], 'f', -1, 64)
+	c.totals[fields[1]] += amount
+	return "ok " + strconv.FormatFloat(c.totals[fields[1]], 'f', -1, 64)
 }
 
 // made is how many calls were made, over how many connections.
-func (c *quotaCounter) made() (calls, conns int) {
+func (c *quotaCounter) callsAndConns() (calls, conns int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.calls, c.conns
 }
 
-func (c *quotaCounter) wasted() int {
+func (c *quotaCounter) staleCallCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.lost
+	return c.staleCalls
 }
 
 // registry is a stand-in for discovery: a watch gets the lines of later versions than it names, and then all new
@@ -569,18 +569,18 @@
 	return r
 }
 
-func (r *registry) say(version int, line string) {
+func (r *registry) sendLine(version int, line string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lines, r.versions = append(r.lines, line), append(r.versions, version)
 }
 
-func (r *registry) tell(version int, full bool, servers ...*server) {
-	raw, _ := json.Marshal(object{"version": version, "full": full, "servers": entries(servers)})
-	r.say(version, string(raw))
+func (r *registry) sendList(version int, full bool, servers ...*server) {
+	raw, _ := json.Marshal(object{"version": version, "full": full, "servers": serverEntries(servers)})
+	r.sendLine(version, string(raw))
 }
 
-func listLine(t *testing.T, list object) string {
+func marshalList(t *testing.T, list object) string {
 	raw, err := json.Marshal(list)
 	require.NoError(t, err)
 	return string(raw)
--- a/cmd/bramblefall/idle_test.go
+++ b/cmd/bramblefall/idle_test.go
@@ -15,28 +15,28 @@
 )
 
 // readyWithin is how long a limiter that starts may take until it answers a PING.
-const readyWithin = 10 * time.Second
+const maxTimeToReady = 10 * time.Second
 
 // idle fills a limiter's descriptors: so many clients that come, say the word, if any, and rest, and come again as soon as they
 // are closed, until the test ends.
-func (l *limiter) idle(clients int, word string) {
-	over := make(chan struct{})
-	l.t.Cleanup(func() { close(over) })
+func (l *limiter) keepIdleClients(clients int, text string) {
+	stop := make(chan struct{})
+	l.t.Cleanup(func() { close(stop) })
 	for range clients {
 		go func() {
 			for {
 				if conn, err := net.Dial("tcp", l.addr); err == nil {
-					_, _ = io.WriteString(conn, word)
-					left := make(chan struct{})
-					go func() { _, _ = io.Copy(io.Discard, conn); close(left) }()
+					_, _ = io.WriteString(conn, text)
+					closed := make(chan struct{})
+					go func() { _, _ = io.Copy(io.Discard, conn); close(closed) }()
 					select {
-					case <-left:
-					case <-over:
+					case <-closed:
+					case <-stop:
 					}
 					_ = conn.Close()
 				}
 				select {
-				case <-over:
+				case <-stop:
 					return
 				case <-time.After(100 * time.Millisecond):
 				}
@@ -46,16 +46,16 @@
 }
 
 // asks makes one command on a connection of its own, and again where that is shut unread. It gives the answer.
-func (l *limiter) asks(words func(n int) []string) (answer string) {
+func (l *limiter) askUntilAccepted(argsOf func(n int) []string) (answer string) {
 	l.t.Helper()
-	once := func(n int) bool {
+	attempt := func(n int) bool {
 		conn, err := net.Dial("tcp", l.addr)
 		if err != nil {
 			return false
 		}
 		defer conn.Close()
-		_ = conn.SetDeadline(time.Now().Add(patience))
-		_, _ = io.WriteString(conn, command(words(n)...))
+		_ = conn.SetDeadline(time.Now().Add(testTimeout))
+		_, _ = io.WriteString(conn, encodeCommand(argsOf(n)...))
 		in := bufio.NewReader(conn)
 		line, err := in.ReadString('\n')
 		if strings.HasPrefix(line, "$") && err == nil {
@@ -65,8 +65,8 @@
 		return err == nil && !strings.HasPrefix(answer, "-BUSY")
 	}
 	n, began := 1, time.Now()
-	for ; !once(n); n++ {
-		require.Less(l.t, time.Since(began), patience, "shut unread each time")
+	for ; !attempt(n); n++ {
+		require.Less(l.t, time.Since(began), testTimeout, "shut unread each time")
 		time.Sleep(5 * time.Millisecond)
 	}
 	if n > 1 {
@@ -82,9 +82,9 @@
 	t.Parallel()
 	for name, away := range map[string]func(conn net.Conn, back <-chan struct{}){
 		"down":   func(net.Conn, <-chan struct{}) {},
-		"silent": func(conn net.Conn, back <-chan struct{}) { wait(conn, back) },
+		"silent": func(conn net.Conn, back <-chan struct{}) { waitUntilBackOrClosed(conn, back) },
 		"slow": func(conn net.Conn, back <-chan struct{}) {
-			for _, b := range []byte(chunked + strings.Repeat(" ", 1000)) {
+			for _, b := range []byte(chunkedHeader + strings.Repeat(" ", 1000)) {
 				if _, err := conn.Write([]byte{b}); err != nil {
 					return
 				}
@@ -96,27 +96,27 @@
 			}
 		},
 		"half a line": func(conn net.Conn, back <-chan struct{}) {
-			_, _ = io.WriteString(conn, chunked+`20`+"\r\n"+`{"version":7,"full":true,"serv`)
-			wait(conn, back)
+			_, _ = io.WriteString(conn, chunkedHeader+`20`+"\r\n"+`{"version":7,"full":true,"serv`)
+			waitUntilBackOrClosed(conn, back)
 		},
 	} {
-		for word, text := range map[string]string{"speechless": "", "after a word": command("PING"), "after half a command": command(ask("half")...)[:30]} {
+		for word, text := range map[string]string{"speechless": "", "after a word": encodeCommand("PING"), "after half a command": encodeCommand(askArgs("half")...)[:30]} {
 			t.Run(name+", "+word, func(t *testing.T) { // one after another: each is a crowd
 				back := make(chan struct{})
-				w, left, line := moved(t)
+				w, left, line := drainedServerFixture(t)
 				w.settings = settings()
-				w.limited = true
-				w.registry = agent(t, func(_ int, conn net.Conn) {
+				w.enforceRlimit = true
+				w.registry = newAgent(t, func(_ int, conn net.Conn) {
 					select {
 					case <-back:
-						_, _ = conn.Write([]byte(chunked + chunk(line)))
-						until(conn)
+						_, _ = conn.Write([]byte(chunkedHeader + chunk(line)))
+						waitForClose(conn)
 					default:
 						away(conn, back)
 					}
 				})
 				var calls atomic.Int64
-				w.counter = &quotaCounter{addr: acceptOn(t, func(conn net.Conn) {
+				w.counter = &quotaCounter{addr: serveConns(t, func(conn net.Conn) {
 					select {
 					case <-back:
 					default:
@@ -133,21 +133,21 @@
 				})}
 				began := time.Now()
 				l := start(t, w) // 128 descriptors
-				l.idle(300, text)
+				l.keepIdleClients(300, text)
 				full := func() bool { return l.descriptors() > 32 }
-				require.Eventually(t, full, patience, time.Millisecond)
-				assert.Equal(t, "+PONG", l.asks(func(int) []string { return []string{"PING"} }))
+				require.Eventually(t, full, testTimeout, time.Millisecond)
+				assert.Equal(t, "+PONG", l.askUntilAccepted(func(int) []string { return []string{"PING"} }))
 				t.Logf("ready %v after the start", time.Since(began))
-				assert.Less(t, time.Since(began), readyWithin)
-				assert.Equal(t, "old", l.asks(func(n int) []string { return ask(fmt.Sprint("a", n)) }))
-				require.NotEmpty(t, left.seen())
+				assert.Less(t, time.Since(began), maxTimeToReady)
+				assert.Equal(t, "old", l.askUntilAccepted(func(n int) []string { return askArgs(fmt.Sprint("a", n)) }))
+				require.NotEmpty(t, left.received())
 				close(back)
-				for k, since := 0, time.Now(); l.asks(func(n int) []string { return ask(fmt.Sprint("b", k, "-", n)) }) != "new"; k++ {
-					require.Less(t, time.Since(since), patience, "the new list")
+				for k, since := 0, time.Now(); l.askUntilAccepted(func(n int) []string { return askArgs(fmt.Sprint("b", k, "-", n)) }) != "new"; k++ {
+					require.Less(t, time.Since(since), testTimeout, "the new list")
 				}
-				require.Eventually(t, func() bool { return calls.Load() > 0 }, patience, 10*time.Millisecond, "the counter")
+				require.Eventually(t, func() bool { return calls.Load() > 0 }, testTimeout, 10*time.Millisecond, "the counter")
 				if word == "after half a command" { // these come again and again: room is made for some in this very moment
-					require.Eventually(t, full, patience, time.Millisecond, "the idle clients are still there")
+					require.Eventually(t, full, testTimeout, time.Millisecond, "the idle clients are still there")
 				} else {
 					assert.True(t, full(), "the idle clients are still there")
 				}
@@ -159,11 +159,11 @@
 }
 
 // wait until the agent is to speak again, or its peer leaves.
-func wait(conn net.Conn, back <-chan struct{}) {
-	left := make(chan struct{})
-	go func() { until(conn); close(left) }()
+func waitUntilBackOrClosed(conn net.Conn, back <-chan struct{}) {
+	closed := make(chan struct{})
+	go func() { waitForClose(conn); close(closed) }()
 	select {
 	case <-back:
-	case <-left:
+	case <-closed:
 	}
 }
--- a/cmd/bramblefall/links_test.go
+++ b/cmd/bramblefall/links_test.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	linkedLimiters = 6 // more than can do by their own view
-	impairedTime   = 8 * time.Second
+	linkedLimiterCount = 6 // more than can do by their own view
+	impairmentDuration   = 8 * time.Second
 	ceilingRate    = 20.0
 	ceilingBurst   = 20.0
-	askEvery       = 25 * time.Millisecond // at each limiter: ten times the ceiling in all
+	requestInterval       = 25 * time.Millisecond // at each limiter: ten times the ceiling in all
 )
 
 // Every limiter has links of its own to the counter and to discovery, which are cut in one or both directions, held, slowed
@@ -48,7 +48,7 @@
 		set["tariffs"] = []object{plan("regular", 1000, 4000, 0), bounded}
 		config["counter"], config["discovery"] = link(f.world.Counter.Addr), link(config["discovery"].(string))
 	}
-	f := startFleet(t, 6, dress, make([]func(int) standin.Trouble, linkedLimiters)...)
+	f := startFleet(t, 6, dress, make([]func(int) standin.Trouble, linkedLimiterCount)...)
 	for _, n := range f.world.Nodes {
 		n.Handle = func(_ *standin.Node, args [][]byte) ([]byte, bool, time.Duration) {
 			if strings.Contains(string(args[3]), "t=full") {
@@ -57,34 +57,34 @@
 			return standin.Value(string(args[2])), true, time.Millisecond
 		}
 	}
-	words := fmt.Sprintf("c=balance-read,t=full,d=1000,units=1,spread=%d,first=0", linkedLimiters)
+	words := fmt.Sprintf("c=balance-read,t=full,d=1000,units=1,spread=%d,first=0", linkedLimiterCount)
 	stop := make(chan struct{})
 	var asking sync.WaitGroup
-	var served [linkedLimiters]atomic.Int64
-	errs := make([]error, linkedLimiters)
+	var served [linkedLimiterCount]atomic.Int64
+	errs := make([]error, linkedLimiterCount)
 	for k, l := range f.limiters {
-		asking.Go(func() { errs[k] = f.ask(l, stop, askEvery, words, &served[k]) })
+		asking.Go(func() { errs[k] = f.sendRequests(l, stop, requestInterval, words, &served[k]) })
 	}
 	var playing sync.WaitGroup
 	for k, l := range links {
-		playing.Go(func() { l.Play(standin.DrawPhases(100*seed+uint64(k), impairedTime)) })
+		playing.Go(func() { l.Play(standin.DrawPhases(100*seed+uint64(k), impairmentDuration)) })
 	}
 	const stopped, killed = 1, 2
-	time.Sleep(impairedTime / 4)
+	time.Sleep(impairmentDuration / 4)
 	require.NoError(t, f.limiters[stopped].Signal(syscall.SIGSTOP))
-	time.Sleep(impairedTime / 5)
+	time.Sleep(impairmentDuration / 5)
 	require.NoError(t, f.limiters[stopped].Signal(syscall.SIGCONT))
 	f.limiters[killed].Kill()
 	f.limiters[killed] = f.start(t, killed)
-	asking.Go(func() { errs[killed] = f.ask(f.limiters[killed], stop, askEvery, words, &served[killed]) })
+	asking.Go(func() { errs[killed] = f.sendRequests(f.limiters[killed], stop, requestInterval, words, &served[killed]) })
 	playing.Wait()
 
-	var before [linkedLimiters]int64
+	var before [linkedLimiterCount]int64
 	for k := range f.limiters {
 		before[k] = links[2*k].Back()
 	}
 	for k, l := range f.limiters {
-		require.Eventually(t, func() bool { return links[2*k].Back() > before[k]+2 }, patience, 10*time.Millisecond, "the counter answers limiter %d again", k)
+		require.Eventually(t, func() bool { return links[2*k].Back() > before[k]+2 }, testTimeout, 10*time.Millisecond, "the counter answers limiter %d again", k)
 		require.Empty(t, l.Crashed())
 	}
 	close(stop)
@@ -97,6 +97,6 @@
 	}
 	low, sends := ceiling.Lowest()
 	t.Logf("%d sends, the ceiling's store at least %.1f", sends, low)
-	require.Greater(t, sends, int(impairedTime.Seconds()*ceilingRate/10), "this shows little")
+	require.Greater(t, sends, int(impairmentDuration.Seconds()*ceilingRate/10), "this shows little")
 	require.GreaterOrEqual(t, low, -ceilingBurst/10)
 }
--- a/cmd/bramblefall/lists_test.go
+++ b/cmd/bramblefall/lists_test.go
@@ -16,18 +16,18 @@
 func TestALimiterThatStoodStillGoesOnWithItsList(t *testing.T) {
 	t.Parallel()
 	for range 5 {
-		w, _, line := moved(t)
+		w, _, line := drainedServerFixture(t)
 		w.settings = settings()
 		half, stopped, whole := make(chan struct{}), make(chan struct{}), make(chan struct{})
-		w.registry = agent(t, func(n int, conn net.Conn) {
+		w.registry = newAgent(t, func(n int, conn net.Conn) {
 			if n == 0 {
-				_, _ = conn.Write([]byte(chunked + chunk("") + fmt.Sprintf("28\r\n%s\r\n", line[:0x28])))
+				_, _ = conn.Write([]byte(chunkedHeader + chunk("") + fmt.Sprintf("28\r\n%s\r\n", line[:0x28])))
 				close(half)
 				<-stopped
 				_, _ = conn.Write([]byte(chunk(line[0x28:])))
 				close(whole)
 			}
-			until(conn)
+			waitForClose(conn)
 		})
 		l := start(t, w)
 		await(t, half, "half of the list")
@@ -37,8 +37,8 @@
 		await(t, whole, "the rest of the list")
 		require.NoError(t, l.cmd.Process.Signal(syscall.SIGCONT))
 		require.Eventually(t, func() bool {
-			return l.dial().do(ask("01")...) == "new" || strings.Contains(l.log.String(), "discovery says nothing more")
-		}, patience, time.Millisecond)
+			return l.dial().do(askArgs("01")...) == "new" || strings.Contains(l.log.String(), "discovery says nothing more")
+		}, testTimeout, time.Millisecond)
 		if !strings.Contains(l.log.String(), "discovery says nothing more") {
 			return
 		}
@@ -51,30 +51,30 @@
 func TestNothingStaysOpenToAnAddressThatAListHasDropped(t *testing.T) {
 	t.Parallel()
 	for name, drop := range map[string]func(r *registry, former, other *server){
-		"a whole list without the server": func(r *registry, _, other *server) { r.tell(2, true, other) },
+		"a whole list without the server": func(r *registry, _, other *server) { r.sendList(2, true, other) },
 		"a change that calls it gone": func(r *registry, former, other *server) {
 			former.state = "gone"
-			r.tell(2, false, former, other)
+			r.sendList(2, false, former, other)
 		},
 		"a change of its address": func(r *registry, former, other *server) {
-			r.tell(2, false, &server{id: former.id, zone: former.zone, state: "ready", addr: other.addr})
+			r.sendList(2, false, &server{id: former.id, zone: former.zone, state: "ready", addr: other.addr})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			former, other := newServer(t, "s-1", "hall-a", value("former")), newServer(t, "s-2", "hall-a", value("other"))
+			former, other := newServer(t, "s-1", "hall-a", replyValue("former")), newServer(t, "s-2", "hall-a", replyValue("other"))
 			r := newRegistry(t)
 			set := settings()
 			set["caps"].(object)["connIdle"] = 60.0 // no connection ends for its rest before the test does
-			c := start(t, world{settings: set, servers: []*server{former}, registry: r}).dial()
-			require.Equal(t, "former", c.do(ask("01")...))
+			c := start(t, fixture{settings: set, servers: []*server{former}, registry: r}).dial()
+			require.Equal(t, "former", c.do(askArgs("01")...))
 			drop(r, former, other)
-			await(t, former.left, "the end of the connection to the former address")
-			came := len(former.seen())
+			await(t, former.disconnected, "the end of the connection to the former address")
+			came := len(former.received())
 			for k := range 50 {
-				require.Equal(t, "other", c.do(ask(fmt.Sprintf("%04x", k))...))
+				require.Equal(t, "other", c.do(askArgs(fmt.Sprintf("%04x", k))...))
 			}
-			require.Len(t, former.seen(), came)
+			require.Len(t, former.received(), came)
 		})
 	}
 }
--- a/cmd/bramblefall/moments_test.go
+++ b/cmd/bramblefall/moments_test.go
@@ -46,35 +46,35 @@
 			release := make(chan struct{})
 			left := newServer(t, "s-1", "hall-a", func(conn net.Conn, args []string) {
 				<-release
-				value("old")(conn, args)
+				replyValue("old")(conn, args)
 			})
-			fresh := newServer(t, "s-2", "hall-a", value("new"))
-			now := entries([]*server{left, fresh})
+			fresh := newServer(t, "s-2", "hall-a", replyValue("new"))
+			now := serverEntries([]*server{left, fresh})
 			now[0]["state"] = "draining"
 			line, err := json.Marshal(object{"version": 7, "full": true, "servers": now})
 			require.NoError(t, err)
-			w := world{settings: settings(), servers: []*server{left}, counter: newCounter(t), registry: newRegistry(t)}
-			w.registry.tell(2, true, left)
+			w := fixture{settings: settings(), servers: []*server{left}, counter: newCounter(t), registry: newRegistry(t)}
+			w.registry.sendList(2, true, left)
 			l := start(t, w)
-			held, open := l.holding(left), l.dial()
+			held, open := l.holdRequest(left), l.dial()
 			require.Equal(t, "+PONG", open.do("PING"))
 			next := w
-			next.counter, next.registry = newCounter(t), agent(t, func(_ int, conn net.Conn) {
-				_, _ = conn.Write([]byte(chunked + chunk(string(line))))
-				until(conn)
+			next.counter, next.registry = newCounter(t), newAgent(t, func(_ int, conn net.Conn) {
+				_, _ = conn.Write([]byte(chunkedHeader + chunk(string(line))))
+				waitForClose(conn)
 			})
 			raw, err := json.Marshal(next.config(t))
 			require.NoError(t, err)
 			require.NoError(t, os.WriteFile(l.path, raw, 0o600))
 			tell(l)
-			l.says("msg=draining")
-			l.says("read the configuration anew")
-			require.Eventually(t, func() bool { _, conns := next.counter.made(); return conns > 0 }, patience, time.Millisecond)
+			l.waitForLog("msg=draining")
+			l.waitForLog("read the configuration anew")
+			require.Eventually(t, func() bool { _, conns := next.counter.callsAndConns(); return conns > 0 }, testTimeout, time.Millisecond)
 			close(release)
-			assert.Equal(t, "old", held.answer())
-			held.ended()
-			l.leaves()
-			assert.Len(t, left.seen(), 1)
+			assert.Equal(t, "old", held.readReply())
+			held.expectClosed()
+			l.waitForCleanExit()
+			assert.Len(t, left.received(), 1)
 			assert.NotContains(t, l.log.String(), "cut off")
 		})
 	}
@@ -87,17 +87,17 @@
 	for name, read := range map[string]bool{"unread": false, "behind the command": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			dies := &server{id: "s-1", zone: "hall-a", state: "ready", addr: acceptOn(t, func(conn net.Conn) {
+			dies := &server{id: "s-1", zone: "hall-a", state: "ready", addr: serveConns(t, func(conn net.Conn) {
 				if read {
 					_ = readCommand(conn)
 				}
-				reset(conn, nil)
+				resetConn(conn, nil)
 			})}
-			w := world{servers: []*server{dies, newServer(t, "s-2", "hall-a", value("v"))}}
+			w := fixture{servers: []*server{dies, newServer(t, "s-2", "hall-a", replyValue("v"))}}
 			l := start(t, w)
 			for k := range 40 {
-				require.Equal(t, "v", l.dial().do(ask(fmt.Sprint("a", k))...))
-				require.Contains(t, []string{"v", "-ERR failed"}, l.dial().do(post(fmt.Sprint("p", k))...))
+				require.Equal(t, "v", l.dial().do(askArgs(fmt.Sprint("a", k))...))
+				require.Contains(t, []string{"v", "-ERR failed"}, l.dial().do(doArgs(fmt.Sprint("p", k))...))
 			}
 		})
 	}
@@ -106,24 +106,24 @@
 // A command may come in two pieces, cut anywhere, or a byte at a time, alone or behind another.
 func TestRequestsInPieces(t *testing.T) {
 	t.Parallel()
-	l := start(t, world{servers: []*server{newServer(t, "s-1", "hall-a", func(conn net.Conn, args []string) {
-		value("v"+args[2])(conn, args)
+	l := start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", func(conn net.Conn, args []string) {
+		replyValue("v"+args[2])(conn, args)
 	})}})
-	whole := len(command(post("a000")...) + command(ask("b000")...))
+	whole := len(encodeCommand(doArgs("a000")...) + encodeCommand(askArgs("b000")...))
 	c := l.dial()
 	for cut := 1; cut < whole; cut += 3 {
 		first, second := fmt.Sprintf("a%03d", cut), fmt.Sprintf("b%03d", cut)
-		text := command(post(first)...) + command(ask(second)...)
+		text := encodeCommand(doArgs(first)...) + encodeCommand(askArgs(second)...)
 		c.write(text[:cut])
 		time.Sleep(time.Millisecond)
 		c.write(text[cut:])
-		require.Equal(t, "v"+first, c.answer())
-		require.Equal(t, "v"+second, c.answer())
+		require.Equal(t, "v"+first, c.readReply())
+		require.Equal(t, "v"+second, c.readReply())
 	}
-	for _, b := range []byte(command(ask("slow")...)) {
+	for _, b := range []byte(encodeCommand(askArgs("slow")...)) {
 		c.write(string(b))
 	}
-	require.Equal(t, "vslow", c.answer())
+	require.Equal(t, "vslow", c.readReply())
 }
 
 // Servers that take every request and answer none: each request has its one answer within its time, the connections go on, and
@@ -131,12 +131,12 @@
 func TestRequestsLeftWithNoAnswer(t *testing.T) {
 	t.Parallel()
 	silent := make(chan struct{})
-	w := world{sockets: 400}
+	w := fixture{maxDescriptors: 400}
 	for k := range 4 {
 		w.servers = append(w.servers, newServer(t, fmt.Sprint("s-", k), "hall-a", func(conn net.Conn, args []string) {
 			select {
 			case <-silent:
-				value("v")(conn, args)
+				replyValue("v")(conn, args)
 			default: // never
 			}
 		}))
@@ -146,22 +146,22 @@
 	for k := range 50 {
 		c := l.dial()
 		clients = append(clients, c)
-		for n, words := range [][]string{ask(fmt.Sprint("a", k)), post(fmt.Sprint("p", k)), ask(fmt.Sprint("b", k))} {
+		for n, words := range [][]string{askArgs(fmt.Sprint("a", k)), doArgs(fmt.Sprint("p", k)), askArgs(fmt.Sprint("b", k))} {
 			words[3] = strings.NewReplacer("d=4000", fmt.Sprint("d=", 500+200*n), "d=6000", "d=900").Replace(words[3])
-			c.write(command(words...))
+			c.write(encodeCommand(words...))
 		}
 	}
 	for _, c := range clients {
 		for range 3 {
-			require.Regexp(t, "^-(BUSY|ERR failed)", c.answer())
+			require.Regexp(t, "^-(BUSY|ERR failed)", c.readReply())
 		}
 	}
 	close(silent)
 	c := clients[0]
 	served, k := "", 0
 	for began := time.Now(); served != "v"; k++ {
-		require.Less(t, time.Since(began), patience)
-		served = c.do(ask(fmt.Sprint("c", k))...)
+		require.Less(t, time.Since(began), testTimeout)
+		served = c.do(askArgs(fmt.Sprint("c", k))...)
 	}
 	for _, c := range clients {
 		require.Equal(t, "+PONG", c.do("PING"))
@@ -172,7 +172,7 @@
 // it has accepted has its answer.
 func TestARequestRightBehindAnAcceptIsAnsweredInADrain(t *testing.T) {
 	t.Parallel()
-	l := start(t, world{servers: []*server{newServer(t, "s-1", "hall-a", value("v"))}})
+	l := start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}})
 	done := make(chan string, 10000)
 	n := 0
 	for ; ; n++ {
@@ -183,8 +183,8 @@
 		if err != nil {
 			break
 		}
-		_ = conn.SetDeadline(time.Now().Add(patience))
-		text := command(ask(fmt.Sprint("id", n))...)
+		_ = conn.SetDeadline(time.Now().Add(testTimeout))
+		text := encodeCommand(askArgs(fmt.Sprint("id", n))...)
 		go func() {
 			defer conn.Close()
 			_, _ = io.WriteString(conn, text)
@@ -193,7 +193,7 @@
 		}()
 		time.Sleep(2 * time.Millisecond)
 	}
-	l.leaves()
+	l.waitForCleanExit()
 	for k := range n {
 		assert.Equal(t, "$1\r\nv\r\n", await(t, done, "an answer"), "request %d of %d", k, n)
 	}
--- a/cmd/bramblefall/plans_test.go
+++ b/cmd/bramblefall/plans_test.go
@@ -17,9 +17,9 @@
 )
 
 // cli runs a sub-command of the real program.
-func cli(t *testing.T, want int, args ...string) (out, said string) {
+func runCLI(t *testing.T, wantCode int, args ...string) (stdout, stderr string) {
 	t.Helper()
-	look()
+	trackSources()
 	cmd := exec.Command(binary, args...)
 	var o, e strings.Builder
 	cmd.Stdout, cmd.Stderr = &o, &e
@@ -29,87 +29,87 @@
 	if errors.As(err, &ended) {
 		code = ended.ExitCode()
 	}
-	require.Equal(t, want, code, "%v: %s%s", args, o.String(), e.String())
-	if want != 0 {
-		said := regexp.MustCompile(`(?m)^time=.*\n`).ReplaceAllString(e.String(), "") // but for the log
-		require.Regexp(t, `^bramblefall: .*\n$`, said, "one line")
+	require.Equal(t, wantCode, code, "%v: %s%s", args, o.String(), e.String())
+	if wantCode != 0 {
+		stderr := regexp.MustCompile(`(?m)^time=.*\n`).ReplaceAllString(e.String(), "") // but for the log
+		require.Regexp(t, `^bramblefall: .*\n$`, stderr, "one line")
 	}
 	return o.String(), e.String()
 }
 
-func script(t *testing.T, path, text string) string {
+func writeScript(t *testing.T, path, text string) string {
 	t.Helper()
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 	return path
 }
 
 // operated is a limiter with an admin socket and a state directory.
-func operated(t *testing.T, dir, more string) (l *limiter, socket, file string) {
+func startWithAdmin(t *testing.T, dir, more string) (l *limiter, socket, file string) {
 	socket = filepath.Join(dir, "admin.sock")
-	file = script(t, filepath.Join(dir, "operator.star"), fmt.Sprintf("bramblefall(admin = admin(socket = %q), state_dir = %q, %s)\n", socket, filepath.Join(dir, "state"), more))
-	return start(t, world{operator: file, servers: []*server{newServer(t, "s-1", "hall-a", value("v"))}}), socket, file
+	file = writeScript(t, filepath.Join(dir, "operator.star"), fmt.Sprintf("bramblefall(admin = admin(socket = %q), state_dir = %q, %s)\n", socket, filepath.Join(dir, "state"), more))
+	return start(t, fixture{operatorFile: file, servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}}), socket, file
 }
 
-func versionFile(number int, effective, regular string) string {
+func planScript(number int, effective, regularTier string) string {
 	return fmt.Sprintf(`bramblefall(plans = [plan(number = %d, %s note = "n%d", tiers = [
   tier(name = "regular", %s),
   tier(name = "full", rate = 5, burst = 10, ceiling_rate = 10, ceiling_burst = 20, ceiling_slack = 2),
 ])])
-`, number, effective, number, regular)
+`, number, effective, number, regularTier)
 }
 
 func TestPlansAreAppliedShownAndSurviveARestart(t *testing.T) {
 	dir := t.TempDir()
-	l, socket, _ := operated(t, dir, "")
+	l, socket, _ := startWithAdmin(t, dir, "")
 	info, err := os.Stat(socket)
 	require.NoError(t, err)
 	require.Equal(t, os.FileMode(0o600), info.Mode().Perm())
 	c := l.dial()
-	require.Equal(t, "v", c.do(ask("r1")...))
+	require.Equal(t, "v", c.do(askArgs("r1")...))
 
-	first := script(t, filepath.Join(dir, "1.star"), versionFile(1, "", "rate = 100, burst = 50"))
-	out, _ := cli(t, 0, "plans", "apply", first, "--dry-run", "--socket", socket)
+	first := writeScript(t, filepath.Join(dir, "1.star"), planScript(1, "", "rate = 100, burst = 50"))
+	out, _ := runCLI(t, 0, "plans", "apply", first, "--dry-run", "--socket", socket)
 	require.Contains(t, out, "regular")
 	require.Contains(t, out, "1000->100")
-	out, _ = cli(t, 0, "plans", "list", "--socket", socket, "--output", "json")
+	out, _ = runCLI(t, 0, "plans", "list", "--socket", socket, "--output", "json")
 	var list []map[string]any
 	require.NoError(t, json.Unmarshal([]byte(out), &list))
 	require.Equal(t, "0", list[0]["number"], "a dry run changes nothing")
 
-	cli(t, 0, "plans", "apply", first, "--socket", socket)
-	cli(t, 0, "plans", "apply", first, "--socket", socket) // again: the same
-	later := script(t, filepath.Join(dir, "2.star"), versionFile(2, `effective = time("2099-01-01T00:00:00Z"),`, "rate = 200, burst = 50"))
-	cli(t, 0, "plans", "apply", later, "--socket", socket)
-	out, _ = cli(t, 0, "plans", "list", "--socket", socket)
+	runCLI(t, 0, "plans", "apply", first, "--socket", socket)
+	runCLI(t, 0, "plans", "apply", first, "--socket", socket) // again: the same
+	later := writeScript(t, filepath.Join(dir, "2.star"), planScript(2, `effective = time("2099-01-01T00:00:00Z"),`, "rate = 200, burst = 50"))
+	runCLI(t, 0, "plans", "apply", later, "--socket", socket)
+	out, _ = runCLI(t, 0, "plans", "list", "--socket", socket)
 	require.Regexp(t, `1 +in force.*n1`, out)
 	require.Regexp(t, `2 +to come +2099`, out)
-	out, _ = cli(t, 0, "plans", "show", "--socket", socket)
+	out, _ = runCLI(t, 0, "plans", "show", "--socket", socket)
 	require.Regexp(t, `regular +100 +50`, out)
-	_, said := cli(t, 2, "plans", "apply", script(t, filepath.Join(dir, "3.star"), versionFile(1, "", "rate = 7, burst = 50")), "--socket", socket)
+	_, said := runCLI(t, 2, "plans", "apply", writeScript(t, filepath.Join(dir, "3.star"), planScript(1, "", "rate = 7, burst = 50")), "--socket", socket)
 	require.Contains(t, said, "number: 1 is another version's already")
-	_, said = cli(t, 2, "plans", "apply", script(t, filepath.Join(dir, "4.star"), `bramblefall(plans = [plan(number = 9, tiers = [tier(name = "full", rate = 5, burst = 10)])])`), "--socket", socket)
+	_, said = runCLI(t, 2, "plans", "apply", writeScript(t, filepath.Join(dir, "4.star"), `bramblefall(plans = [plan(number = 9, tiers = [tier(name = "full", rate = 5, burst = 10)])])`), "--socket", socket)
 	require.Contains(t, said, "tiers[regular]: removed while 1 firms use it")
-	_, said = cli(t, 2, "plans", "apply", script(t, filepath.Join(dir, "5.star"), versionFile(10, `effective = time("2020-01-01T00:00:00Z"),`, "rate = 7, burst = 50")), "--socket", socket)
+	_, said = runCLI(t, 2, "plans", "apply", writeScript(t, filepath.Join(dir, "5.star"), planScript(10, `effective = time("2020-01-01T00:00:00Z"),`, "rate = 7, burst = 50")), "--socket", socket)
 	require.Contains(t, said, "in the past")
-	cli(t, 0, "reserve", "grant", "--id", "coffee", "--firm", firm, "--units", "40", "--start", "2026-01-01T00:00:00Z", "--end", "2099-01-01T00:00:00Z", "--socket", socket)
-	_, said = cli(t, 2, "reserve", "grant", "--id", "coffee", "--firm", firm, "--units", "41", "--end", "2099-01-01T00:00:00Z", "--socket", socket)
+	runCLI(t, 0, "reserve", "grant", "--id", "coffee", "--firm", firm, "--units", "40", "--start", "2026-01-01T00:00:00Z", "--end", "2099-01-01T00:00:00Z", "--socket", socket)
+	_, said = runCLI(t, 2, "reserve", "grant", "--id", "coffee", "--firm", firm, "--units", "41", "--end", "2099-01-01T00:00:00Z", "--socket", socket)
 	require.Contains(t, said, "granted with other content")
-	cli(t, 1, "plans", "list", "--socket", filepath.Join(dir, "none.sock"))
-	cli(t, 2, "plans", "list", "--no-such-flag")
+	runCLI(t, 1, "plans", "list", "--socket", filepath.Join(dir, "none.sock"))
+	runCLI(t, 2, "plans", "list", "--no-such-flag")
 
 	l.terminate()
-	await(t, l.ended, "the limiter's end")
-	_, socket, _ = operated(t, dir, "")
-	out, _ = cli(t, 0, "plans", "list", "--socket", socket)
+	await(t, l.exited, "the limiter's end")
+	_, socket, _ = startWithAdmin(t, dir, "")
+	out, _ = runCLI(t, 0, "plans", "list", "--socket", socket)
 	require.Regexp(t, `1 +in force.*n1`, out)
 	require.Regexp(t, `2 +to come +2099`, out)
-	out, _ = cli(t, 0, "reserve", "list", "--socket", socket)
+	out, _ = runCLI(t, 0, "reserve", "list", "--socket", socket)
 	require.Regexp(t, `coffee +b4d65521 +in use +40`, out)
-	cli(t, 0, "plans", "withdraw", "2", "--socket", socket)
-	out, _ = cli(t, 0, "plans", "history", "--socket", socket)
+	runCLI(t, 0, "plans", "withdraw", "2", "--socket", socket)
+	out, _ = runCLI(t, 0, "plans", "history", "--socket", socket)
 	require.Regexp(t, `2 +withdrawn`, out)
-	cli(t, 0, "reserve", "revoke", "coffee", "--socket", socket)
-	out, _ = cli(t, 0, "reserve", "list", "--socket", socket)
+	runCLI(t, 0, "reserve", "revoke", "coffee", "--socket", socket)
+	out, _ = runCLI(t, 0, "reserve", "list", "--socket", socket)
 	require.Regexp(t, `coffee +b4d65521 +revoked`, out)
 }
 
@@ -121,18 +121,18 @@
 		"noise":         func([]byte) []byte { return []byte("\x00\xff\n{}") },
 	} {
 		dir := t.TempDir()
-		l, socket, _ := operated(t, dir, "")
-		cli(t, 0, "plans", "apply", script(t, filepath.Join(dir, "1.star"), versionFile(1, "", "rate = 100, burst = 50")), "--socket", socket)
+		l, socket, _ := startWithAdmin(t, dir, "")
+		runCLI(t, 0, "plans", "apply", writeScript(t, filepath.Join(dir, "1.star"), planScript(1, "", "rate = 100, burst = 50")), "--socket", socket)
 		l.terminate()
-		await(t, l.ended, "the limiter's end")
+		await(t, l.exited, "the limiter's end")
 		path := filepath.Join(dir, "state", "plans.state")
 		raw, err := os.ReadFile(path)
 		require.NoError(t, err, name)
 		bad := spoil(raw)
 		require.NoError(t, os.WriteFile(path, bad, 0o600))
-		l, socket, _ = operated(t, dir, "")
+		l, socket, _ = startWithAdmin(t, dir, "")
 		require.Contains(t, l.log.String(), "set aside as plans.state.damaged-", name)
-		out, _ := cli(t, 0, "plans", "list", "--socket", socket)
+		out, _ := runCLI(t, 0, "plans", "list", "--socket", socket)
 		require.Regexp(t, `0 +in force +- +platform`, out, name)
 		aside, err := filepath.Glob(path + ".damaged-*")
 		require.NoError(t, err)
@@ -152,22 +152,22 @@
 		"bramblefall(plans = [plan(number = 1, tiers = [tier(name = 'a', rate = float('nan'))])])": "plans[0].tiers[0].rate",
 		"bramblefall(plans = [plan(number = 1, tiers = [tier(name = 'a', rate = -4)])])":           "plans[0].tiers[0].rate",
 	} {
-		bad := script(t, filepath.Join(dir, "bad.star"), text)
-		_, said := cli(t, 2, "check", bad)
+		bad := writeScript(t, filepath.Join(dir, "bad.star"), text)
+		_, said := runCLI(t, 2, "check", bad)
 		require.Contains(t, said, says)
-		_, said = cli(t, 2, "-config", "../../docs/example-config.json", "-operator", bad)
+		_, said = runCLI(t, 2, "-config", "../../docs/example-config.json", "-operator", bad)
 		require.Contains(t, said, says)
 	}
-	cli(t, 0, "check", "../../deploy/bramblefall.star")
-	cli(t, 1, "check", filepath.Join(dir, "none.star"))
-	out, _ := cli(t, 0, "version")
+	runCLI(t, 0, "check", "../../deploy/bramblefall.star")
+	runCLI(t, 1, "check", filepath.Join(dir, "none.star"))
+	out, _ := runCLI(t, 0, "version")
 	require.Contains(t, out, "bramblefall")
 }
 
 // A small script must not fail for what the C library reserves for the evaluation's threads: large stacks bring to light
 // in sixty runs what small ones do once in hundreds.
 func TestThreadsOfTheEvaluationAreNotTheScripts(t *testing.T) {
-	look()
+	trackSources()
 	for range 60 {
 		out, err := exec.Command("sh", "-c", `ulimit -s 65536; exec "$0" check ../../deploy/bramblefall.star`, binary).CombinedOutput()
 		require.NoError(t, err, "%s", out)
@@ -177,31 +177,31 @@
 // The operators' file is read again at SIGHUP: a good one changes plans in service, a bad one changes nothing.
 func TestSIGHUPReadsPlansAgain(t *testing.T) {
 	dir := t.TempDir()
-	l, socket, file := operated(t, dir, "")
+	l, socket, file := startWithAdmin(t, dir, "")
 	config, err := os.ReadFile(l.path)
 	require.NoError(t, err)
 	good := fmt.Sprintf("bramblefall(admin = admin(socket = %q), state_dir = %q, plans = [plan(number = 5, tiers = [tier(name = 'regular', rate = 9, burst = 9), tier(name = 'full', rate = 1, burst = 2)])])\n", socket, filepath.Join(dir, "state"))
-	script(t, file, good)
+	writeScript(t, file, good)
 	l.reload(config, `from="the operators' file" version=5`)
-	script(t, file, strings.Replace(good, "rate = 9", "rate = 'nine'", 1))
+	writeScript(t, file, strings.Replace(good, "rate = 9", "rate = 'nine'", 1))
 	l.reload(config, "the new operators' file cannot be used")
-	out, _ := cli(t, 0, "plans", "show", "--socket", socket)
+	out, _ := runCLI(t, 0, "plans", "show", "--socket", socket)
 	require.Regexp(t, `regular +9 +9`, out)
 
 	var cfg object
 	require.NoError(t, json.Unmarshal(config, &cfg))
-	script(t, file, good)
+	writeScript(t, file, good)
 	cfg["settings"].(object)["tariffs"] = []object{plan("regular", 3, 30, 0), plan("full", 0.5, 2, 0)}
 	raw, err := json.Marshal(cfg)
 	require.NoError(t, err)
 	l.reload(raw, `from="the platform's tiers" version=0`)
-	out, _ = cli(t, 0, "plans", "show", "--socket", socket)
+	out, _ = runCLI(t, 0, "plans", "show", "--socket", socket)
 	require.Regexp(t, `regular +3 +30`, out)
 	cfg["settings"].(object)["tariffs"] = []object{plan("regular", 3, 0.1, 0)}
 	raw, err = json.Marshal(cfg)
 	require.NoError(t, err)
 	l.reload(raw, "plans cannot be used")
-	out, _ = cli(t, 0, "plans", "show", "--socket", socket)
+	out, _ = runCLI(t, 0, "plans", "show", "--socket", socket)
 	require.Regexp(t, `regular +3 +30`, out)
 }
 
@@ -210,20 +210,20 @@
 	dir := t.TempDir()
 	set := settings()
 	set["tariffs"] = []object{plan("regular", 20, 20, 0), plan("full", 0.01, 60, 0)}
-	file := script(t, filepath.Join(dir, "o.star"), "bramblefall()\n")
-	l := start(t, world{operator: file, settings: set, servers: []*server{newServer(t, "s-1", "hall-a", value("v"))}})
+	file := writeScript(t, filepath.Join(dir, "o.star"), "bramblefall()\n")
+	l := start(t, fixture{operatorFile: file, settings: set, servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}})
 	config, err := os.ReadFile(l.path)
 	require.NoError(t, err)
 	c := l.dial()
 	const all = 60
 	for k := range all {
-		c.write(command(ask(fmt.Sprintf("r%d", k))...))
+		c.write(encodeCommand(askArgs(fmt.Sprintf("r%d", k))...))
 	}
-	script(t, file, `bramblefall(plans = [plan(number = 1, tiers = [tier(name = "regular", rate = 0.1, burst = 1), tier(name = "full", rate = 1, burst = 2)])])`)
+	writeScript(t, file, `bramblefall(plans = [plan(number = 1, tiers = [tier(name = "regular", rate = 0.1, burst = 1), tier(name = "full", rate = 1, burst = 2)])])`)
 	l.reload(config, "version=1")
 	served, refused := 0, 0
 	for range all {
-		switch a := c.answer(); {
+		switch a := c.readReply(); {
 		case a == "v":
 			served++
 		case strings.HasPrefix(a, "-BUSY "):
@@ -240,7 +240,7 @@
 // Calls to the admin service that break off in the middle, and noise on its socket, harm nobody.
 func TestTheAdminSocketBearsBrokenCalls(t *testing.T) {
 	dir := t.TempDir()
-	l, socket, _ := operated(t, dir, "")
+	l, socket, _ := startWithAdmin(t, dir, "")
 	preface := "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
 	for n := range 40 {
 		conn, err := net.Dial("unix", socket)
@@ -249,17 +249,17 @@
 		_, _ = conn.Write([]byte(text[:min(len(text), 1+7*n)]))
 		_ = conn.Close()
 	}
-	out, _ := cli(t, 0, "plans", "list", "--socket", socket)
+	out, _ := runCLI(t, 0, "plans", "list", "--socket", socket)
 	require.Contains(t, out, "in force")
-	require.Equal(t, "v", l.dial().do(ask("r1")...))
-	_, said := cli(t, 1, "-config", l.path, "-operator", filepath.Join(dir, "operator.star"))
+	require.Equal(t, "v", l.dial().do(askArgs("r1")...))
+	_, said := runCLI(t, 1, "-config", l.path, "-operator", filepath.Join(dir, "operator.star"))
 	require.Contains(t, said, "another process serves it")
 }
 
 // Without the operators' file the limiter listens for clients alone and starts no other process.
 func TestNothingOfTheOperatorsIsOnByDefault(t *testing.T) {
-	l := start(t, world{servers: []*server{newServer(t, "s-1", "hall-a", value("v"))}})
-	require.Equal(t, "v", l.dial().do(ask("r1")...))
+	l := start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}})
+	require.Equal(t, "v", l.dial().do(askArgs("r1")...))
 	require.Empty(t, l.grpcAddr)
 	require.NotContains(t, l.log.String(), "serving operators")
 	list, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", l.cmd.Process.Pid))
@@ -273,6 +273,6 @@
 		require.Empty(t, strings.TrimSpace(string(children)))
 	}
 	require.NoError(t, l.cmd.Process.Signal(syscall.SIGTERM))
-	await(t, l.ended, "the limiter's end")
+	await(t, l.exited, "the limiter's end")
 	require.Equal(t, 0, l.cmd.ProcessState.ExitCode())
 }
--- a/cmd/bramblefall/platform_test.go
+++ b/cmd/bramblefall/platform_test.go
@@ -23,14 +23,14 @@
 
 func TestCommandsArePassedOnUnchangedButForTheWait(t *testing.T) {
 	t.Parallel()
-	s := newServer(t, "s-1", "hall-a", value("a pallet"))
-	c := start(t, world{servers: []*server{s}, counter: newCounter(t)}).dial()
+	s := newServer(t, "s-1", "hall-a", replyValue("a pallet"))
+	c := start(t, fixture{servers: []*server{s}, counter: newCounter(t)}).dial()
 	assert.Equal(t, "+PONG", c.do("PING"))
-	assert.Equal(t, "a pallet", c.do(ask("9b1f03aa5c7e2d41")...))
+	assert.Equal(t, "a pallet", c.do(askArgs("9b1f03aa5c7e2d41")...))
 	time.Sleep(50 * time.Millisecond) // a connection rests after an answer
-	assert.Equal(t, "a pallet", c.do(post("9b1f03aa5c7e2d42")...))
-	for k, sent := range [][]string{ask("9b1f03aa5c7e2d41"), post("9b1f03aa5c7e2d42")} {
-		got := s.seen()[k]
+	assert.Equal(t, "a pallet", c.do(doArgs("9b1f03aa5c7e2d42")...))
+	for k, sent := range [][]string{askArgs("9b1f03aa5c7e2d41"), doArgs("9b1f03aa5c7e2d42")} {
+		got := s.received()[k]
 		require.Len(t, got, len(sent))
 		assert.Regexp(t, strings.ReplaceAll(strings.ReplaceAll(sent[3], "d=4000", `d=[1-9]\d*`), "d=6000", `d=[1-9]\d*`), got[3])
 		got[3] = sent[3]
@@ -46,49 +46,49 @@
 		if args[2] == "01" {
 			<-release
 		}
-		value(args[2])(conn, args)
+		replyValue(args[2])(conn, args)
 	})
-	c := start(t, world{servers: []*server{s}}).dial()
-	c.write(command(ask("01")...) + command(ask("02")...) + command("PING"))
-	require.Eventually(t, func() bool { return len(s.seen()) == 2 }, patience, time.Millisecond)
+	c := start(t, fixture{servers: []*server{s}}).dial()
+	c.write(encodeCommand(askArgs("01")...) + encodeCommand(askArgs("02")...) + encodeCommand("PING"))
+	require.Eventually(t, func() bool { return len(s.received()) == 2 }, testTimeout, time.Millisecond)
 	close(release)
-	assert.Equal(t, []string{"01", "02", "+PONG"}, []string{c.answer(), c.answer(), c.answer()})
+	assert.Equal(t, []string{"01", "02", "+PONG"}, []string{c.readReply(), c.readReply(), c.readReply()})
 }
 
 func TestBadCommands(t *testing.T) {
 	t.Parallel()
 	const terms = "c=balance-read,t=regular,d=400"
-	l := start(t, world{servers: []*server{newServer(t, "s-1", "hall-a", value("v"))}})
+	l := start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}})
 	for name, text := range map[string]string{
-		"class":    command("Q.ASK", firm, "01", "c=nothing,t=regular,d=400"),
-		"plan":     command("Q.ASK", firm, "01", "c=balance-read,t=nothing,d=400"),
-		"wait":     command("Q.ASK", firm, "01", "c=balance-read,t=regular,d=soon"),
-		"no wait":  command("Q.ASK", firm, "01", "c=balance-read,t=regular"),
-		"customer": command("Q.ASK", "a firm", "01", "c=balance-read,t=regular,d=400"),
-		"units":    command("Q.ASK", firm, "01", "c=balance-read,t=regular,d=400,units=nan"),
-		"verb":     command("Q.ASK", firm, "01", "c=transfer-post,t=regular,d=400"),
-		"short":    command("Q.ASK", firm),
-		"no id":    command("Q.ASK", firm, "", terms),
-		"long id":  command("Q.ASK", firm, strings.Repeat("0", 65), terms),
-		"digits":   command("Q.ASK", "b4d65521", "01", terms),
-		"firm":     command("Q.ASK", "0000000200000000", "01", terms),
-		"body":     command("Q.ASK", firm, "01", terms, "BODY"),
-		"forever":  command("Q.ASK", firm, "01", "c=balance-read,t=regular,d=inf"),
-		"none":     command("Q.ASK", firm, "01", terms+",units=0"),
-		"many":     command("Q.ASK", firm, "01", terms+",units=1.5"),
-		"no set":   command("Q.ASK", firm, "01", terms+",spread=0"),
-		"wide set": command("Q.ASK", firm, "01", terms+",spread=2"),
-		"far set":  command("Q.ASK", firm, "01", terms+",first=-1"),
-		"twice":    command("Q.ASK", firm, "01", terms+",c=balance-read"),
-		"no key":   command("Q.DO", firm, "01", "c=transfer-post,t=regular,d=400", "BODY"),
-		"unknown":  command("FLUSHALL"),
+		"class":    encodeCommand("Q.ASK", firm, "01", "c=nothing,t=regular,d=400"),
+		"plan":     encodeCommand("Q.ASK", firm, "01", "c=balance-read,t=nothing,d=400"),
+		"wait":     encodeCommand("Q.ASK", firm, "01", "c=balance-read,t=regular,d=soon"),
+		"no wait":  encodeCommand("Q.ASK", firm, "01", "c=balance-read,t=regular"),
+		"customer": encodeCommand("Q.ASK", "a firm", "01", "c=balance-read,t=regular,d=400"),
+		"units":    encodeCommand("Q.ASK", firm, "01", "c=balance-read,t=regular,d=400,units=nan"),
+		"verb":     encodeCommand("Q.ASK", firm, "01", "c=transfer-post,t=regular,d=400"),
+		"short":    encodeCommand("Q.ASK", firm),
+		"no id":    encodeCommand("Q.ASK", firm, "", terms),
+		"long id":  encodeCommand("Q.ASK", firm, strings.Repeat("0", 65), terms),
+		"digits":   encodeCommand("Q.ASK", "b4d65521", "01", terms),
+		"firm":     encodeCommand("Q.ASK", "0000000200000000", "01", terms),
+		"body":     encodeCommand("Q.ASK", firm, "01", terms, "BODY"),
+		"forever":  encodeCommand("Q.ASK", firm, "01", "c=balance-read,t=regular,d=inf"),
+		"none":     encodeCommand("Q.ASK", firm, "01", terms+",units=0"),
+		"many":     encodeCommand("Q.ASK", firm, "01", terms+",units=1.5"),
+		"no set":   encodeCommand("Q.ASK", firm, "01", terms+",spread=0"),
+		"wide set": encodeCommand("Q.ASK", firm, "01", terms+",spread=2"),
+		"far set":  encodeCommand("Q.ASK", firm, "01", terms+",first=-1"),
+		"twice":    encodeCommand("Q.ASK", firm, "01", terms+",c=balance-read"),
+		"no key":   encodeCommand("Q.DO", firm, "01", "c=transfer-post,t=regular,d=400", "BODY"),
+		"unknown":  encodeCommand("FLUSHALL"),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := l.dial()
 			c.write(text)
-			assert.Regexp(t, "^-ERR ", c.answer())
-			assert.Equal(t, "v", c.do(ask(fmt.Sprintf("%x", name))...), "the connection goes on")
+			assert.Regexp(t, "^-ERR ", c.readReply())
+			assert.Equal(t, "v", c.do(askArgs(fmt.Sprintf("%x", name))...), "the connection goes on")
 		})
 	}
 	for name, text := range map[string]string{
@@ -102,10 +102,10 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := l.dial()
-			c.write(command("PING") + text)
-			assert.Equal(t, "+PONG", c.answer())
-			assert.Regexp(t, "^-ERR ", c.answer())
-			c.ended()
+			c.write(encodeCommand("PING") + text)
+			assert.Equal(t, "+PONG", c.readReply())
+			assert.Regexp(t, "^-ERR ", c.readReply())
+			c.expectClosed()
 		})
 	}
 }
@@ -116,34 +116,34 @@
 	release := make(chan struct{})
 	s := newServer(t, "s-1", "hall-a", func(conn net.Conn, args []string) {
 		<-release
-		value("v")(conn, args)
+		replyValue("v")(conn, args)
 	})
-	l := start(t, world{servers: []*server{s}})
+	l := start(t, fixture{servers: []*server{s}})
 	first, second := l.dial(), l.dial()
-	first.write(command(ask("01")...))
-	require.Eventually(t, func() bool { return len(s.seen()) == 1 }, patience, time.Millisecond)
-	assert.Regexp(t, "^-ERR ", second.do(ask("01")...))
+	first.write(encodeCommand(askArgs("01")...))
+	require.Eventually(t, func() bool { return len(s.received()) == 1 }, testTimeout, time.Millisecond)
+	assert.Regexp(t, "^-ERR ", second.do(askArgs("01")...))
 	close(release)
-	assert.Equal(t, "v", first.answer())
-	assert.Equal(t, "v", second.do(ask("01")...), "it is open no longer")
+	assert.Equal(t, "v", first.readReply())
+	assert.Equal(t, "v", second.do(askArgs("01")...), "it is open no longer")
 }
 
 // Whoever says nothing, or half a command, or nothing that can be read behind what waits, is not kept.
 func TestConnectionsThatBringNothingEnd(t *testing.T) {
 	t.Parallel()
 	s := newServer(t, "s-1", "hall-a", func(net.Conn, []string) {})
-	l := start(t, world{servers: []*server{s}})
+	l := start(t, fixture{servers: []*server{s}})
 	silent, half, noise := l.dial(), l.dial(), l.dial()
-	half.write(command("PING") + command(ask("01")...)[:20])
-	noise.write(command(post("02")...) + "noise\r\n")
-	silent.ended()
-	assert.Equal(t, "+PONG", half.answer())
-	assert.Regexp(t, "^-ERR ", half.answer())
-	half.ended()
-	assert.Equal(t, "-ERR failed", noise.answer())
-	assert.Equal(t, "-ERR Protocol error", noise.answer())
-	noise.ended()
-	await(t, s.left, "the try's connection to close")
+	half.write(encodeCommand("PING") + encodeCommand(askArgs("01")...)[:20])
+	noise.write(encodeCommand(doArgs("02")...) + "noise\r\n")
+	silent.expectClosed()
+	assert.Equal(t, "+PONG", half.readReply())
+	assert.Regexp(t, "^-ERR ", half.readReply())
+	half.expectClosed()
+	assert.Equal(t, "-ERR failed", noise.readReply())
+	assert.Equal(t, "-ERR Protocol error", noise.readReply())
+	noise.expectClosed()
+	await(t, s.disconnected, "the try's connection to close")
 }
 
 // A firm may send on its burst; beyond it the answer is a refusal with a time to come back, at once: no timer of
@@ -152,11 +152,11 @@
 	t.Parallel()
 	set := settings()
 	set["tariffs"] = []object{plan("regular", 0.01, 20, 0)}
-	s := newServer(t, "s-1", "hall-a", value("v"))
-	c := start(t, world{settings: set, servers: []*server{s}}).dial()
+	s := newServer(t, "s-1", "hall-a", replyValue("v"))
+	c := start(t, fixture{settings: set, servers: []*server{s}}).dial()
 	served := 0
 	for k := range 50 {
-		answer := c.do(ask(fmt.Sprintf("%02x", k))...)
+		answer := c.do(askArgs(fmt.Sprintf("%02x", k))...)
 		if answer == "v" {
 			served++
 			continue
@@ -164,7 +164,7 @@
 		assert.Regexp(t, `^-BUSY [1-9]\d*$`, answer)
 	}
 	assert.Equal(t, 20, served)
-	assert.Len(t, s.seen(), 20)
+	assert.Len(t, s.received(), 20)
 }
 
 // Of a firm that asks for more than its quota and for requests of both kinds, what is worth less does not take the last units.
@@ -172,14 +172,14 @@
 	t.Parallel()
 	set := settings()
 	set["tariffs"] = []object{plan("regular", 0.01, 20, 0)}
-	s := newServer(t, "s-1", "hall-a", value("v"))
-	c := start(t, world{settings: set, servers: []*server{s}}).dial()
-	assert.Equal(t, "v", c.do(post("fe")...))
+	s := newServer(t, "s-1", "hall-a", replyValue("v"))
+	c := start(t, fixture{settings: set, servers: []*server{s}}).dial()
+	assert.Equal(t, "v", c.do(doArgs("fe")...))
 	for k := range 50 {
-		c.do(ask(fmt.Sprintf("%02x", k))...)
+		c.do(askArgs(fmt.Sprintf("%02x", k))...)
 	}
-	require.Less(t, len(s.seen()), 20, "units are left")
-	assert.Equal(t, "v", c.do(post("ff")...))
+	require.Less(t, len(s.received()), 20, "units are left")
+	assert.Equal(t, "v", c.do(doArgs("ff")...))
 }
 
 // Clients' times differ by what they took on the way here. That must not be taken for time waited before a retry,
@@ -188,25 +188,25 @@
 	t.Parallel()
 	set := settings()
 	set["tariffs"] = []object{plan("regular", 10, 1, 0)}
-	c := start(t, world{settings: set, servers: []*server{newServer(t, "s-1", "hall-a", value("v"))}}).dial()
+	c := start(t, fixture{settings: set, servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}}).dial()
 	for k, wait := range []string{"d=2600", "d=2598", "d=2597", "d=2599"} {
-		args := post(fmt.Sprintf("%02x", k))
+		args := doArgs(fmt.Sprintf("%02x", k))
 		args[3] = strings.Replace(args[3], "d=6000", wait, 1)
-		c.write(command(args...))
+		c.write(encodeCommand(args...))
 	}
 	for range 4 {
-		assert.Equal(t, "v", c.answer(), "held for a moment, then served")
+		assert.Equal(t, "v", c.readReply(), "held for a moment, then served")
 	}
 }
 
 func TestAClientThatLeavesEndsItsTry(t *testing.T) {
 	t.Parallel()
 	s := newServer(t, "s-1", "hall-a", func(net.Conn, []string) {})
-	c := start(t, world{servers: []*server{s}}).dial()
-	c.write(command(ask("01")...))
-	require.Eventually(t, func() bool { return len(s.seen()) == 1 }, patience, time.Millisecond)
+	c := start(t, fixture{servers: []*server{s}}).dial()
+	c.write(encodeCommand(askArgs("01")...))
+	require.Eventually(t, func() bool { return len(s.received()) == 1 }, testTimeout, time.Millisecond)
 	require.NoError(t, c.conn.Close())
-	await(t, s.left, "the try's connection to close")
+	await(t, s.disconnected, "the try's connection to close")
 }
 
 func TestAPlannedRestartAnswersWhatIsHeld(t *testing.T) {
@@ -214,59 +214,59 @@
 	release := make(chan struct{})
 	s := newServer(t, "s-1", "hall-a", func(conn net.Conn, args []string) {
 		<-release
-		value("held")(conn, args)
+		replyValue("held")(conn, args)
 	})
-	l := start(t, world{servers: []*server{s}})
+	l := start(t, fixture{servers: []*server{s}})
 	c, idle := l.dial(), l.dial()
 	require.Equal(t, "+PONG", idle.do("PING"))
-	c.write(command(ask("01")...))
-	require.Eventually(t, func() bool { return len(s.seen()) == 1 }, patience, time.Millisecond)
+	c.write(encodeCommand(askArgs("01")...))
+	require.Eventually(t, func() bool { return len(s.received()) == 1 }, testTimeout, time.Millisecond)
 	l.terminate()
 	require.Equal(t, "+PONG", l.dial().do("PING"), "new connections keep coming for a moment")
-	idle.ended()
+	idle.expectClosed()
 	require.Eventually(t, func() bool {
 		conn, err := net.Dial("tcp", l.addr)
 		if err == nil {
 			_ = conn.Close()
 		}
 		return errors.Is(err, syscall.ECONNREFUSED)
-	}, patience, 10*time.Millisecond, "it stops listening")
+	}, testTimeout, 10*time.Millisecond, "it stops listening")
 	close(release)
-	assert.Equal(t, "held", c.answer())
-	c.ended()
-	l.leaves()
+	assert.Equal(t, "held", c.readReply())
+	c.expectClosed()
+	l.waitForCleanExit()
 }
 
 // A command that has come in part at a planned restart is not cut off: its connection is not idle.
 func TestAPlannedRestartWaitsForHalfACommand(t *testing.T) {
 	t.Parallel()
-	l := start(t, world{servers: []*server{newServer(t, "s-1", "hall-a", value("v"))}})
+	l := start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}})
 	c, idle := l.dial(), l.dial()
-	whole := command(ask("01")...)
+	whole := encodeCommand(askArgs("01")...)
 	require.Equal(t, "+PONG", c.do("PING"))
 	c.write(whole[:len(whole)/2])
 	require.Equal(t, "+PONG", idle.do("PING"))
 	l.terminate()
-	idle.ended() // from now on idle connections are closed
+	idle.expectClosed() // from now on idle connections are closed
 	c.write(whole[len(whole)/2:])
-	assert.Equal(t, "v", c.answer())
-	await(t, l.ended, "the program's end")
+	assert.Equal(t, "v", c.readReply())
+	await(t, l.exited, "the program's end")
 }
 
 // Values of 64 KiB pass whole in both directions, and a message without an end fills no memory.
 func TestLargeValues(t *testing.T) {
 	t.Parallel()
 	large := strings.Repeat("p", 64<<10)
-	s := newServer(t, "s-1", "hall-a", func(conn net.Conn, args []string) { value(args[4])(conn, args) })
-	l := start(t, world{servers: []*server{s}})
+	s := newServer(t, "s-1", "hall-a", func(conn net.Conn, args []string) { replyValue(args[4])(conn, args) })
+	l := start(t, fixture{servers: []*server{s}})
 	c := l.dial()
 	for k := range 20 {
-		args := post(fmt.Sprintf("%02x", k))
+		args := doArgs(fmt.Sprintf("%02x", k))
 		args[4] = large
 		require.Equal(t, large, c.do(args...))
 	}
 	c.write("*64\r\n" + strings.Repeat("$65536\r\n"+large+"\r\n", 2))
-	assert.Regexp(t, "^-ERR ", c.answer())
+	assert.Regexp(t, "^-ERR ", c.readReply())
 }
 
 // Past its share of the descriptors the limiter gives up the connections that are idle longest, never busy ones.
@@ -277,20 +277,20 @@
 		if args[2] == "01" {
 			<-release
 		}
-		value("v")(conn, args)
+		replyValue("v")(conn, args)
 	})
-	l := start(t, world{servers: []*server{s}}) // its cap is 128
+	l := start(t, fixture{servers: []*server{s}}) // its cap is 128
 	busy := l.dial()
-	busy.write(command(ask("01")...))
-	require.Eventually(t, func() bool { return len(s.seen()) == 1 }, patience, time.Millisecond)
+	busy.write(encodeCommand(askArgs("01")...))
+	require.Eventually(t, func() bool { return len(s.received()) == 1 }, testTimeout, time.Millisecond)
 	for k := range 200 {
-		require.Equal(t, "v", l.dial().do(ask(fmt.Sprintf("%04x", k+2))...))
+		require.Equal(t, "v", l.dial().do(askArgs(fmt.Sprintf("%04x", k+2))...))
 	}
 	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", l.cmd.Process.Pid))
 	require.NoError(t, err)
 	assert.LessOrEqual(t, len(open), 128)
 	close(release)
-	assert.Equal(t, "v", busy.answer())
+	assert.Equal(t, "v", busy.readReply())
 }
 
 // A client that writes and never reads loses its connection; everybody else is served meanwhile.
@@ -298,27 +298,27 @@
 func (l *limiter) clientConnections() int {
 	table, err := os.ReadFile("/proc/net/tcp")
 	require.NoError(l.t, err)
-	return len(regexp.MustCompile(`: `+inSocketTable(l.addr)+` [0-9A-F]{8}:[0-9A-F]{4} 01 `).FindAll(table, -1))
+	return len(regexp.MustCompile(`: `+procNetTCPAddress(l.addr)+` [0-9A-F]{8}:[0-9A-F]{4} 01 `).FindAll(table, -1))
 }
 
 func TestAClientThatNeverReadsStallsNobody(t *testing.T) {
 	t.Parallel()
 	large := strings.Repeat("p", 64<<10)
-	l := start(t, world{servers: []*server{newServer(t, "s-1", "hall-a", value(large))}})
+	l := start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue(large))}})
 	deaf, other := l.dial(), l.dial()
 	require.NoError(t, deaf.conn.(*net.TCPConn).SetReadBuffer(4<<10))
 	for k := range 400 {
-		if _, err := deaf.conn.Write([]byte(command(ask(fmt.Sprintf("%04x", k))...))); err != nil {
+		if _, err := deaf.conn.Write([]byte(encodeCommand(askArgs(fmt.Sprintf("%04x", k))...))); err != nil {
 			break // the limiter has given it up already
 		}
 		if k%20 == 0 {
-			got := other.do(ask(fmt.Sprintf("%08x", k))...)
+			got := other.do(askArgs(fmt.Sprintf("%08x", k))...)
 			require.True(t, got == large, "%.60q", got)
 		}
 	}
-	require.Equal(t, large, other.do(ask("ffffffff")...))
+	require.Equal(t, large, other.do(askArgs("ffffffff")...))
 	with := l.clientConnections()
-	assert.Eventually(t, func() bool { return l.clientConnections() < with }, patience, 10*time.Millisecond,
+	assert.Eventually(t, func() bool { return l.clientConnections() < with }, testTimeout, 10*time.Millisecond,
 		"the connection is given up, not kept with all that waits for it")
 }
 
@@ -326,11 +326,11 @@
 func TestAPlannedRestartAnswersWhatWillNotCome(t *testing.T) {
 	t.Parallel()
 	s := newServer(t, "s-1", "hall-a", func(net.Conn, []string) {})
-	l := start(t, world{servers: []*server{s}})
-	c := l.holding(s)
+	l := start(t, fixture{servers: []*server{s}})
+	c := l.holdRequest(s)
 	l.terminate()
-	assert.Equal(t, "-ERR failed", c.answer())
-	l.leaves()
+	assert.Equal(t, "-ERR failed", c.readReply())
+	l.waitForCleanExit()
 }
 
 // SIGHUP moves discovery and the counter while a request context is held, and a file that cannot be used changes
@@ -340,42 +340,42 @@
 	release := make(chan struct{})
 	a := newServer(t, "s-1", "hall-a", func(conn net.Conn, args []string) {
 		<-release
-		value("held")(conn, args)
+		replyValue("held")(conn, args)
 	})
-	b := newServer(t, "s-2", "hall-a", value("b"))
+	b := newServer(t, "s-2", "hall-a", replyValue("b"))
 	set := settings()
 	set["balancers"] = 8 // the counter is asked before a request goes
 	set["tariffs"] = []object{plan("regular", 1000, 4000, 0), plan("full", 100, 4, 0)}
-	w := world{settings: set, servers: []*server{a}, counter: newCounter(t), registry: newRegistry(t)}
+	w := fixture{settings: set, servers: []*server{a}, counter: newCounter(t), registry: newRegistry(t)}
 	l := start(t, w)
 	held, c := l.dial(), l.dial()
-	held.write(command(ask("01")...))
-	require.Eventually(t, func() bool { return len(a.seen()) == 1 }, patience, time.Millisecond)
+	held.write(encodeCommand(askArgs("01")...))
+	require.Eventually(t, func() bool { return len(a.received()) == 1 }, testTimeout, time.Millisecond)
 
-	next := world{settings: set, servers: w.servers, counter: newCounter(t), registry: newRegistry(t)}
+	next := fixture{settings: set, servers: w.servers, counter: newCounter(t), registry: newRegistry(t)}
 	good, err := json.Marshal(next.config(t))
 	require.NoError(t, err)
 	for _, bad := range []string{"", string(good[:len(good)/2]), `{"discovery":"127.0.0.1:1"}`} {
 		l.reload([]byte(bad), "the old one is kept")
 	}
 	a.state = "draining"
-	w.registry.tell(2, true, a, b)
-	require.Eventually(t, func() bool { return c.do(ask("02")...) == "b" }, patience, time.Millisecond, "the old discovery is heard")
+	w.registry.sendList(2, true, a, b)
+	require.Eventually(t, func() bool { return c.do(askArgs("02")...) == "b" }, testTimeout, time.Millisecond, "the old discovery is heard")
 
 	l.reload(good, "read the configuration anew")
 	a.state, b.state = "ready", "gone"
-	next.registry.tell(3, true, a)
+	next.registry.sendList(3, true, a)
 	close(release)
-	assert.Equal(t, "held", held.answer())
-	require.Eventually(t, func() bool { return c.do(ask("03")...) == "held" }, patience, time.Millisecond, "the new discovery is heard")
-	counted := ask("04")
+	assert.Equal(t, "held", held.readReply())
+	require.Eventually(t, func() bool { return c.do(askArgs("03")...) == "held" }, testTimeout, time.Millisecond, "the new discovery is heard")
+	counted := askArgs("04")
 	counted[1] = "00000000b4d65522" // a firm is counted by what its first request says of it
 	counted[3] = strings.Replace(strings.Replace(counted[3], "spread=1", "spread=8", 1), "regular", "full", 1)
 	require.Eventually(t, func() bool {
 		c.do(counted...)
-		calls, _ := next.counter.made()
+		calls, _ := next.counter.callsAndConns()
 		return calls > 0
-	}, patience, time.Millisecond, "the new counter is asked")
+	}, testTimeout, time.Millisecond, "the new counter is asked")
 }
 
 // A configuration read again at SIGHUP in which one value is absent, of another type, zero, negative or huge is refused with
@@ -385,7 +385,7 @@
 	set := settings()
 	set["classes"] = set["classes"].([]object)[:1]
 	set["tariffs"] = set["tariffs"].([]object)[:1]
-	w := world{settings: set, servers: []*server{newServer(t, "s-1", "hall-a", value("v"))}, counter: newCounter(t), registry: newRegistry(t)}
+	w := fixture{settings: set, servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}, counter: newCounter(t), registry: newRegistry(t)}
 	l := start(t, w)
 	good, err := json.Marshal(w.config(t))
 	require.NoError(t, err)
@@ -399,14 +399,14 @@
 		before := read()
 		require.NoError(t, os.WriteFile(l.path, raw, 0o600))
 		require.NoError(t, l.cmd.Process.Signal(syscall.SIGHUP))
-		require.Eventually(t, func() bool { return read() > before }, patience, time.Millisecond, what)
-		require.NotEmpty(t, c.do(ask(fmt.Sprintf("%08x", mutants))...), what)
+		require.Eventually(t, func() bool { return read() > before }, testTimeout, time.Millisecond, what)
+		require.NotEmpty(t, c.do(askArgs(fmt.Sprintf("%08x", mutants))...), what)
 	}
 	require.Greater(t, mutants, 600)
 	require.Positive(t, strings.Count(l.log.String(), refused))
 	require.Positive(t, strings.Count(l.log.String(), taken))
 	l.reload(good, taken)
-	require.Eventually(t, func() bool { mutants++; return c.do(ask(fmt.Sprintf("%08x", mutants))...) == "v" }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { mutants++; return c.do(askArgs(fmt.Sprintf("%08x", mutants))...) == "v" }, testTimeout, time.Millisecond)
 }
 
 func TestBadConfigurationEndsWithOneLine(t *testing.T) {
@@ -415,20 +415,20 @@
 	delete(set, "rules")
 	none, million := settings(), settings()
 	none["balancers"], million["balancers"] = 0, 1000000
-	good := object{"listen": anyPort(t), "settings": settings()}
+	good := object{"listen": reserveAddress(t), "settings": settings()}
 	for name, c := range map[string]struct {
 		config any
 		second any
 	}{
 		"no object":       {config: 7},
-		"no settings":     {config: object{"listen": anyPort(t)}},
-		"a setting short": {config: object{"listen": anyPort(t), "settings": set}},
-		"a fleet of none": {config: object{"listen": anyPort(t), "settings": none}},
-		"a million":       {config: object{"listen": anyPort(t), "settings": million}},
+		"no settings":     {config: object{"listen": reserveAddress(t)}},
+		"a setting short": {config: object{"listen": reserveAddress(t), "settings": set}},
+		"a fleet of none": {config: object{"listen": reserveAddress(t), "settings": none}},
+		"a million":       {config: object{"listen": reserveAddress(t), "settings": million}},
 		"no address":      {config: object{"settings": settings()}},
-		"seed":            {config: object{"listen": anyPort(t), "settings": settings(), "seed": "x"}},
-		"second front":    {config: good, second: object{"listne": anyPort(t)}},
-		"no cluster":      {config: good, second: object{"listen": anyPort(t), "others": object{"clusters": "none.json"}}},
+		"seed":            {config: object{"listen": reserveAddress(t), "settings": settings(), "seed": "x"}},
+		"second front":    {config: good, second: object{"listne": reserveAddress(t)}},
+		"no cluster":      {config: good, second: object{"listen": reserveAddress(t), "others": object{"clusters": "none.json"}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -448,9 +448,9 @@
 func TestASmallShareOfACoreLeavesTimeForTheAnswer(t *testing.T) {
 	t.Parallel()
 	for cores, most := range map[float64]int{1: 5992, 0.1: 5974} { // of 6000 ms, of which the module keeps 6
-		s := newServer(t, "s-1", "hall-a", value("v"))
-		require.Equal(t, "v", start(t, world{cores: cores, servers: []*server{s}}).dial().do(post("01")...))
-		wait := regexp.MustCompile(`d=(\d+)`).FindStringSubmatch(s.seen()[0][3])
+		s := newServer(t, "s-1", "hall-a", replyValue("v"))
+		require.Equal(t, "v", start(t, fixture{cores: cores, servers: []*server{s}}).dial().do(doArgs("01")...))
+		wait := regexp.MustCompile(`d=(\d+)`).FindStringSubmatch(s.received()[0][3])
 		ms, err := strconv.Atoi(wait[1])
 		require.NoError(t, err)
 		assert.LessOrEqual(t, ms, most)
--- a/cmd/bramblefall/ratelimit_test.go
+++ b/cmd/bramblefall/ratelimit_test.go
@@ -25,8 +25,8 @@
 )
 
 const (
-	within = rlsv3.RateLimitResponse_OK
-	over   = rlsv3.RateLimitResponse_OVER_LIMIT
+	verdictOK = rlsv3.RateLimitResponse_OK
+	verdictOverLimit   = rlsv3.RateLimitResponse_OVER_LIMIT
 )
 
 func descriptor(pairs ...string) *entriesv3.RateLimitDescriptor {
@@ -37,29 +37,29 @@
 	return d
 }
 
-func of(firm string) *entriesv3.RateLimitDescriptor {
+func firmDescriptor(firm string) *entriesv3.RateLimitDescriptor {
 	return descriptor("firm", firm, "tier", "regular", "class", "balance-read", "spread", "1", "first", "0")
 }
 
-func call(all ...*entriesv3.RateLimitDescriptor) *rlsv3.RateLimitRequest {
+func rateLimitRequest(all ...*entriesv3.RateLimitDescriptor) *rlsv3.RateLimitRequest {
 	return &rlsv3.RateLimitRequest{Domain: "depots", Descriptors: all}
 }
 
 // second writes the file that switches the front on; others are the addresses of another service's endpoints.
-func second(t *testing.T, others ...string) string {
-	file := object{"listen": anyPort(t), "domain": "depots"}
+func writeRateLimitFile(t *testing.T, endpoints ...string) string {
+	file := object{"listen": reserveAddress(t), "domain": "depots"}
 	dir := t.TempDir()
-	if len(others) > 0 {
+	if len(endpoints) > 0 {
 		file["others"] = object{"cluster": "limits", "clusters": "cds.json", "endpoints": "eds.json"}
 		writeJSON(t, filepath.Join(dir, "cds.json"), object{"resources": []object{{
 			"@type": "type.googleapis.com/envoy.config.cluster.v3.Cluster", "name": "limits", "type": "EDS"}}})
-		writeEndpoints(t, dir, 0, others...)
+		writeEndpoints(t, dir, 0, endpoints...)
 	}
 	return writeJSON(t, filepath.Join(dir, "ratelimit.json"), file)
 }
 
 // locality is endpoints of a zone, of which the first ones drain.
-func locality(t *testing.T, zone string, priority, drain int, addrs ...string) object {
+func locality(t *testing.T, zone string, priority, draining int, addrs ...string) object {
 	all := []object{}
 	for k, addr := range addrs {
 		host, port, err := net.SplitHostPort(addr)
@@ -67,7 +67,7 @@
 		n, err := strconv.Atoi(port)
 		require.NoError(t, err)
 		e := object{"endpoint": object{"address": object{"socket_address": object{"address": host, "port_value": n}}}}
-		if k < drain {
+		if k < draining {
 			e["health_status"] = "DRAINING"
 		}
 		all = append(all, e)
@@ -82,59 +82,59 @@
 }
 
 // writeEndpoints names endpoints, of which the first so many drain.
-func writeEndpoints(t *testing.T, dir string, drain int, addrs ...string) {
-	writeAssignments(t, dir, assignment("limits", locality(t, "hall-a", 0, drain, addrs...)))
+func writeEndpoints(t *testing.T, dir string, draining int, addrs ...string) {
+	writeAssignments(t, dir, assignment("limits", locality(t, "hall-a", 0, draining, addrs...)))
 }
 
 func writeAssignments(t *testing.T, dir string, all ...object) {
 	writeJSON(t, filepath.Join(dir, "eds.json"), object{"resources": all})
 }
 
-func (l *limiter) service() rlsv3.RateLimitServiceClient {
+func (l *limiter) rateLimitClient() rlsv3.RateLimitServiceClient {
 	conn, err := grpc.NewClient(l.grpcAddr, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	require.NoError(l.t, err)
 	l.t.Cleanup(func() { _ = conn.Close() })
 	return rlsv3.NewRateLimitServiceClient(conn)
 }
 
-func inTime(t *testing.T) context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func testContext(t *testing.T) context.Context {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
 
 // others is a stand-in for a rate limit service of somebody else.
-type others struct {
+type externalService struct {
 	rlsv3.UnimplementedRateLimitServiceServer
-	answer func(context.Context, *rlsv3.RateLimitRequest) (*rlsv3.RateLimitResponse, error)
+	respond func(context.Context, *rlsv3.RateLimitRequest) (*rlsv3.RateLimitResponse, error)
 
 	mu   sync.Mutex
-	seen []*rlsv3.RateLimitRequest
+	received []*rlsv3.RateLimitRequest
 }
 
-func (o *others) ShouldRateLimit(ctx context.Context, r *rlsv3.RateLimitRequest) (*rlsv3.RateLimitResponse, error) {
+func (o *externalService) ShouldRateLimit(ctx context.Context, r *rlsv3.RateLimitRequest) (*rlsv3.RateLimitResponse, error) {
 	o.mu.Lock()
-	o.seen = append(o.seen, r)
+	o.received = append(o.received, r)
 	o.mu.Unlock()
-	return o.answer(ctx, r)
+	return o.respond(ctx, r)
 }
 
-func (o *others) calls() int {
+func (o *externalService) calls() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return len(o.seen)
+	return len(o.received)
 }
 
-func verdictOf(code rlsv3.RateLimitResponse_Code) func(context.Context, *rlsv3.RateLimitRequest) (*rlsv3.RateLimitResponse, error) {
+func respondWith(code rlsv3.RateLimitResponse_Code) func(context.Context, *rlsv3.RateLimitRequest) (*rlsv3.RateLimitResponse, error) {
 	return func(context.Context, *rlsv3.RateLimitRequest) (*rlsv3.RateLimitResponse, error) {
 		return &rlsv3.RateLimitResponse{OverallCode: code}, nil
 	}
 }
 
-func (o *others) listen(t *testing.T) string { return o.listenOn(t, 1)[0] }
+func (o *externalService) listen(t *testing.T) string { return o.listenOn(t, 1)[0] }
 
 // listenOn serves at so many addresses.
-func (o *others) listenOn(t *testing.T, n int) (addrs []string) {
+func (o *externalService) listenOn(t *testing.T, n int) (addrs []string) {
 	s := grpc.NewServer()
 	rlsv3.RegisterRateLimitServiceServer(s, o)
 	t.Cleanup(s.Stop)
@@ -147,7 +147,7 @@
 	return addrs
 }
 
-func smallQuota(burst float64) object {
+func settingsWithBurst(burst float64) object {
 	set := settings()
 	set["tariffs"] = []object{plan("regular", 0.01, burst, 0), plan("full", 0.01, 60, 40)}
 	return set
@@ -155,21 +155,21 @@
 
 func TestVerdictsOfTheQuota(t *testing.T) {
 	t.Parallel()
-	s := start(t, world{settings: smallQuota(10), second: second(t)}).service()
-	answer, err := s.ShouldRateLimit(inTime(t), call(of("a1")))
+	s := start(t, fixture{settings: settingsWithBurst(10), rateLimitFile: writeRateLimitFile(t)}).rateLimitClient()
+	answer, err := s.ShouldRateLimit(testContext(t), rateLimitRequest(firmDescriptor("a1")))
 	require.NoError(t, err)
-	assert.Equal(t, within, answer.OverallCode)
+	assert.Equal(t, verdictOK, answer.OverallCode)
 	assert.Equal(t, "regular", answer.Statuses[0].CurrentLimit.Name)
 
-	many := call(of("a1"))
+	many := rateLimitRequest(firmDescriptor("a1"))
 	many.HitsAddend = 9
-	answer, err = s.ShouldRateLimit(inTime(t), many)
+	answer, err = s.ShouldRateLimit(testContext(t), many)
 	require.NoError(t, err)
-	assert.Equal(t, within, answer.OverallCode, "hits_addend is units: 1 + 9 of 10 are taken")
+	assert.Equal(t, verdictOK, answer.OverallCode, "hits_addend is units: 1 + 9 of 10 are taken")
 
-	answer, err = s.ShouldRateLimit(inTime(t), call(of("a1")))
+	answer, err = s.ShouldRateLimit(testContext(t), rateLimitRequest(firmDescriptor("a1")))
 	require.NoError(t, err)
-	assert.Equal(t, over, answer.OverallCode)
+	assert.Equal(t, verdictOverLimit, answer.OverallCode)
 	assert.Positive(t, answer.Statuses[0].DurationUntilReset.AsDuration())
 	require.Len(t, answer.ResponseHeadersToAdd, 1)
 	assert.Equal(t, "retry-after", answer.ResponseHeadersToAdd[0].Key)
@@ -179,80 +179,80 @@
 // Several descriptors each count by themselves; the call is over limit if one of them is.
 func TestSeveralDescriptors(t *testing.T) {
 	t.Parallel()
-	s := start(t, world{settings: smallQuota(2), second: second(t)}).service()
-	own := of("a2")
+	s := start(t, fixture{settings: settingsWithBurst(2), rateLimitFile: writeRateLimitFile(t)}).rateLimitClient()
+	own := firmDescriptor("a2")
 	own.HitsAddend = wrapperspb.UInt64(2)
-	answer, err := s.ShouldRateLimit(inTime(t), call(of("a1"), own))
+	answer, err := s.ShouldRateLimit(testContext(t), rateLimitRequest(firmDescriptor("a1"), own))
 	require.NoError(t, err)
-	assert.Equal(t, within, answer.OverallCode)
-	answer, err = s.ShouldRateLimit(inTime(t), call(of("a1"), of("a2")))
+	assert.Equal(t, verdictOK, answer.OverallCode)
+	answer, err = s.ShouldRateLimit(testContext(t), rateLimitRequest(firmDescriptor("a1"), firmDescriptor("a2")))
 	require.NoError(t, err)
-	assert.Equal(t, over, answer.OverallCode)
-	assert.Equal(t, within, answer.Statuses[0].Code)
-	assert.Equal(t, over, answer.Statuses[1].Code)
-	answer, err = s.ShouldRateLimit(inTime(t), call(of("a1")))
+	assert.Equal(t, verdictOverLimit, answer.OverallCode)
+	assert.Equal(t, verdictOK, answer.Statuses[0].Code)
+	assert.Equal(t, verdictOverLimit, answer.Statuses[1].Code)
+	answer, err = s.ShouldRateLimit(testContext(t), rateLimitRequest(firmDescriptor("a1")))
 	require.NoError(t, err)
-	assert.Equal(t, over, answer.OverallCode, "a1 has taken its second unit, though the call was over limit")
+	assert.Equal(t, verdictOverLimit, answer.OverallCode, "a1 has taken its second unit, though the call was over limit")
 }
 
 func TestBadDescriptors(t *testing.T) {
 	t.Parallel()
-	limited, given := of("a1"), of("a1")
+	limited, given := firmDescriptor("a1"), firmDescriptor("a1")
 	limited.Limit = &entriesv3.RateLimitDescriptor_RateLimitOverride{RequestsPerUnit: 1}
 	given.IsNegativeHits = true
 	crowd := make([]*entriesv3.RateLimitDescriptor, 17)
 	for k := range crowd {
-		crowd[k] = of("a1")
+		crowd[k] = firmDescriptor("a1")
 	}
-	huge := call(of("a1"))
+	huge := rateLimitRequest(firmDescriptor("a1"))
 	huge.HitsAddend = 4e9
-	s := start(t, world{second: second(t)}).service()
+	s := start(t, fixture{rateLimitFile: writeRateLimitFile(t)}).rateLimitClient()
 	for name, r := range map[string]*rlsv3.RateLimitRequest{
-		"none": call(), "too many": call(crowd...), "override": call(limited), "given back": call(given), "huge": huge,
-		"domain": {Domain: "elsewhere", Descriptors: []*entriesv3.RateLimitDescriptor{of("a1")}},
-		"firm":   call(descriptor("tier", "regular", "class", "balance-read")),
-		"tier":   call(descriptor("firm", "a1", "tier", "gold", "class", "balance-read")),
-		"class":  call(descriptor("firm", "a1", "tier", "regular")),
-		"spread": call(descriptor("firm", "a1", "tier", "regular", "class", "balance-read", "spread", "-2")),
-		"twice":  call(descriptor("firm", "a1", "firm", "a2", "tier", "regular", "class", "balance-read")),
-		"second": call(of("a1"), descriptor("firm", "a1")),
+		"none": rateLimitRequest(), "too many": rateLimitRequest(crowd...), "override": rateLimitRequest(limited), "given back": rateLimitRequest(given), "huge": huge,
+		"domain": {Domain: "elsewhere", Descriptors: []*entriesv3.RateLimitDescriptor{firmDescriptor("a1")}},
+		"firm":   rateLimitRequest(descriptor("tier", "regular", "class", "balance-read")),
+		"tier":   rateLimitRequest(descriptor("firm", "a1", "tier", "gold", "class", "balance-read")),
+		"class":  rateLimitRequest(descriptor("firm", "a1", "tier", "regular")),
+		"spread": rateLimitRequest(descriptor("firm", "a1", "tier", "regular", "class", "balance-read", "spread", "-2")),
+		"twice":  rateLimitRequest(descriptor("firm", "a1", "firm", "a2", "tier", "regular", "class", "balance-read")),
+		"second": rateLimitRequest(firmDescriptor("a1"), descriptor("firm", "a1")),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			_, err := s.ShouldRateLimit(inTime(t), r)
+			_, err := s.ShouldRateLimit(testContext(t), r)
 			assert.Equal(t, codes.InvalidArgument, status.Code(err), "%v", err)
 		})
 	}
-	answer, err := s.ShouldRateLimit(inTime(t), call(of("a1")))
+	answer, err := s.ShouldRateLimit(testContext(t), rateLimitRequest(firmDescriptor("a1")))
 	require.NoError(t, err)
-	assert.Equal(t, within, answer.OverallCode)
+	assert.Equal(t, verdictOK, answer.OverallCode)
 }
 
 // With a service of others, its word is the verdict; the quota is held before it, and the platform's servers
 // never see such a call.
 func TestAServiceOfOthersHasTheLastWord(t *testing.T) {
 	t.Parallel()
-	node := newServer(t, "s-1", "hall-a", value("v"))
-	o := &others{answer: verdictOf(over)}
-	w := world{settings: smallQuota(3), servers: []*server{node}, second: second(t, o.listen(t))}
+	node := newServer(t, "s-1", "hall-a", replyValue("v"))
+	o := &externalService{respond: respondWith(verdictOverLimit)}
+	w := fixture{settings: settingsWithBurst(3), servers: []*server{node}, rateLimitFile: writeRateLimitFile(t, o.listen(t))}
 	l := start(t, w)
-	s := l.service()
+	s := l.rateLimitClient()
 	for k := range 5 {
 		o.mu.Lock()
 		if k == 2 {
-			o.answer = verdictOf(within)
+			o.respond = respondWith(verdictOK)
 		}
 		o.mu.Unlock()
-		answer, err := s.ShouldRateLimit(inTime(t), call(of(firm)))
+		answer, err := s.ShouldRateLimit(testContext(t), rateLimitRequest(firmDescriptor(firm)))
 		require.NoError(t, err)
-		assert.Equal(t, k != 2, answer.OverallCode == over)
+		assert.Equal(t, k != 2, answer.OverallCode == verdictOverLimit)
 	}
 	assert.Equal(t, 3, o.calls(), "beyond the quota nothing is sent on")
-	assert.Equal(t, "depots", o.seen[0].Domain)
-	assert.Equal(t, firm, o.seen[0].Descriptors[0].Entries[0].Value)
-	assert.Regexp(t, "^-BUSY", l.dial().do(ask("01")...), "the same firm's quota on the other path")
-	assert.Empty(t, node.seen(), "groups never mix")
-	args := ask("02")
+	assert.Equal(t, "depots", o.received[0].Domain)
+	assert.Equal(t, firm, o.received[0].Descriptors[0].Entries[0].Value)
+	assert.Regexp(t, "^-BUSY", l.dial().do(askArgs("01")...), "the same firm's quota on the other path")
+	assert.Empty(t, node.received(), "groups never mix")
+	args := askArgs("02")
 	args[1] = "00000000000000ff"
 	assert.Equal(t, "v", l.dial().do(args...))
 	assert.Equal(t, 3, o.calls(), "groups never mix")
@@ -263,20 +263,20 @@
 func TestFurtherTriesTakeNoUnits(t *testing.T) {
 	t.Parallel()
 	fails := 0
-	o := &others{}
-	o.answer = func(ctx context.Context, r *rlsv3.RateLimitRequest) (*rlsv3.RateLimitResponse, error) {
+	o := &externalService{}
+	o.respond = func(ctx context.Context, r *rlsv3.RateLimitRequest) (*rlsv3.RateLimitResponse, error) {
 		o.mu.Lock()
 		defer o.mu.Unlock()
 		if fails++; fails%2 == 1 {
 			return nil, status.Error(codes.Internal, "the first try of each")
 		}
-		return verdictOf(within)(ctx, r)
+		return respondWith(verdictOK)(ctx, r)
 	}
-	s := start(t, world{settings: smallQuota(6), second: second(t, o.listen(t), refusing(t))}).service()
+	s := start(t, fixture{settings: settingsWithBurst(6), rateLimitFile: writeRateLimitFile(t, o.listen(t), refusingAddress(t))}).rateLimitClient()
 	for k := range 8 {
-		answer, err := s.ShouldRateLimit(inTime(t), call(of("a1")))
+		answer, err := s.ShouldRateLimit(testContext(t), rateLimitRequest(firmDescriptor("a1")))
 		require.NoError(t, err)
-		assert.Equal(t, k >= 6, answer.OverallCode == over, k)
+		assert.Equal(t, k >= 6, answer.OverallCode == verdictOverLimit, k)
 	}
 	assert.Equal(t, 12, o.calls())
 }
@@ -285,19 +285,19 @@
 // client's late retry: such a one only gets what is left over.
 func TestAShortDeadlineIsNoLateRetry(t *testing.T) {
 	t.Parallel()
-	l := start(t, world{servers: []*server{newServer(t, "s-1", "hall-a", value("v"))}, second: second(t)})
-	c, s := l.dial(), l.service()
-	require.Equal(t, "v", c.do(post("01")...))
+	l := start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}, rateLimitFile: writeRateLimitFile(t)})
+	c, s := l.dial(), l.rateLimitClient()
+	require.Equal(t, "v", c.do(doArgs("01")...))
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	short := descriptor("firm", "a1", "tier", "regular", "class", "transfer-post")
-	answer, err := s.ShouldRateLimit(ctx, call(short))
+	answer, err := s.ShouldRateLimit(ctx, rateLimitRequest(short))
 	require.NoError(t, err)
-	assert.Equal(t, within, answer.OverallCode)
-	args := post("02") // nor may a caller's long wait make the platform's clients look late
+	assert.Equal(t, verdictOK, answer.OverallCode)
+	args := doArgs("02") // nor may a caller's long wait make the platform's clients look late
 	args[3] = strings.Replace(args[3], "d=6000", "d=2000", 1)
-	l = start(t, world{servers: []*server{newServer(t, "s-1", "hall-a", value("v"))}, second: second(t)})
-	_, err = l.service().ShouldRateLimit(inTime(t), call(short))
+	l = start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}, rateLimitFile: writeRateLimitFile(t)})
+	_, err = l.rateLimitClient().ShouldRateLimit(testContext(t), rateLimitRequest(short))
 	require.NoError(t, err)
 	assert.Equal(t, "v", l.dial().do(args...))
 }
@@ -305,18 +305,18 @@
 // A service that answers in a millisecond has not gone silent after some tens: its tries are not taken back.
 func TestAPauseOfAQuickServiceIsNoSilence(t *testing.T) {
 	t.Parallel()
-	o := &others{}
+	o := &externalService{}
 	slow := false
-	o.answer = func(ctx context.Context, r *rlsv3.RateLimitRequest) (*rlsv3.RateLimitResponse, error) {
+	o.respond = func(ctx context.Context, r *rlsv3.RateLimitRequest) (*rlsv3.RateLimitResponse, error) {
 		if slow {
 			time.Sleep(100 * time.Millisecond)
 		}
-		return verdictOf(within)(ctx, r)
+		return respondWith(verdictOK)(ctx, r)
 	}
-	s := start(t, world{second: second(t, o.listen(t))}).service()
+	s := start(t, fixture{rateLimitFile: writeRateLimitFile(t, o.listen(t))}).rateLimitClient()
 	for k := range 301 {
 		slow = k == 300
-		_, err := s.ShouldRateLimit(inTime(t), call(of("a1")))
+		_, err := s.ShouldRateLimit(testContext(t), rateLimitRequest(firmDescriptor("a1")))
 		require.NoError(t, err)
 	}
 	assert.Equal(t, 301, o.calls())
@@ -325,15 +325,15 @@
 // The hard ceiling of a tier holds over both paths together.
 func TestBothPathsShareOneCeiling(t *testing.T) {
 	t.Parallel()
-	l := start(t, world{servers: []*server{newServer(t, "s-1", "hall-a", value("v"))}, second: second(t)})
-	c, s := l.dial(), l.service()
+	l := start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}, rateLimitFile: writeRateLimitFile(t)})
+	c, s := l.dial(), l.rateLimitClient()
 	sent := func(firm string, mixed bool) (n int) {
 		for k := range 60 {
 			if mixed && k%2 == 1 {
-				answer, err := s.ShouldRateLimit(inTime(t), call(descriptor("firm", firm, "tier", "full",
+				answer, err := s.ShouldRateLimit(testContext(t), rateLimitRequest(descriptor("firm", firm, "tier", "full",
 					"class", "balance-read", "spread", "1")))
 				require.NoError(t, err)
-				if answer.OverallCode == within {
+				if answer.OverallCode == verdictOK {
 					n++
 				}
 			} else if c.do("Q.ASK", firm, fmt.Sprintf("%016x", k), "c=balance-read,t=full,d=4000,units=1,spread=1,first=0") == "v" {
@@ -358,7 +358,7 @@
 		"failed": {func(context.Context, *rlsv3.RateLimitRequest) (*rlsv3.RateLimitResponse, error) {
 			return nil, status.Error(codes.Internal, "no")
 		}, "transfer-post", codes.Unavailable},
-		"no verdict": {verdictOf(rlsv3.RateLimitResponse_UNKNOWN), "transfer-post", codes.Unavailable},
+		"no verdict": {respondWith(rlsv3.RateLimitResponse_UNKNOWN), "transfer-post", codes.Unavailable},
 		"silent": {func(ctx context.Context, _ *rlsv3.RateLimitRequest) (*rlsv3.RateLimitResponse, error) {
 			<-ctx.Done()
 			return nil, ctx.Err()
@@ -366,11 +366,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			o := &others{answer: c.answer}
-			s := start(t, world{second: second(t, o.listen(t))}).service()
+			o := &externalService{respond: c.answer}
+			s := start(t, fixture{rateLimitFile: writeRateLimitFile(t, o.listen(t))}).rateLimitClient()
 			ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 			defer cancel()
-			_, err := s.ShouldRateLimit(ctx, call(descriptor("firm", "a1", "tier", "regular", "class", c.class)))
+			_, err := s.ShouldRateLimit(ctx, rateLimitRequest(descriptor("firm", "a1", "tier", "regular", "class", c.class)))
 			assert.Equal(t, c.want, status.Code(err), "%v", err)
 			assert.Positive(t, o.calls())
 		})
@@ -381,52 +381,52 @@
 func TestCancelMidCall(t *testing.T) {
 	t.Parallel()
 	left := make(chan time.Duration, 1) // of the time that the limiter meant to wait
-	o := &others{answer: func(ctx context.Context, _ *rlsv3.RateLimitRequest) (*rlsv3.RateLimitResponse, error) {
+	o := &externalService{respond: func(ctx context.Context, _ *rlsv3.RateLimitRequest) (*rlsv3.RateLimitResponse, error) {
 		<-ctx.Done()
 		until, _ := ctx.Deadline()
 		left <- time.Until(until)
 		return nil, ctx.Err()
 	}}
-	set := smallQuota(10)
+	set := settingsWithBurst(10)
 	set["tariffs"].([]object)[0]["concurrency"] = 1 // a request that stays behind would block the next
-	s := start(t, world{settings: set, second: second(t, o.listen(t))}).service()
+	s := start(t, fixture{settings: set, rateLimitFile: writeRateLimitFile(t, o.listen(t))}).rateLimitClient()
 	ctx, cancel := context.WithCancel(context.Background())
 	failed := make(chan error, 1)
 	go func() {
-		_, err := s.ShouldRateLimit(ctx, call(descriptor("firm", "a1", "tier", "regular", "class", "transfer-post")))
+		_, err := s.ShouldRateLimit(ctx, rateLimitRequest(descriptor("firm", "a1", "tier", "regular", "class", "transfer-post")))
 		failed <- err
 	}()
-	require.Eventually(t, func() bool { return o.calls() == 1 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return o.calls() == 1 }, testTimeout, time.Millisecond)
 	cancel()
 	assert.Equal(t, codes.Canceled, status.Code(await(t, failed, "the call's end")))
 	assert.Greater(t, await(t, left, "the try's end"), 2*time.Second, "of 6 s: it was ended, not given up")
 	o.mu.Lock()
-	o.answer = verdictOf(within)
+	o.respond = respondWith(verdictOK)
 	o.mu.Unlock()
-	answer, err := s.ShouldRateLimit(inTime(t), call(of("a1")))
+	answer, err := s.ShouldRateLimit(testContext(t), rateLimitRequest(firmDescriptor("a1")))
 	require.NoError(t, err)
-	assert.Equal(t, within, answer.OverallCode)
+	assert.Equal(t, verdictOK, answer.OverallCode)
 }
 
 // The counter is silent past its limit with decisions pending on it: each still gets its verdict.
 func TestTheCounterIsSilentWithDecisionsPending(t *testing.T) {
 	t.Parallel()
-	set := smallQuota(4)
+	set := settingsWithBurst(4)
 	set["balancers"] = 8 // a part of the burst holds no request: the counter is asked before one goes
 	n := newCounter(t)
 	n.silent = true
-	s := start(t, world{settings: set, counter: n, second: second(t)}).service()
+	s := start(t, fixture{settings: set, counter: n, rateLimitFile: writeRateLimitFile(t)}).rateLimitClient()
 	var all sync.WaitGroup
 	for k := range 12 {
 		all.Go(func() {
-			answer, err := s.ShouldRateLimit(inTime(t), call(descriptor("firm", strconv.Itoa(k), "tier", "regular",
+			answer, err := s.ShouldRateLimit(testContext(t), rateLimitRequest(descriptor("firm", strconv.Itoa(k), "tier", "regular",
 				"class", "balance-read", "spread", "8")))
 			assert.NoError(t, err)
-			assert.Equal(t, within, answer.GetOverallCode(), "by what is known here, not late and refused")
+			assert.Equal(t, verdictOK, answer.GetOverallCode(), "by what is known here, not late and refused")
 		})
 	}
 	all.Wait()
-	calls, conns := n.made()
+	calls, conns := n.callsAndConns()
 	assert.Positive(t, calls)
 	assert.Equal(t, 1, conns, "no decision waited until the silent connection was given up")
 }
@@ -434,35 +434,35 @@
 func TestAPlannedRestartAnswersCallsInHand(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	o := &others{answer: func(ctx context.Context, r *rlsv3.RateLimitRequest) (*rlsv3.RateLimitResponse, error) {
+	o := &externalService{respond: func(ctx context.Context, r *rlsv3.RateLimitRequest) (*rlsv3.RateLimitResponse, error) {
 		<-release
-		return verdictOf(within)(ctx, r)
+		return respondWith(verdictOK)(ctx, r)
 	}}
-	l := start(t, world{second: second(t, o.listen(t))})
-	s, done := l.service(), make(chan error, 1)
+	l := start(t, fixture{rateLimitFile: writeRateLimitFile(t, o.listen(t))})
+	s, done := l.rateLimitClient(), make(chan error, 1)
 	go func() {
-		_, err := s.ShouldRateLimit(inTime(t), call(of("a1")))
+		_, err := s.ShouldRateLimit(testContext(t), rateLimitRequest(firmDescriptor("a1")))
 		done <- err
 	}()
-	require.Eventually(t, func() bool { return o.calls() == 1 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return o.calls() == 1 }, testTimeout, time.Millisecond)
 	l.terminate()
 	close(release)
 	require.NoError(t, await(t, done, "the verdict"))
-	l.leaves()
+	l.waitForCleanExit()
 }
 
 func TestEndpointsFollowTheirFiles(t *testing.T) {
 	t.Parallel()
-	a, b := &others{answer: verdictOf(within)}, &others{answer: verdictOf(within)}
-	file := second(t, a.listen(t))
-	s := start(t, world{second: file}).service()
+	a, b := &externalService{respond: respondWith(verdictOK)}, &externalService{respond: respondWith(verdictOK)}
+	file := writeRateLimitFile(t, a.listen(t))
+	s := start(t, fixture{rateLimitFile: file}).rateLimitClient()
 	ask := func() bool {
-		_, err := s.ShouldRateLimit(inTime(t), call(of("a1")))
+		_, err := s.ShouldRateLimit(testContext(t), rateLimitRequest(firmDescriptor("a1")))
 		return assert.NoError(t, err)
 	}
 	require.True(t, ask())
 	writeEndpoints(t, filepath.Dir(file), 0, b.listen(t))
-	require.Eventually(t, func() bool { return ask() && b.calls() > 0 }, patience, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return ask() && b.calls() > 0 }, testTimeout, 10*time.Millisecond)
 	before := a.calls()
 	require.True(t, ask())
 	assert.Equal(t, before, a.calls(), "the removed endpoint gets nothing new")
@@ -482,23 +482,23 @@
 
 // totals is how much each firm may send on through a fleet of two limiters, of what it asks there.
 func totals(t *testing.T, firms map[string]int, mixed bool) map[string]int {
-	node, n := newServer(t, "s-1", "hall-a", value("v")), newCounter(t)
+	node, n := newServer(t, "s-1", "hall-a", replyValue("v")), newCounter(t)
 	var clients []*client
 	var services []rlsv3.RateLimitServiceClient
 	for rank := range 2 {
-		set := smallQuota(400)
+		set := settingsWithBurst(400)
 		set["balancers"], set["rank"] = 2, rank
-		l := start(t, world{settings: set, servers: []*server{node}, counter: n, second: second(t)})
-		clients, services = append(clients, l.dial()), append(services, l.service())
+		l := start(t, fixture{settings: set, servers: []*server{node}, counter: n, rateLimitFile: writeRateLimitFile(t)})
+		clients, services = append(clients, l.dial()), append(services, l.rateLimitClient())
 	}
 	sent := map[string]int{}
 	for firm, asked := range firms {
 		for k := range asked {
 			if at := k % 2; mixed && k/2%2 == 1 {
-				answer, err := services[at].ShouldRateLimit(inTime(t), call(descriptor("firm", firm, "tier", "regular",
+				answer, err := services[at].ShouldRateLimit(testContext(t), rateLimitRequest(descriptor("firm", firm, "tier", "regular",
 					"class", "balance-read", "spread", "2", "first", "0")))
 				require.NoError(t, err)
-				if answer.OverallCode == within {
+				if answer.OverallCode == verdictOK {
 					sent[firm]++
 				}
 			} else if clients[at].do("Q.ASK", firm, fmt.Sprintf("%016x", k),
--- a/cmd/bramblefall/restart_test.go
+++ b/cmd/bramblefall/restart_test.go
@@ -18,41 +18,41 @@
 )
 
 // stopped does something while the limiter's process stands still, and for at least so long.
-func (l *limiter) stopped(atLeast time.Duration, do func()) {
+func (l *limiter) whileStopped(minimum time.Duration, do func()) {
 	require.NoError(l.t, l.cmd.Process.Signal(syscall.SIGSTOP))
-	time.Sleep(atLeast)
+	time.Sleep(minimum)
 	do()
 	require.NoError(l.t, l.cmd.Process.Signal(syscall.SIGCONT))
 }
 
-func (l *limiter) says(words string) {
+func (l *limiter) waitForLog(text string) {
 	l.t.Helper()
-	require.Eventually(l.t, func() bool { return strings.Contains(l.log.String(), words) }, patience, time.Millisecond)
+	require.Eventually(l.t, func() bool { return strings.Contains(l.log.String(), text) }, testTimeout, time.Millisecond)
 }
 
 // Whole requests stand in the listener's queue, on connections that the machine has accepted, when all of a planned
 // restart's waits are over: the process stood still.
 func TestAPlannedRestartTakesWhatStandsInTheQueue(t *testing.T) {
 	t.Parallel()
-	start(t, world{servers: []*server{newServer(t, "s-1", "hall-a", value("v"))}}).answersItsQueue()
+	start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}}).checkQueuedRequestsAnswered()
 }
 
 // answersItsQueue ends the limiter and stops it while clients come whose requests stand in its queue when it goes on.
-func (l *limiter) answersItsQueue() {
+func (l *limiter) checkQueuedRequestsAnswered() {
 	l.t.Helper()
 	l.terminate()
-	l.says("msg=draining")
+	l.waitForLog("msg=draining")
 	clients := make([]*client, 24) // its share of the descriptors is 32
-	l.stopped(time.Second, func() {
+	l.whileStopped(time.Second, func() {
 		for k := range clients {
 			clients[k] = l.dial()
-			clients[k].write(command(ask(fmt.Sprintf("%02x", k+1))...))
+			clients[k].write(encodeCommand(askArgs(fmt.Sprintf("%02x", k+1))...))
 		}
 	})
 	for k := range clients {
-		assert.Equal(l.t, "v", clients[k].answer(), "request %d", k)
+		assert.Equal(l.t, "v", clients[k].readReply(), "request %d", k)
 	}
-	l.leaves()
+	l.waitForCleanExit()
 }
 
 // Clients go on sending on every connection that stays open. What becomes whole after the last answers is refused at
@@ -64,36 +64,36 @@
 	for k := range 12 { // more than the first request can spoil
 		servers = append(servers, newServer(t, fmt.Sprintf("s-%d", k), "hall-a", func(conn net.Conn, args []string) {
 			if len(args[2]) > 2 {
-				value("v")(conn, args)
+				replyValue("v")(conn, args)
 			} else {
 				began <- struct{}{}
 			}
 		}))
 	}
-	l := start(t, world{servers: servers})
+	l := start(t, fixture{servers: servers})
 	c := l.dial()
 	for k := range 50 {
-		require.Equal(t, "v", c.do(ask(fmt.Sprintf("%03x", k))...))
+		require.Equal(t, "v", c.do(askArgs(fmt.Sprintf("%03x", k))...))
 	}
-	c.write(command(post("01")...))
+	c.write(encodeCommand(doArgs("01")...))
 	await(t, began, "the request to begin")
 	l.terminate()
-	l.says("msg=draining")
+	l.waitForLog("msg=draining")
 	time.Sleep(2 * time.Second) // half a command is given up after 2.4 s; the last answers come after 3.4 s
-	late := command(ask("02")...)
+	late := encodeCommand(askArgs("02")...)
 	c.write(late[:len(late)/2])
-	assert.Equal(t, "-ERR failed", c.answer())
+	assert.Equal(t, "-ERR failed", c.readReply())
 	c.write(late[len(late)/2:])
-	assert.Regexp(t, "^-BUSY", c.answer())
-	c.ended()
-	l.leaves()
+	assert.Regexp(t, "^-BUSY", c.readReply())
+	c.expectClosed()
+	l.waitForCleanExit()
 }
 
 // SIGTERM goes before a configuration that is still being read, at the start or again. The file is a pipe, so the
 // limiter reads until the test writes.
 func TestAPlannedRestartWhileTheConfigurationIsRead(t *testing.T) {
 	t.Parallel()
-	w := world{settings: settings(), servers: []*server{newServer(t, "s-1", "hall-a", value("v"))}}
+	w := fixture{settings: settings(), servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}}
 	t.Run("again", func(t *testing.T) {
 		t.Parallel()
 		l := start(t, w)
@@ -107,9 +107,9 @@
 		defer pipe.Close()
 		c := l.dial()
 		l.terminate()
-		l.says("msg=draining")
-		assert.Equal(t, "v", c.do(ask("01")...))
-		l.leaves()
+		l.waitForLog("msg=draining")
+		assert.Equal(t, "v", c.do(askArgs("01")...))
+		l.waitForCleanExit()
 	})
 	t.Run("at the start", func(t *testing.T) {
 		t.Parallel()
@@ -136,7 +136,7 @@
 	for name, moment := range map[string]func(t *testing.T, l *limiter, release func()){
 		"told twice": func(_ *testing.T, l *limiter, release func()) {
 			l.terminate()
-			l.says("msg=draining")
+			l.waitForLog("msg=draining")
 			l.terminate()
 			release()
 		},
@@ -144,28 +144,28 @@
 			c := l.dial()
 			var all strings.Builder
 			for k := range 100 {
-				all.WriteString(command(ask(fmt.Sprintf("%03x", k))...))
+				all.WriteString(encodeCommand(askArgs(fmt.Sprintf("%03x", k))...))
 			}
 			c.write(all.String())
 			l.terminate()
 			release()
 			for k := range 100 {
-				require.Equal(t, "v", c.answer(), "command %d", k)
+				require.Equal(t, "v", c.readReply(), "command %d", k)
 			}
-			c.ended()
+			c.expectClosed()
 		},
 		"a client that does not read": func(t *testing.T, l *limiter, release func()) {
 			deaf := l.dial()
 			require.NoError(t, deaf.conn.(*net.TCPConn).SetReadBuffer(4<<10))
 			for k := range 100 {
-				deaf.write(command(ask(fmt.Sprintf("%08x", k))...))
+				deaf.write(encodeCommand(askArgs(fmt.Sprintf("%08x", k))...))
 			}
 			l.terminate()
 			release()
 		},
 		"a client that closes its sending side": func(t *testing.T, l *limiter, release func()) {
 			c := l.dial()
-			c.write(command(ask("0a")...))
+			c.write(encodeCommand(askArgs("0a")...))
 			l.terminate()
 			require.NoError(t, c.conn.(*net.TCPConn).CloseWrite()) // it counts as gone: whether it has its answer is open
 			release()
@@ -178,9 +178,9 @@
 			for range 20 {
 				_ = l.dial() // they wait in the queue, for as long as there is one
 			}
-			l.says("too many open files")
+			l.waitForLog("too many open files")
 			l.terminate()
-			l.says("msg=draining")
+			l.waitForLog("msg=draining")
 			release()
 		},
 	} {
@@ -195,14 +195,14 @@
 				if len(args[2]) == 8 {
 					text = large
 				}
-				value(text)(conn, args)
+				replyValue(text)(conn, args)
 			})
-			l := start(t, world{servers: []*server{s}})
-			c := l.holding(s)
+			l := start(t, fixture{servers: []*server{s}})
+			c := l.holdRequest(s)
 			moment(t, l, func() { close(held) })
-			assert.Equal(t, "v", c.answer())
-			c.ended()
-			l.leaves()
+			assert.Equal(t, "v", c.readReply())
+			c.expectClosed()
+			l.waitForCleanExit()
 		})
 	}
 }
@@ -213,14 +213,14 @@
 	held := make(chan struct{})
 	s := newServer(t, "s-1", "hall-a", func(conn net.Conn, args []string) {
 		<-held
-		value("v")(conn, args)
+		replyValue("v")(conn, args)
 	})
-	away := acceptOn(t, func(net.Conn) {}) // each connection ends at once
-	l := start(t, world{servers: []*server{s}, counter: &quotaCounter{addr: away}, registry: &registry{addr: away}})
-	c := l.holding(s)
+	away := serveConns(t, func(net.Conn) {}) // each connection ends at once
+	l := start(t, fixture{servers: []*server{s}, counter: &quotaCounter{addr: away}, registry: &registry{addr: away}})
+	c := l.holdRequest(s)
 	l.terminate()
-	l.says("msg=draining")
+	l.waitForLog("msg=draining")
 	close(held)
-	assert.Equal(t, "v", c.answer())
-	l.leaves()
+	assert.Equal(t, "v", c.readReply())
+	l.waitForCleanExit()
 }
--- a/cmd/bramblefall/rolling_test.go
+++ b/cmd/bramblefall/rolling_test.go
@@ -21,22 +21,22 @@
 )
 
 const (
-	rolledLimiters = 12
-	rolledAtOnce   = 3
-	rollClients    = 20
-	standsStill    = 700 * time.Millisecond // over the waits of a planned restart up to the end of listening
-	neverAnswers   = 12 * time.Second       // longer than any client waits
+	rollingLimiters = 12
+	restartedAtOnce   = 3
+	rollingClients    = 20
+	rollingStopDuration    = 700 * time.Millisecond // over the waits of a planned restart up to the end of listening
+	hangDuration   = 12 * time.Second       // longer than any client waits
 )
 
 // rolling is a fleet that is restarted while clients open new connections to it all the while.
 type rolling struct {
 	*fleet
 	mu       sync.Mutex
-	all      []*standin.Limiter // with those that have ended
+	started      []*standin.Limiter // with those that have ended
 	answered map[string]bool    // by id: with a whole answer in time; false: its connection ended before
 	refused  int                // connections
-	crossed  int                // requests on a connection used before, which was closed meanwhile
-	unheard  int                // new connections that were closed with no answer
+	closedOnReuse  int                // requests on a connection used before, which was closed meanwhile
+	closedUnanswered  int                // new connections that were closed with no answer
 	served   int
 }
 
@@ -46,23 +46,23 @@
 	return r.limiters[k]
 }
 
-func (r *rolling) renew(t *testing.T, k int) {
+func (r *rolling) restart(t *testing.T, k int) {
 	l := r.start(t, k)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.limiters[k] = l
-	r.all = append(r.all, l)
+	r.started = append(r.started, l)
 }
 
 // client asks limiters by chance, each over a new connection that it then uses again a few times.
-func (r *rolling) client(rng *rand.Rand, stop <-chan struct{}) {
+func (r *rolling) runClient(rng *rand.Rand, stop <-chan struct{}) {
 	for {
 		select {
 		case <-stop:
 			return
 		default:
 		}
-		conn, err := net.Dial("tcp", r.limiter(rng.IntN(rolledLimiters)).Addr)
+		conn, err := net.Dial("tcp", r.limiter(rng.IntN(rollingLimiters)).Addr)
 		if err != nil {
 			r.mu.Lock()
 			r.refused++
@@ -71,18 +71,18 @@
 			continue
 		}
 		in := bufio.NewReader(conn)
-		n, goes := 0, true
-		for most := 1 + rng.IntN(20); n < most && goes; n++ {
-			goes = r.one(rng, conn, in)
+		n, open := 0, true
+		for requests := 1 + rng.IntN(20); n < requests && open; n++ {
+			open = r.sendRequest(rng, conn, in)
 			time.Sleep(time.Duration(max(0, rng.IntN(40)-20)) * time.Millisecond) // half of the time it goes on at once
 		}
 		r.mu.Lock()
 		switch {
-		case goes:
+		case open:
 		case n == 1:
-			r.unheard++
+			r.closedUnanswered++
 		default:
-			r.crossed++
+			r.closedOnReuse++
 		}
 		r.mu.Unlock()
 		_ = conn.Close()
@@ -90,11 +90,11 @@
 }
 
 // one asks for one value and tells whether its whole answer came.
-func (r *rolling) one(rng *rand.Rand, conn net.Conn, in *bufio.Reader) bool {
+func (r *rolling) sendRequest(rng *rand.Rand, conn net.Conn, in *bufio.Reader) bool {
 	id := fmt.Sprintf("%016x", r.ids.Add(1))
 	args := standin.Command(rng, id)
-	_ = conn.SetDeadline(time.Now().Add(patience))
-	_, err := conn.Write([]byte(command(text(args)...)))
+	_ = conn.SetDeadline(time.Now().Add(testTimeout))
+	_, err := conn.Write([]byte(encodeCommand(toStrings(args)...)))
 	line := ""
 	if err == nil {
 		line, err = in.ReadString('\n')
@@ -117,7 +117,7 @@
 	return err == nil
 }
 
-func text(args [][]byte) (words []string) {
+func toStrings(args [][]byte) (words []string) {
 	for _, a := range args {
 		words = append(words, string(a))
 	}
@@ -125,9 +125,9 @@
 }
 
 // traceOf tells which limiters had the addresses that a finding names, and which log the request as taken.
-func (r *rolling) traceOf(finding string) string {
+func (r *rolling) traceFinding(finding string) string {
 	trace, takers := "", 0
-	for life, l := range r.all {
+	for life, l := range r.started {
 		if strings.Contains(finding, l.Addr+" ") {
 			trace += fmt.Sprintf("\n  %s was life %d's: %v", l.Addr, life, l.Cmd.ProcessState)
 		}
@@ -137,7 +137,7 @@
 			}
 		}
 	}
-	return trace + fmt.Sprintf("\n  %d of %d lives log the request as taken", takers, len(r.all))
+	return trace + fmt.Sprintf("\n  %d of %d lives log the request as taken", takers, len(r.started))
 }
 
 var takenID = regexp.MustCompile(`msg=taken id=(\S+)`)
@@ -154,63 +154,63 @@
 func TestAFleetRestartedUnderLoadAnswersAllThatItTook(t *testing.T) { // by itself: it needs the machine, as others do
 	r := &rolling{answered: map[string]bool{}}
 	r.fleet = startFleet(t, 8, func(f *fleet, _ int, _ object) { f.args = []string{"-log", "debug"} },
-		make([]func(int) standin.Trouble, rolledLimiters)...)
-	r.all = append(r.all, r.limiters...)
+		make([]func(int) standin.Trouble, rollingLimiters)...)
+	r.started = append(r.started, r.limiters...)
 	for k, n := range r.world.Nodes {
 		n.Handle = func(_ *standin.Node, args [][]byte) ([]byte, bool, time.Duration) {
 			if k%4 == 1 {
-				return nil, true, neverAnswers
+				return nil, true, hangDuration
 			}
 			return standin.Value(string(args[2])), true, 20 * time.Millisecond
 		}
 	}
 	stop := make(chan struct{})
 	var asking sync.WaitGroup
-	for k := range rollClients {
-		asking.Go(func() { r.client(rand.New(rand.NewPCG(1, uint64(k))), stop) })
+	for k := range rollingClients {
+		asking.Go(func() { r.runClient(rand.New(rand.NewPCG(1, uint64(k))), stop) })
 	}
 	time.Sleep(time.Second)
-	for first := 0; first < rolledLimiters; first += rolledAtOnce {
+	for first := 0; first < rollingLimiters; first += restartedAtOnce {
 		var group sync.WaitGroup
-		for k := first; k < first+rolledAtOnce; k++ {
+		for k := first; k < first+restartedAtOnce; k++ {
 			l := r.limiter(k)
 			require.NoError(t, l.Signal(syscall.SIGTERM))
 			group.Go(func() {
 				if k > first { // the others go through it undisturbed
 					time.Sleep(time.Duration(k-first) * 200 * time.Millisecond)
 					_ = l.Signal(syscall.SIGSTOP)
-					time.Sleep(standsStill)
+					time.Sleep(rollingStopDuration)
 					_ = l.Signal(syscall.SIGCONT)
 				}
 				<-l.Ended
 			})
 		}
 		group.Wait()
-		for k := first; k < first+rolledAtOnce; k++ {
-			r.renew(t, k)
+		for k := first; k < first+restartedAtOnce; k++ {
+			r.restart(t, k)
 		}
 	}
 	close(stop)
 	asking.Wait()
 	found, times := r.world.Audit.Findings()
 	for k := range found {
-		found[k] += r.traceOf(found[k])
+		found[k] += r.traceFinding(found[k])
 	}
 	require.Zero(t, times, strings.Join(found, "\n"))
 	taken, lost := 0, []string(nil)
-	for k, l := range r.all {
+	for k, l := range r.started {
 		for _, m := range takenID.FindAllStringSubmatch(l.Log(), -1) {
 			if taken++; !r.answered[m[1]] {
 				lost = append(lost, fmt.Sprintf("%s by life %d", m[1], k))
 			}
 		}
-		if k < rolledLimiters {
+		if k < rollingLimiters {
 			assert.Zero(t, l.Cmd.ProcessState.ExitCode(), "limiter %d", k)
 		}
 	}
 	t.Logf("%d requests, %d taken, %d served, %d crossed a close; %d connections refused, %d closed without a word", len(r.answered), taken,
-		r.served, r.crossed, r.refused, r.unheard)
+		r.served, r.closedOnReuse, r.refused, r.closedUnanswered)
 	require.Empty(t, lost, "taken and not answered")
 	require.Greater(t, r.served, 1000, "this shows little")
-	require.LessOrEqual(t, r.unheard*200, len(r.answered), "new connections closed with no answer")
+	require.LessOrEqual(t, r.closedUnanswered*200, len(r.answered), "new connections closed with no answer")
 }
--- a/cmd/bramblefall/sites_test.go
+++ b/cmd/bramblefall/sites_test.go
@@ -113,12 +113,12 @@
 			var failing atomic.Bool
 			srv := newServer(t, "s-1", s.Net.Zones[0], func(conn net.Conn, args []string) {
 				if failing.Load() {
-					says("-ERR failed\r\n")(conn, args)
+					replyRaw("-ERR failed\r\n")(conn, args)
 				} else {
-					value("v")(conn, args)
+					replyValue("v")(conn, args)
 				}
 			})
-			l := start(t, world{settings: s.settings(), servers: []*server{srv}, counter: newCounter(t)})
+			l := start(t, fixture{settings: s.settings(), servers: []*server{srv}, counter: newCounter(t)})
 			c := l.dial()
 			n := 0
 			do := func(class int, plan string, units float64) string {
@@ -140,9 +140,9 @@
 			}
 			failing.Store(true)
 			for class, k := range s.Class {
-				before := len(srv.seen())
+				before := len(srv.received())
 				answer := do(class, s.Tenant[0].Name, 1)
-				tries := len(srv.seen()) - before
+				tries := len(srv.received()) - before
 				switch k.Effect {
 				case "unsafe":
 					require.Equal(t, 1, tries, k.Name)
--- a/cmd/bramblefall/soak_callers_test.go
+++ b/cmd/bramblefall/soak_callers_test.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	soakCallers  = 4
-	shortestCall = 300 * time.Millisecond
+	soakCallerCount  = 4
+	minCallTimeout = 300 * time.Millisecond
 )
 
 // endpoint answers calls of the limiter's second group by chance: soon, with an error, or not at all while the nodes hang.
-func (s *soak) endpoint(ctx context.Context, _ *rlsv3.RateLimitRequest) (*rlsv3.RateLimitResponse, error) {
+func (s *soak) respondByChance(ctx context.Context, _ *rlsv3.RateLimitRequest) (*rlsv3.RateLimitResponse, error) {
 	s.mu.Lock()
-	chance, hangs := s.rng.Float64(), s.hangs
+	chance, hangs := s.rng.Float64(), s.nodesHang
 	s.mu.Unlock()
 	switch {
 	case hangs && chance < 0.3:
@@ -37,7 +37,7 @@
 }
 
 // caller makes one call after the other over one connection, as a proxy does, for as long as the limiter lives.
-func (s *soak) caller(rng *rand.Rand, addr string) {
+func (s *soak) runCaller(rng *rand.Rand, addr string) {
 	conn, err := grpc.NewClient(addr, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if !assert.NoError(s.t, err) {
 		return
@@ -50,25 +50,25 @@
 			return
 		case <-time.After(time.Duration(rng.IntN(20)) * time.Millisecond):
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), shortestCall+time.Duration(rng.Int64N(int64(s.deadline))))
-		_, err := service.ShouldRateLimit(ctx, call(of(fmt.Sprintf("%x", 1+rng.IntN(20)))))
+		ctx, cancel := context.WithTimeout(context.Background(), minCallTimeout+time.Duration(rng.Int64N(int64(s.deadline))))
+		_, err := service.ShouldRateLimit(ctx, rateLimitRequest(firmDescriptor(fmt.Sprintf("%x", 1+rng.IntN(20)))))
 		cancel()
-		s.called(err)
+		s.checkCallResult(err)
 	}
 }
 
 // called judges the end of a call: it has a verdict, its own time was over, or it never reached the limiter.
-func (s *soak) called(err error) {
+func (s *soak) checkCallResult(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	code, text := status.Code(err), status.Convert(err).Message()
 	switch {
 	case err == nil:
-		s.verdicts++
+		s.verdictCalls++
 	case code == codes.DeadlineExceeded:
-		s.overdue++
+		s.timedOutCalls++
 	case code == codes.Unavailable && (strings.Contains(text, "connection refused") || strings.Contains(text, "server preface")):
 	default:
-		s.find("a call ended without a verdict: %v", err)
+		s.addFinding("a call ended without a verdict: %v", err)
 	}
 }
--- a/cmd/bramblefall/soak_test.go
+++ b/cmd/bramblefall/soak_test.go
@@ -22,13 +22,13 @@
 
 const (
 	soakSeeds    = 6   // in CI; BRAMBLEFALL_SOAK names how many, BRAMBLEFALL_SEED the first
-	soakAtOnce   = 6   // each has a limiter, some clients and four nodes
-	soakFirst    = 900 // seed
-	soakCrowd    = 300 // idle connections
-	lateBy       = 500 * time.Millisecond
-	soakNoise    = 100 * time.Millisecond // of a busy machine, beside what the terms allow
+	concurrentSoaks   = 6   // each has a limiter, some clients and four nodes
+	firstSoakSeed    = 900 // seed
+	crowdConnections    = 300 // idle connections
+	lateAnswerGrace       = 500 * time.Millisecond
+	schedulingSlack    = 100 * time.Millisecond // of a busy machine, beside what the terms allow
 	killSlack    = 700 * time.Millisecond
-	longestCount = 3 * time.Second
+	maxCountedDeadline = 3 * time.Second
 )
 
 // soak is one limiter's life up to the kill at the earliest moment that the pages allow, with clients that go on until then.
@@ -38,62 +38,62 @@
 	rng      *rand.Rand
 	seed     uint64
 	deadline time.Duration // of the longer class
-	effect   string        // of the second class
-	hangs    bool          // under mu
+	semantics   string        // of the second class
+	nodesHang    bool          // under mu
 	stop     chan struct{}
 
 	mu       sync.Mutex
-	requests map[string]*soaked
+	requests map[string]*trackedRequest
 	findings []string
-	verdicts int // of calls
-	overdue  int // calls whose time was over
+	verdictCalls int // of calls
+	timedOutCalls  int // calls whose time was over
 }
 
 // soaked is what is known of a request.
-type soaked struct {
+type trackedRequest struct {
 	sent     time.Time
-	wait     time.Duration
-	closed   time.Time // by its client; zero: it stayed
+	timeout     time.Duration
+	closedAt   time.Time // by its client; zero: it stayed
 	answered bool
-	ran      string // the hall where it may have run
+	ranIn      string // the hall where it may have run
 	ranAt    time.Time
-	again    bool // it is safe to repeat
+	repeatable    bool // it is safe to repeat
 }
 
-func (s *soak) find(format string, args ...any) {
+func (s *soak) addFinding(format string, args ...any) {
 	s.findings = append(s.findings, fmt.Sprintf(format, args...))
 }
 
 // handle is a node: it checks what comes and answers by chance.
-func (s *soak) handle(n *standin.Node, args [][]byte) ([]byte, bool, time.Duration) {
+func (s *soak) handleCommand(n *standin.Node, args [][]byte) ([]byte, bool, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	id, now := string(args[2]), time.Now()
 	r := s.requests[id]
 	if r == nil {
-		s.find("%s came to a node and was never sent", id)
+		s.addFinding("%s came to a node and was never sent", id)
 		return []byte("-ERR failed\r\n"), true, 0
 	}
-	if !r.closed.IsZero() && now.Sub(r.closed) > goneAfter+soakNoise {
-		s.find("%s began %v after its client had gone", id, now.Sub(r.closed))
+	if !r.closedAt.IsZero() && now.Sub(r.closedAt) > clientGoneGrace+schedulingSlack {
+		s.addFinding("%s began %v after its client had gone", id, now.Sub(r.closedAt))
 	}
-	ms, _ := strconv.Atoi(toldDeadline.FindStringSubmatch(string(args[3]))[1])
-	if over := time.Duration(ms)*time.Millisecond - (r.wait - now.Sub(r.sent)); over > deadlineSlack+soakNoise {
-		s.find("%s was told a deadline %v over what its client had left", id, over)
+	ms, _ := strconv.Atoi(deadlineField.FindStringSubmatch(string(args[3]))[1])
+	if over := time.Duration(ms)*time.Millisecond - (r.timeout - now.Sub(r.sent)); over > maxDeadlineExcess+schedulingSlack {
+		s.addFinding("%s was told a deadline %v over what its client had left", id, over)
 	}
-	if r.ran != "" && !r.again && (s.effect == "single_shot" || r.ran != n.Hall) {
-		s.find("%s (%s) may have run in %s and came to %s again", id, s.effect, r.ran, n.Hall)
+	if r.ranIn != "" && !r.repeatable && (s.semantics == "single_shot" || r.ranIn != n.Hall) {
+		s.addFinding("%s (%s) may have run in %s and came to %s again", id, s.semantics, r.ranIn, n.Hall)
 	}
 	chance := s.rng.Float64()
 	if chance < 0.06 {
 		return []byte("-BUSY\r\n"), false, 0
 	}
-	if r.ran == "" {
-		r.ran, r.ranAt = n.Hall, now
+	if r.ranIn == "" {
+		r.ranIn, r.ranAt = n.Hall, now
 	}
 	switch {
-	case s.hangs && n.ID < "s-2":
-		return standin.Value(id), true, neverAnswers
+	case s.nodesHang && n.ID < "s-2":
+		return standin.Value(id), true, hangDuration
 	case chance < 0.12:
 		return []byte("-ERR failed\r\n"), true, 0
 	}
@@ -101,20 +101,20 @@
 }
 
 // request words one and notes it. A write that fails may still have been read.
-func (s *soak) request(rng *rand.Rand) (id, words string) {
+func (s *soak) newRequest(rng *rand.Rand) (id, text string) {
 	id = fmt.Sprintf("%016x", s.ids.Add(1))
 	args := standin.Command(rng, id)
-	wait := time.Duration(200+rng.IntN(int(s.deadline.Milliseconds())-200)) * time.Millisecond
-	args[3] = toldDeadline.ReplaceAll(args[3], fmt.Appendf(nil, "d=%d", wait.Milliseconds()))
+	timeout := time.Duration(200+rng.IntN(int(s.deadline.Milliseconds())-200)) * time.Millisecond
+	args[3] = deadlineField.ReplaceAll(args[3], fmt.Appendf(nil, "d=%d", timeout.Milliseconds()))
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.requests[id] = &soaked{sent: time.Now(), wait: wait, again: string(args[0]) == "Q.ASK"}
-	return id, command(text(args)...)
+	s.requests[id] = &trackedRequest{sent: time.Now(), timeout: timeout, repeatable: string(args[0]) == "Q.ASK"}
+	return id, encodeCommand(toStrings(args)...)
 }
 
 // answer reads the answer to a request; an error: the connection has ended. Until is when those before it were due: it may wait
 // for them.
-func (s *soak) answer(in *bufio.Reader, id string, until *time.Time) error {
+func (s *soak) checkReply(in *bufio.Reader, id string, until *time.Time) error {
 	line, err := in.ReadString('\n')
 	if err == nil && line[0] == '$' {
 		var value string
@@ -127,25 +127,25 @@
 	r := s.requests[id]
 	if err != nil {
 		if !errors.Is(err, io.EOF) && !errors.Is(err, syscall.ECONNRESET) {
-			s.find("%s: %v", id, err)
+			s.addFinding("%s: %v", id, err)
 		}
 		return err
 	}
 	r.answered = true
-	if due := r.sent.Add(r.wait); due.After(*until) {
+	if due := r.sent.Add(r.timeout); due.After(*until) {
 		*until = due
 	}
-	if late := time.Since(*until); late > lateBy+soakNoise {
-		s.find("%s was answered %v after its time", id, late)
+	if late := time.Since(*until); late > lateAnswerGrace+schedulingSlack {
+		s.addFinding("%s was answered %v after its time", id, late)
 	}
-	if strings.HasPrefix(line, "-BUSY") && r.ran != "" && !r.again && time.Since(r.ranAt) > soakNoise {
-		s.find("%s may have run and was refused", id)
+	if strings.HasPrefix(line, "-BUSY") && r.ranIn != "" && !r.repeatable && time.Since(r.ranAt) > schedulingSlack {
+		s.addFinding("%s may have run and was refused", id)
 	}
 	return nil
 }
 
 // client keeps its connection for as long as the limiter does: some send many requests at once, some in pieces.
-func (s *soak) client(rng *rand.Rand, addr string) {
+func (s *soak) runClient(rng *rand.Rand, addr string) {
 	for {
 		select {
 		case <-s.stop:
@@ -157,14 +157,14 @@
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
-		s.use(rng, conn)
+		s.useConn(rng, conn)
 		_ = conn.Close()
 	}
 }
 
-func (s *soak) use(rng *rand.Rand, conn net.Conn) {
+func (s *soak) useConn(rng *rand.Rand, conn net.Conn) {
 	in := bufio.NewReader(conn)
-	_ = conn.SetDeadline(time.Now().Add(patience))
+	_ = conn.SetDeadline(time.Now().Add(testTimeout))
 	leaves := rng.IntN(3) == 0
 	for {
 		select {
@@ -174,7 +174,7 @@
 		}
 		ids, ends, all := []string{}, []int{}, ""
 		for range 1 + max(0, rng.IntN(12)-8)*3 {
-			id, words := s.request(rng)
+			id, words := s.newRequest(rng)
 			all += words
 			ids, ends = append(ids, id), append(ends, len(all))
 		}
@@ -200,14 +200,14 @@
 			_ = conn.Close()
 			s.mu.Lock()
 			for _, id := range ids {
-				s.requests[id].closed = time.Now()
+				s.requests[id].closedAt = time.Now()
 			}
 			s.mu.Unlock()
 			return
 		}
 		var until time.Time
 		for _, id := range ids {
-			if s.answer(in, id, &until) != nil {
+			if s.checkReply(in, id, &until) != nil {
 				return
 			}
 		}
@@ -215,41 +215,41 @@
 }
 
 // signals are sent in a series, the last of them for the end; between some the process stands still for a moment.
-func (s *soak) signals(l *standin.Limiter, told chan<- time.Time) {
+func (s *soak) sendSignals(l *standin.Limiter, told chan<- time.Time) {
 	send := func(signal syscall.Signal) { _ = l.Signal(signal) }
-	pause := func(most int) { time.Sleep(time.Duration(s.chance(most)) * time.Millisecond) }
-	for range s.chance(4) {
+	pause := func(most int) { time.Sleep(time.Duration(s.intN(most)) * time.Millisecond) }
+	for range s.intN(4) {
 		send(syscall.SIGHUP)
 		pause(40)
 	}
-	for range s.chance(3) {
+	for range s.intN(3) {
 		send(syscall.SIGSTOP)
 		pause(150)
 		send(syscall.SIGCONT)
 		pause(100)
 	}
 	s.mu.Lock()
-	s.hangs = s.rng.IntN(3) > 0
+	s.nodesHang = s.rng.IntN(3) > 0
 	s.mu.Unlock()
 	pause(100)
 	told <- time.Now()
 	send(syscall.SIGTERM)
-	for range s.chance(3) {
+	for range s.intN(3) {
 		pause(500)
-		send([]syscall.Signal{syscall.SIGHUP, syscall.SIGTERM}[s.chance(2)])
+		send([]syscall.Signal{syscall.SIGHUP, syscall.SIGTERM}[s.intN(2)])
 	}
 }
 
-func (s *soak) chance(most int) int {
+func (s *soak) intN(most int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.rng.IntN(most)
 }
 
 // crowd is idle clients that come again and again.
-func (s *soak) crowd(addr string) {
+func (s *soak) reconnectIdleCrowd(addr string) {
 	for {
-		for range soakCrowd {
+		for range crowdConnections {
 			if conn, err := net.Dial("tcp", addr); err == nil {
 				defer conn.Close()
 			}
@@ -262,49 +262,49 @@
 	}
 }
 
-func (s *soak) live() {
-	calls := second(s.t, (&others{answer: s.endpoint}).listenOn(s.t, 2)...)
+func (s *soak) run() {
+	calls := writeRateLimitFile(s.t, (&externalService{respond: s.respondByChance}).listenOn(s.t, 2)...)
 	s.fleet = startFleet(s.t, 4, func(f *fleet, _ int, config object) {
 		f.args = []string{"-log", "debug", "-ratelimit", calls}
 		set := config["settings"].(object)
-		class(set, 0, object{"deadline": s.deadline.Seconds(), "aim": s.deadline.Seconds() / 2})
-		class(set, 1, object{"deadline": s.deadline.Seconds(), "aim": s.deadline.Seconds() / 2, "semantics": s.effect})
+		changeClass(set, 0, object{"deadline": s.deadline.Seconds(), "aim": s.deadline.Seconds() / 2})
+		changeClass(set, 1, object{"deadline": s.deadline.Seconds(), "aim": s.deadline.Seconds() / 2, "semantics": s.semantics})
 		set["tariffs"] = []object{plan("regular", 1e5, 1e5, 0)}
 	}, nil)
 	for _, n := range s.world.Nodes {
-		n.Handle = s.handle
+		n.Handle = s.handleCommand
 	}
 	l := s.limiters[0]
 	crowded := s.seed%3 == 0
 	var clients sync.WaitGroup
 	for k := range 12 {
-		clients.Go(func() { s.client(rand.New(rand.NewPCG(s.seed, uint64(k))), l.Addr) })
+		clients.Go(func() { s.runClient(rand.New(rand.NewPCG(s.seed, uint64(k))), l.Addr) })
 	}
-	for k := range soakCallers {
-		clients.Go(func() { s.caller(rand.New(rand.NewPCG(s.seed, uint64(100+k))), l.GRPCAddr) })
+	for k := range soakCallerCount {
+		clients.Go(func() { s.runCaller(rand.New(rand.NewPCG(s.seed, uint64(100+k))), l.GRPCAddr) })
 	}
 	if crowded {
-		clients.Go(func() { s.crowd(l.Addr) })
+		clients.Go(func() { s.reconnectIdleCrowd(l.Addr) })
 	}
 	time.Sleep(1100 * time.Millisecond) // no SIGHUP comes in the first second
 	told := make(chan time.Time, 1)
-	clients.Go(func() { s.signals(l, told) })
-	killAt := (<-told).Add(min(s.deadline, longestCount) + killSlack)
+	clients.Go(func() { s.sendSignals(l, told) })
+	killAt := (<-told).Add(min(s.deadline, maxCountedDeadline) + killSlack)
 	select {
 	case <-l.Ended:
 	case <-time.After(time.Until(killAt)):
 		s.mu.Lock()
-		s.find("it stays until the kill")
+		s.addFinding("it stays until the kill")
 		s.mu.Unlock()
 		l.Kill()
 	}
 	close(s.stop)
 	clients.Wait()
-	s.judge(l)
+	s.checkResult(l)
 }
 
 // judge looks for what was taken and has no answer.
-func (s *soak) judge(l *standin.Limiter) {
+func (s *soak) checkResult(l *standin.Limiter) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	taken, answered := 0, 0
@@ -312,44 +312,44 @@
 		r := s.requests[m[1]]
 		if taken++; r != nil && r.answered {
 			answered++
-		} else if r == nil || r.closed.IsZero() {
-			s.find("%s was taken and has no answer; of its connection the log says:\n%s", m[1], ofItsConnection(l.Log(), m[1]))
+		} else if r == nil || r.closedAt.IsZero() {
+			s.addFinding("%s was taken and has no answer; of its connection the log says:\n%s", m[1], connectionLog(l.Log(), m[1]))
 		}
 	}
 	if code := l.Cmd.ProcessState.ExitCode(); code != 0 {
-		s.find("it ended with %d", code)
+		s.addFinding("it ended with %d", code)
 	}
 	if crash := l.Crashed(); crash != "" {
-		s.find("%s", crash)
+		s.addFinding("%s", crash)
 	}
 	found, _ := s.world.Audit.Findings()
 	s.findings = append(s.findings, found...)
 	s.t.Logf("seed %d: %d sent, %d taken, %d answered; %d calls with a verdict, %d whose time was over; %d findings", s.seed, len(s.requests), taken, answered,
-		s.verdicts, s.overdue, len(s.findings))
+		s.verdictCalls, s.timedOutCalls, len(s.findings))
 }
 
 // ofItsConnection is what the log says of the connection of a request, and of its tries.
-func ofItsConnection(log, id string) string {
-	var context, on, said string
+func connectionLog(log, id string) string {
+	var context, conn, lines string
 	for line := range strings.Lines(log) {
 		if strings.Contains(line, "id="+id+" ") {
 			context, _, _ = strings.Cut(line[max(0, strings.Index(line, "context=")):], " ")
-			on = strings.TrimSpace(line[strings.LastIndex(line, "on="):])
+			conn = strings.TrimSpace(line[strings.LastIndex(line, "on="):])
 			break
 		}
 	}
 	for line := range strings.Lines(log) {
-		if on != "" && strings.HasSuffix(strings.TrimSpace(line), on) || context != "" && strings.Contains(line, context+" ") || strings.Contains(line, "draining") {
-			said += line
+		if conn != "" && strings.HasSuffix(strings.TrimSpace(line), conn) || context != "" && strings.Contains(line, context+" ") || strings.Contains(line, "draining") {
+			lines += line
 		}
 	}
-	return said
+	return lines
 }
 
 // A limiter lives under clients that go on until the kill, reloads, moments in which it stands still, a planned restart with nodes
 // that hang, and sometimes a crowd: whatever it took has its answer, in time, and nothing leaves that must not.
 func TestSoak(t *testing.T) {
-	first, seeds := soakFirst, soakSeeds
+	first, seeds := firstSoakSeed, soakSeeds
 	if text := os.Getenv("BRAMBLEFALL_SOAK"); text != "" {
 		var err error
 		seeds, err = strconv.Atoi(text)
@@ -360,7 +360,7 @@
 		first, err = strconv.Atoi(text)
 		require.NoError(t, err)
 	}
-	places := make(chan struct{}, soakAtOnce)
+	places := make(chan struct{}, concurrentSoaks)
 	t.Run("seeds", func(t *testing.T) {
 		for seed := first; seed < first+seeds; seed++ {
 			t.Run(strconv.Itoa(seed), func(t *testing.T) {
@@ -369,8 +369,8 @@
 				defer func() { <-places }()
 				rng := rand.New(rand.NewPCG(uint64(seed), 1))
 				s := &soak{t: t, rng: rng, seed: uint64(seed), deadline: time.Duration(1+rng.IntN(6)) * time.Second,
-					effect: []string{"guarded", "single_shot"}[rng.IntN(2)], stop: make(chan struct{}), requests: map[string]*soaked{}}
-				s.live()
+					semantics: []string{"guarded", "single_shot"}[rng.IntN(2)], stop: make(chan struct{}), requests: map[string]*trackedRequest{}}
+				s.run()
 				require.Empty(t, s.findings, strings.Join(s.findings, "\n"))
 			})
 		}
