--- a/cmd/bramblefall/syscalls_test.go
+++ b/cmd/bramblefall/syscalls_test.go
@@ -26,19 +26,19 @@
 // (seccomp's user notification, which takes no privilege) and the test lets it pass or names an error.
 
 // failing says which calls fail: number is the call's, nth counts those on its first argument from 1. 0 lets it pass.
-type failing func(number int32, argument uint64, nth int) syscall.Errno
+type syscallErrorFunc func(number int32, argument uint64, nth int) syscall.Errno
 
 const (
-	filterVariable = "BRAMBLEFALL_TEST_FILTER" // set where this binary is to filter itself and become the program
-	filterPipe     = 3                         // the descriptor on which it hands over the kernel's questions
+	filterEnv = "BRAMBLEFALL_TEST_FILTER" // set where this binary is to filter itself and become the program
+	filterFD     = 3                         // the descriptor on which it hands over the kernel's questions
 
 	notifyReceive  = 0xc0502100 // SECCOMP_IOCTL_NOTIF_RECV
 	notifySend     = 0xc0182101 // SECCOMP_IOCTL_NOTIF_SEND
 	notifyContinue = 1          // SECCOMP_USER_NOTIF_FLAG_CONTINUE
-	waitKillable   = 1 << 5     // SECCOMP_FILTER_FLAG_WAIT_KILLABLE_RECV
+	filterWaitKillable   = 1 << 5     // SECCOMP_FILTER_FLAG_WAIT_KILLABLE_RECV
 )
 
-var filtered = []uint32{unix.SYS_ACCEPT4, unix.SYS_CONNECT, unix.SYS_SOCKET, unix.SYS_FSYNC, unix.SYS_POLL, unix.SYS_READV}
+var filteredSyscalls = []uint32{unix.SYS_ACCEPT4, unix.SYS_CONNECT, unix.SYS_SOCKET, unix.SYS_FSYNC, unix.SYS_POLL, unix.SYS_READV}
 
 type notification struct {
 	ID    uint64
@@ -58,11 +58,11 @@
 }
 
 // becomeFiltered installs the filter, hands its descriptor over and becomes the program that the arguments name.
-func becomeFiltered() error {
+func execFiltered() error {
 	runtime.LockOSThread()
 	program := []unix.SockFilter{{Code: unix.BPF_LD | unix.BPF_W | unix.BPF_ABS}}
-	for k, number := range filtered {
-		program = append(program, unix.SockFilter{Code: unix.BPF_JMP | unix.BPF_JEQ | unix.BPF_K, Jt: uint8(len(filtered) - k), K: number})
+	for k, number := range filteredSyscalls {
+		program = append(program, unix.SockFilter{Code: unix.BPF_JMP | unix.BPF_JEQ | unix.BPF_K, Jt: uint8(len(filteredSyscalls) - k), K: number})
 	}
 	program = append(program, unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K, K: unix.SECCOMP_RET_ALLOW},
 		unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K, K: unix.SECCOMP_RET_USER_NOTIF})
@@ -71,19 +71,19 @@
 		return err
 	}
 	fd, _, errno := unix.Syscall(unix.SYS_SECCOMP, unix.SECCOMP_SET_MODE_FILTER,
-		unix.SECCOMP_FILTER_FLAG_NEW_LISTENER|waitKillable, uintptr(unsafe.Pointer(&filter)))
+		unix.SECCOMP_FILTER_FLAG_NEW_LISTENER|filterWaitKillable, uintptr(unsafe.Pointer(&filter)))
 	if errno != 0 {
 		return errno
 	}
-	if err := unix.Sendmsg(filterPipe, []byte{0}, unix.UnixRights(int(fd)), nil, 0); err != nil {
+	if err := unix.Sendmsg(filterFD, []byte{0}, unix.UnixRights(int(fd)), nil, 0); err != nil {
 		return err
 	}
-	_, _ = unix.Close(filterPipe), unix.Close(int(fd))
+	_, _ = unix.Close(filterFD), unix.Close(int(fd))
 	return syscall.Exec(os.Args[1], os.Args[1:], os.Environ())
 }
 
 // filter makes a command's process one whose calls are asked about, until the test ends.
-func filter(t *testing.T, cmd *exec.Cmd, fails failing) {
+func filterSyscalls(t *testing.T, cmd *exec.Cmd, errnoFor syscallErrorFunc) {
 	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	require.NoError(t, err)
 	ours, theirs := os.NewFile(uintptr(pair[0]), "ours"), os.NewFile(uintptr(pair[1]), "theirs")
@@ -92,7 +92,7 @@
 	if cmd.Env == nil {
 		cmd.Env = os.Environ()
 	}
-	cmd.Env = append(cmd.Env, filterVariable+"=1")
+	cmd.Env = append(cmd.Env, filterEnv+"=1")
 	t.Cleanup(func() { _, _ = ours.Close(), theirs.Close() })
 	go func() {
 		rights := make([]byte, unix.CmsgSpace(4))
@@ -106,19 +106,19 @@
 		}
 		fds, err := unix.ParseUnixRights(&messages[0])
 		if err == nil {
-			answerNotifications(fds[0], fails)
+			answerNotifications(fds[0], errnoFor)
 		}
 	}()
 }
 
 // answerNotifications decides about each call until the process is over.
-func answerNotifications(fd int, fails failing) {
+func answerNotifications(fd int, errnoFor syscallErrorFunc) {
 	defer unix.Close(fd)
-	type site struct {
+	type callSite struct {
 		number   int32
 		argument uint64
 	}
-	times := map[site]int{}
+	counts := map[callSite]int{}
 	for {
 		polled := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
 		if _, err := unix.Poll(polled, -1); err != nil && !errors.Is(err, unix.EINTR) || polled[0].Revents&unix.POLLHUP != 0 {
@@ -128,34 +128,34 @@
 		if _, _, errno := unix.Syscall(unix.SYS_IOCTL, uintptr(fd), notifyReceive, uintptr(unsafe.Pointer(&n))); errno != 0 {
 			continue // the call was interrupted, and comes again
 		}
-		at := site{n.Nr, n.Args[0]}
+		key := callSite{n.Nr, n.Args[0]}
 		a := notificationAnswer{ID: n.ID, Flags: notifyContinue}
-		if errno := fails(n.Nr, n.Args[0], times[at]+1); errno != 0 {
+		if errno := errnoFor(n.Nr, n.Args[0], counts[key]+1); errno != 0 {
 			a.Flags, a.Error = 0, -int32(errno)
 		}
 		if _, _, errno := unix.Syscall(unix.SYS_IOCTL, uintptr(fd), notifySend, uintptr(unsafe.Pointer(&a))); errno == 0 {
-			times[at]++
+			counts[key]++
 		}
 	}
 }
 
 // Errors that accept(2) hands out for a moment: of the process or the system, and of the connection that is taken.
-var acceptErrors = []syscall.Errno{syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
+var transientAcceptErrors = []syscall.Errno{syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 	syscall.EPROTO, syscall.ENETDOWN, syscall.EHOSTUNREACH, syscall.ENETUNREACH}
 
 // An accept that fails, once or several times in a row, ends no listener: neither that of clients, nor of gRPC callers, nor of
 // operators. Who waits meanwhile is answered soon.
 func TestAcceptErrorsEndNoListener(t *testing.T) {
 	t.Parallel()
-	for _, errno := range acceptErrors {
+	for _, errno := range transientAcceptErrors {
 		for _, inARow := range []int{1, 5} {
 			t.Run(fmt.Sprintf("%s/%d", unix.ErrnoName(errno), inARow), func(t *testing.T) {
 				t.Parallel()
 				dir := t.TempDir()
 				socket := dir + "/admin.sock"
-				w := world{second: second(t), servers: []*server{newServer(t, "s-1", "hall-a", value("v"))},
-					operator: script(t, dir+"/operator.star", fmt.Sprintf("bramblefall(admin = admin(socket = %q))\n", socket)),
-					fails: func(number int32, _ uint64, nth int) syscall.Errno {
+				w := fixture{rateLimitFile: writeRateLimitFile(t), servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))},
+					operatorFile: writeScript(t, dir+"/operator.star", fmt.Sprintf("bramblefall(admin = admin(socket = %q))\n", socket)),
+					syscallErrors: func(number int32, _ uint64, nth int) syscall.Errno {
 						if number == unix.SYS_ACCEPT4 && nth <= inARow {
 							return errno
 						}
@@ -163,13 +163,13 @@
 					}}
 				l := start(t, w)
 				began := time.Now()
-				assert.Equal(t, "v", l.dial().do(ask("01")...))
+				assert.Equal(t, "v", l.dial().do(askArgs("01")...))
 				assert.Less(t, time.Since(began), time.Second)
-				answer, err := l.service().ShouldRateLimit(inTime(t), call(of("1")))
+				answer, err := l.rateLimitClient().ShouldRateLimit(testContext(t), rateLimitRequest(firmDescriptor("1")))
 				require.NoError(t, err)
-				assert.Equal(t, within, answer.GetOverallCode())
-				cli(t, 0, "plans", "list", "--socket", socket)
-				assert.Equal(t, "v", l.dial().do(ask("02")...))
+				assert.Equal(t, verdictOK, answer.GetOverallCode())
+				runCLI(t, 0, "plans", "list", "--socket", socket)
+				assert.Equal(t, "v", l.dial().do(askArgs("02")...))
 			})
 		}
 	}
@@ -195,7 +195,7 @@
 			t.Parallel()
 			var mu sync.Mutex
 			left := 0
-			w := world{servers: []*server{newServer(t, "s-1", "hall-a", value("v"))}, fails: func(number int32, _ uint64, _ int) syscall.Errno {
+			w := fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}, syscallErrors: func(number int32, _ uint64, _ int) syscall.Errno {
 				mu.Lock()
 				defer mu.Unlock()
 				if number != where.number || left == 0 {
@@ -211,7 +211,7 @@
 				mu.Lock()
 				left = 2
 				mu.Unlock()
-				post := post(fmt.Sprintf("0%d", round))
+				post := doArgs(fmt.Sprintf("0%d", round))
 				post[3] = strings.Replace(post[3], "spread=1", "spread=2", 1)
 				assert.Equal(t, "v", l.dial().do(post...), "round %d", round)
 				time.Sleep(50 * time.Millisecond)
@@ -230,9 +230,9 @@
 			var mu sync.Mutex
 			sockets := 0
 			dir := t.TempDir()
-			l := start(t, world{second: second(t), servers: []*server{newServer(t, "s-1", "hall-a", value("v"))},
-				operator: script(t, dir+"/operator.star", fmt.Sprintf("bramblefall(admin = admin(socket = %q))\n", dir+"/admin.sock")),
-				fails: func(number int32, _ uint64, _ int) syscall.Errno {
+			l := start(t, fixture{rateLimitFile: writeRateLimitFile(t), servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))},
+				operatorFile: writeScript(t, dir+"/operator.star", fmt.Sprintf("bramblefall(admin = admin(socket = %q))\n", dir+"/admin.sock")),
+				syscallErrors: func(number int32, _ uint64, _ int) syscall.Errno {
 					mu.Lock()
 					defer mu.Unlock()
 					if number != unix.SYS_SOCKET {
@@ -243,7 +243,7 @@
 					}
 					return errno
 				}})
-			assert.Equal(t, "v", l.dial().do(ask("01")...))
+			assert.Equal(t, "v", l.dial().do(askArgs("01")...))
 		})
 	}
 }
@@ -252,7 +252,7 @@
 // the end of a planned restart.
 func TestInterruptedQuestionsAreAskedAgain(t *testing.T) {
 	t.Parallel()
-	interrupted := func() failing {
+	interrupted := func() syscallErrorFunc {
 		var polls atomic.Int64
 		return func(number int32, _ uint64, _ int) syscall.Errno {
 			if number == unix.SYS_POLL && polls.Add(1)%2 == 1 {
@@ -263,23 +263,23 @@
 	}
 	t.Run("has the client gone", func(t *testing.T) {
 		t.Parallel()
-		s := newServer(t, "s-1", "hall-a", value("v"))
-		l := start(t, world{servers: []*server{s}, fails: interrupted()})
-		l.stopped(2*goneAfter, func() {
+		s := newServer(t, "s-1", "hall-a", replyValue("v"))
+		l := start(t, fixture{servers: []*server{s}, syscallErrors: interrupted()})
+		l.whileStopped(2*clientGoneGrace, func() {
 			for n := range 20 {
 				c := l.dial()
-				c.write(command(ask(fmt.Sprintf("%02x", n))...))
+				c.write(encodeCommand(askArgs(fmt.Sprintf("%02x", n))...))
 				require.NoError(t, c.conn.Close())
 			}
-			time.Sleep(2 * goneAfter)
+			time.Sleep(2 * clientGoneGrace)
 		})
-		assert.Equal(t, "v", l.dial().do(ask("ff")...))
+		assert.Equal(t, "v", l.dial().do(askArgs("ff")...))
 		time.Sleep(200 * time.Millisecond)
-		assert.Len(t, s.seen(), 1, "requests that nobody waits for")
+		assert.Len(t, s.received(), 1, "requests that nobody waits for")
 	})
 	t.Run("does a connection wait", func(t *testing.T) {
 		t.Parallel()
-		start(t, world{servers: []*server{newServer(t, "s-1", "hall-a", value("v"))}, fails: interrupted()}).answersItsQueue()
+		start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}, syscallErrors: interrupted()}).checkQueuedRequestsAnswered()
 	})
 }
 
@@ -297,11 +297,11 @@
 				if args[2] == "01" {
 					_, _ = io.WriteString(conn, "*3\r\n") // the beginning of an answer
 				} else {
-					value("v")(conn, args)
+					replyValue("v")(conn, args)
 				}
 			})
-			w := world{settings: class(settings(), 1, object{"semantics": "single_shot"}), servers: []*server{s},
-				fails: func(number int32, fd uint64, _ int) syscall.Errno {
+			w := fixture{settings: changeClass(settings(), 1, object{"semantics": "single_shot"}), servers: []*server{s},
+				syscallErrors: func(number int32, fd uint64, _ int) syscall.Errno {
 					mu.Lock()
 					defer mu.Unlock()
 					if number != unix.SYS_READV {
@@ -318,9 +318,9 @@
 				}}
 			l := start(t, w)
 			c := l.dial()
-			assert.Equal(t, "-ERR failed", c.do(post("01")...))
-			assert.Len(t, s.seen(), 1)
-			assert.Equal(t, "v", c.do(post("02")...))
+			assert.Equal(t, "-ERR failed", c.do(doArgs("01")...))
+			assert.Len(t, s.received(), 1)
+			assert.Equal(t, "v", c.do(doArgs("02")...))
 		})
 	}
 }
@@ -329,16 +329,16 @@
 // size.
 func TestDialsThatFailAtTheStartDelayNoList(t *testing.T) {
 	t.Parallel()
-	w, left, line := moved(t)
+	w, left, line := drainedServerFixture(t)
 	w.settings = settings()
 	w.settings["balancers"] = 80
-	w.registry = agent(t, func(_ int, conn net.Conn) {
-		_, _ = conn.Write([]byte(chunked + chunk(line)))
-		until(conn)
+	w.registry = newAgent(t, func(_ int, conn net.Conn) {
+		_, _ = conn.Write([]byte(chunkedHeader + chunk(line)))
+		waitForClose(conn)
 	})
 	var first atomic.Int64
 	began := time.Now()
-	w.fails = func(number int32, _ uint64, _ int) syscall.Errno {
+	w.syscallErrors = func(number int32, _ uint64, _ int) syscall.Errno {
 		if number != unix.SYS_CONNECT {
 			return 0
 		}
@@ -348,6 +348,6 @@
 		}
 		return 0
 	}
-	assert.Equal(t, "new", start(t, w).dial().do(ask("01")...))
-	assert.Empty(t, left.seen())
+	assert.Equal(t, "new", start(t, w).dial().do(askArgs("01")...))
+	assert.Empty(t, left.received())
 }
--- a/cmd/bramblefall/terms_test.go
+++ b/cmd/bramblefall/terms_test.go
@@ -24,14 +24,14 @@
 
 // Terms of the operators' pages at their limits, where no other file has them.
 
-const deadlineSlack = 150 * time.Millisecond // that a told deadline may be over what the client has left
+const maxDeadlineExcess = 150 * time.Millisecond // that a told deadline may be over what the client has left
 
-var toldDeadline = regexp.MustCompile(`\bd=([0-9]+)`)
+var deadlineField = regexp.MustCompile(`\bd=([0-9]+)`)
 
 // told is the deadline that a command tells its server.
-func told(t *testing.T, args []string) time.Duration {
+func sentDeadline(t *testing.T, args []string) time.Duration {
 	require.Len(t, args, 5, "%q", args)
-	found := toldDeadline.FindStringSubmatch(args[3])
+	found := deadlineField.FindStringSubmatch(args[3])
 	require.NotNil(t, found, args[3])
 	ms, err := strconv.Atoi(found[1])
 	require.NoError(t, err)
@@ -47,26 +47,26 @@
 			t.Parallel()
 			set := settings()
 			set["caps"].(object)["connectTimeout"] = 8.0
-			d := newDoor(t)
-			c := start(t, world{settings: set, servers: []*server{{id: "s-1", zone: "hall-a", state: "ready", addr: d.addr}}}).dial()
+			d := newGatedListener(t)
+			c := start(t, fixture{settings: set, servers: []*server{{id: "s-1", zone: "hall-a", state: "ready", addr: d.addr}}}).dial()
 			if !again {
-				d.shut()
+				d.fillBacklog()
 			}
 			sent := time.Now()
-			c.write(command(post("01")...)) // of a class that is given all of its time at the first attempt
+			c.write(encodeCommand(doArgs("01")...)) // of a class that is given all of its time at the first attempt
 			if again {
 				first := d.accept()
 				require.NotNil(t, readCommand(first))
-				d.shut()
+				d.fillBacklog()
 				_, err := first.Write([]byte("-ERR failed\r\n"))
 				require.NoError(t, err)
 			}
-			d.knocked()
+			d.waitForPendingDial()
 			_ = d.accept() // the one that filled the queue: the kernel asks again about a second after it had asked first
 			late := d.accept()
 			left := 6*time.Second - time.Since(sent)
 			require.Less(t, left, 5500*time.Millisecond, "the connection came up too early for this test")
-			assert.LessOrEqual(t, told(t, readCommand(late)), left+deadlineSlack)
+			assert.LessOrEqual(t, sentDeadline(t, readCommand(late)), left+maxDeadlineExcess)
 		})
 	}
 }
@@ -74,14 +74,14 @@
 // A client that sends without a pause, in pieces that each end in the middle of a command, is none that stops in the middle.
 func TestPiecesThatEndInTheMiddleAreNoStop(t *testing.T) {
 	t.Parallel()
-	c := start(t, world{servers: []*server{newServer(t, "s-1", "hall-a", value("v"))}}).dial()
-	next := func(n int) string { return command(ask(fmt.Sprintf("%04x", n))...) }
+	c := start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}}).dial()
+	next := func(n int) string { return encodeCommand(askArgs(fmt.Sprintf("%04x", n))...) }
 	half := len(next(0)) / 2
 	c.write(next(0)[:half])
 	for n := range 35 {
 		time.Sleep(100 * time.Millisecond)
 		c.write(next(n)[half:] + next(n + 1)[:half])
-		require.Equal(t, "v", c.answer(), "request %d", n)
+		require.Equal(t, "v", c.readReply(), "request %d", n)
 	}
 }
 
@@ -93,7 +93,7 @@
 		"many large answers that are read late": func(t *testing.T, c *client, release func()) int {
 			var all strings.Builder
 			for n := range 80 {
-				all.WriteString(command(ask(fmt.Sprintf("large%04x", n))...))
+				all.WriteString(encodeCommand(askArgs(fmt.Sprintf("large%04x", n))...))
 			}
 			c.write(all.String())
 			release()
@@ -101,14 +101,14 @@
 			return 80
 		},
 		"errors to the limit, and a request behind them": func(t *testing.T, c *client, release func()) int {
-			c.write(strings.Repeat(command("NONSENSE"), 64) + command(ask("01")...))
+			c.write(strings.Repeat(encodeCommand("NONSENSE"), 64) + encodeCommand(askArgs("01")...))
 			release()
 			return 65
 		},
 		"more commands than wait and are refused": func(t *testing.T, c *client, release func()) int {
 			var all strings.Builder
 			for n := range 10000 {
-				all.WriteString(command(ask(fmt.Sprintf("%04x", n))...))
+				all.WriteString(encodeCommand(askArgs(fmt.Sprintf("%04x", n))...))
 			}
 			go func() { _, _ = io.WriteString(c.conn, all.String()) }()
 			time.Sleep(500 * time.Millisecond)
@@ -119,7 +119,7 @@
 			const all = 40000
 			var ahead strings.Builder
 			for n := range all {
-				ahead.WriteString(command(ask(fmt.Sprintf("%04x", n))...))
+				ahead.WriteString(encodeCommand(askArgs(fmt.Sprintf("%04x", n))...))
 			}
 			go func() { _, _ = io.WriteString(c.conn, ahead.String()) }()
 			time.Sleep(500 * time.Millisecond)
@@ -133,16 +133,16 @@
 			s := newServer(t, "s-1", "hall-a", func(conn net.Conn, args []string) {
 				<-held
 				if strings.HasPrefix(args[2], "large") {
-					value(large)(conn, args)
+					replyValue(large)(conn, args)
 				} else {
-					value("v")(conn, args)
+					replyValue("v")(conn, args)
 				}
 			})
 			set := settings()
 			set["tariffs"].([]object)[0]["perSecond"], set["tariffs"].([]object)[0]["depth"] = 1e5, 1e5
-			c := start(t, world{settings: set, servers: []*server{s}}).dial()
+			c := start(t, fixture{settings: set, servers: []*server{s}}).dial()
 			for range play(t, c, func() { close(held) }) {
-				_ = c.answer() // fails the test where the connection has ended
+				_ = c.readReply() // fails the test where the connection has ended
 			}
 		})
 	}
@@ -156,14 +156,14 @@
 	held := make(chan struct{})
 	s := newServer(t, "s-1", "hall-a", func(conn net.Conn, args []string) {
 		<-held
-		value("v")(conn, args)
+		replyValue("v")(conn, args)
 	})
 	set := settings()
 	set["tariffs"].([]object)[0]["perSecond"], set["tariffs"].([]object)[0]["depth"] = 1e5, 1e5
-	c := start(t, world{settings: set, servers: []*server{s}}).dial()
+	c := start(t, fixture{settings: set, servers: []*server{s}}).dial()
 	var all strings.Builder
 	for n := range waiting + refused {
-		all.WriteString(command(ask(fmt.Sprintf("%04x", n))...))
+		all.WriteString(encodeCommand(askArgs(fmt.Sprintf("%04x", n))...))
 	}
 	c.write(all.String())
 	time.Sleep(300 * time.Millisecond) // they wait by now
@@ -171,13 +171,13 @@
 	time.Sleep(300 * time.Millisecond)
 	close(held)
 	for n := range waiting {
-		require.Regexp(t, "^(v|-BUSY.*|-ERR failed)$", c.answer(), "command %d", n)
+		require.Regexp(t, "^(v|-BUSY.*|-ERR failed)$", c.readReply(), "command %d", n)
 	}
 	for n := range refused {
-		require.Regexp(t, "^-BUSY", c.answer(), "command %d", waiting+n)
+		require.Regexp(t, "^-BUSY", c.readReply(), "command %d", waiting+n)
 	}
-	require.Regexp(t, "^-ERR ", c.answer())
-	c.ended()
+	require.Regexp(t, "^-ERR ", c.readReply())
+	c.expectClosed()
 }
 
 // A new connection for which there is no room is shut unread: its client is sure that its request was not taken.
@@ -186,17 +186,17 @@
 	held := make(chan struct{})
 	defer close(held)
 	s := newServer(t, "s-1", "hall-a", func(net.Conn, []string) { <-held })
-	l := start(t, world{servers: []*server{s}})
+	l := start(t, fixture{servers: []*server{s}})
 	const room = 32 // clients, of 128 descriptors
 	for n := range room {
-		l.dial().write(command(ask(fmt.Sprintf("%02x", n))...))
+		l.dial().write(encodeCommand(askArgs(fmt.Sprintf("%02x", n))...))
 	}
-	require.Eventually(t, func() bool { return len(s.seen()) >= room/2 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return len(s.received()) >= room/2 }, testTimeout, time.Millisecond)
 	var late []*client
-	l.stopped(100*time.Millisecond, func() {
+	l.whileStopped(100*time.Millisecond, func() {
 		for n := range 3 {
 			c := l.dial()
-			c.write(command(ask(fmt.Sprintf("late%d", n))...))
+			c.write(encodeCommand(askArgs(fmt.Sprintf("late%d", n))...))
 			late = append(late, c)
 		}
 	})
@@ -210,44 +210,44 @@
 // their calls answered.
 func TestAPlannedRestartTakesLateCallers(t *testing.T) {
 	t.Parallel()
-	l := start(t, world{second: second(t), servers: []*server{newServer(t, "s-1", "hall-a", value("v"))}})
-	known := l.service()
-	_, err := known.ShouldRateLimit(inTime(t), call(of("1")))
+	l := start(t, fixture{rateLimitFile: writeRateLimitFile(t), servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}})
+	known := l.rateLimitClient()
+	_, err := known.ShouldRateLimit(testContext(t), rateLimitRequest(firmDescriptor("1")))
 	require.NoError(t, err)
 	l.terminate()
-	l.says("msg=draining")
+	l.waitForLog("msg=draining")
 	for until := time.Now().Add(350 * time.Millisecond); time.Now().Before(until); time.Sleep(50 * time.Millisecond) {
-		_, err := l.service().ShouldRateLimit(inTime(t), call(of("1")))
+		_, err := l.rateLimitClient().ShouldRateLimit(testContext(t), rateLimitRequest(firmDescriptor("1")))
 		require.NoError(t, err, "a new connection")
-		_, err = known.ShouldRateLimit(inTime(t), call(of("1")))
+		_, err = known.ShouldRateLimit(testContext(t), rateLimitRequest(firmDescriptor("1")))
 		require.NoError(t, err, "an open connection")
 	}
-	l.leaves()
+	l.waitForCleanExit()
 }
 
 // lateEndpoint is an endpoint whose connections are of use only when ready is closed: HTTP/2 begins with its settings.
-type lateEndpoint struct {
+type delayedEndpoint struct {
 	addr  string
 	calls atomic.Int64 // that have begun
 	conns atomic.Int64
 }
 
 const (
-	http2Preface  = 24 // bytes
-	http2Head     = 9  // of a frame
-	http2Headers  = 1  // the kind of frame that begins a call
-	http2Settings = "\x00\x00\x00\x04\x00\x00\x00\x00\x00"
+	http2PrefaceBytes  = 24 // bytes
+	http2FrameHeaderBytes     = 9  // of a frame
+	http2HeadersFrame  = 1  // the kind of frame that begins a call
+	http2EmptySettings = "\x00\x00\x00\x04\x00\x00\x00\x00\x00"
 )
 
 // newLateEndpoint calls begins before each connection is of use, and begun when a call has begun; that may end the connection.
-func newLateEndpoint(t *testing.T, begins func(nth int64), begun func(conn net.Conn)) *lateEndpoint {
-	e := &lateEndpoint{}
-	e.addr = acceptOn(t, func(conn net.Conn) {
-		begins(e.conns.Add(1))
-		_, _ = io.WriteString(conn, http2Settings)
+func newDelayedEndpoint(t *testing.T, beforeUse func(nth int64), onCall func(conn net.Conn)) *delayedEndpoint {
+	e := &delayedEndpoint{}
+	e.addr = serveConns(t, func(conn net.Conn) {
+		beforeUse(e.conns.Add(1))
+		_, _ = io.WriteString(conn, http2EmptySettings)
 		in := bufio.NewReader(conn)
-		_, _ = io.CopyN(io.Discard, in, http2Preface)
-		for head := make([]byte, http2Head); ; {
+		_, _ = io.CopyN(io.Discard, in, http2PrefaceBytes)
+		for head := make([]byte, http2FrameHeaderBytes); ; {
 			if _, err := io.ReadFull(in, head); err != nil {
 				return
 			}
@@ -255,9 +255,9 @@
 			if _, err := io.CopyN(io.Discard, in, size); err != nil {
 				return
 			}
-			if head[3] == http2Headers {
+			if head[3] == http2HeadersFrame {
 				e.calls.Add(1)
-				begun(conn)
+				onCall(conn)
 			}
 		}
 	})
@@ -270,21 +270,21 @@
 	t.Parallel()
 	const grace = 550 * time.Millisecond // 500, and 50 that every limit on sockets is longer
 	keyed := func() *rlsv3.RateLimitRequest {
-		return call(descriptor("firm", "1", "tier", "regular", "class", "transfer-post", "spread", "1", "first", "0"))
+		return rateLimitRequest(descriptor("firm", "1", "tier", "regular", "class", "transfer-post", "spread", "1", "first", "0"))
 	}
-	t.Run("a repeat after its window", aRepeatAfterItsWindow)
+	t.Run("a repeat after its window", testNoRetryAfterKeyWindow)
 	t.Run("waits for a connection", func(t *testing.T) {
 		t.Parallel()
-		left := newLateEndpoint(t, func(int64) { time.Sleep(grace + 200*time.Millisecond) }, func(net.Conn) {})
-		other := &others{answer: verdictOf(within)}
-		file := second(t, left.addr)
-		s := start(t, world{second: file}).service()
+		left := newDelayedEndpoint(t, func(int64) { time.Sleep(grace + 200*time.Millisecond) }, func(net.Conn) {})
+		other := &externalService{respond: respondWith(verdictOK)}
+		file := writeRateLimitFile(t, left.addr)
+		s := start(t, fixture{rateLimitFile: file}).rateLimitClient()
 		done := make(chan error, 1)
 		go func() {
-			_, err := s.ShouldRateLimit(inTime(t), keyed())
+			_, err := s.ShouldRateLimit(testContext(t), keyed())
 			done <- err
 		}()
-		require.Eventually(t, func() bool { return left.conns.Load() > 0 }, patience, time.Millisecond)
+		require.Eventually(t, func() bool { return left.conns.Load() > 0 }, testTimeout, time.Millisecond)
 		writeEndpoints(t, filepath.Dir(file), 1, left.addr, other.listen(t))
 		require.NoError(t, await(t, done, "the verdict"))
 		time.Sleep(2 * grace)
@@ -292,10 +292,10 @@
 	})
 	t.Run("is made then", func(t *testing.T) {
 		t.Parallel()
-		a, b := &others{answer: verdictOf(within)}, &others{answer: verdictOf(within)}
+		a, b := &externalService{respond: respondWith(verdictOK)}, &externalService{respond: respondWith(verdictOK)}
 		first, then := a.listen(t), b.listen(t)
-		file := second(t, first, then)
-		s := start(t, world{second: file}).service()
+		file := writeRateLimitFile(t, first, then)
+		s := start(t, fixture{rateLimitFile: file}).rateLimitClient()
 		stop := make(chan struct{})
 		var callers sync.WaitGroup
 		for range 4 {
@@ -305,7 +305,7 @@
 					case <-stop:
 						return
 					case <-time.After(5 * time.Millisecond):
-						_, _ = s.ShouldRateLimit(inTime(t), keyed())
+						_, _ = s.ShouldRateLimit(testContext(t), keyed())
 					}
 				}
 			})
@@ -325,17 +325,17 @@
 }
 
 // aRepeatAfterItsWindow has a connection that is of use only after the window.
-func aRepeatAfterItsWindow(t *testing.T) {
+func testNoRetryAfterKeyWindow(t *testing.T) {
 	t.Parallel()
 	const window = 500 * time.Millisecond
-	set := class(settings(), 1, object{"keyTtl": window.Seconds()})
-	e := newLateEndpoint(t, func(nth int64) {
+	set := changeClass(settings(), 1, object{"keyTtl": window.Seconds()})
+	e := newDelayedEndpoint(t, func(nth int64) {
 		if nth > 1 {
 			time.Sleep(window + 200*time.Millisecond)
 		}
 	}, func(conn net.Conn) { _ = conn.Close() })
-	s := start(t, world{settings: set, second: second(t, e.addr)}).service()
-	_, err := s.ShouldRateLimit(inTime(t), call(descriptor("firm", "1", "tier", "regular", "class", "transfer-post", "spread", "1", "first", "0")))
+	s := start(t, fixture{settings: set, rateLimitFile: writeRateLimitFile(t, e.addr)}).rateLimitClient()
+	_, err := s.ShouldRateLimit(testContext(t), rateLimitRequest(descriptor("firm", "1", "tier", "regular", "class", "transfer-post", "spread", "1", "first", "0")))
 	require.Error(t, err)
 	time.Sleep(2 * window)
 	assert.EqualValues(t, 1, e.calls.Load(), "a repeat that no server drops any more")
@@ -350,14 +350,14 @@
 		for n := range 4 {
 			t.Run(fmt.Sprintf("same address %v/%d", same, n), func(t *testing.T) {
 				t.Parallel()
-				w, left, line := moved(t)
+				w, left, line := drainedServerFixture(t)
 				var opens atomic.Int64 // when the agent answers, in nanoseconds from its start; it refuses before
 				began := time.Now()
 				refuses := func(list string) *registry {
-					return agent(t, func(_ int, conn net.Conn) {
+					return newAgent(t, func(_ int, conn net.Conn) {
 						if time.Since(began) >= time.Duration(opens.Load()) {
-							_, _ = conn.Write([]byte(chunked + chunk(list)))
-							until(conn)
+							_, _ = conn.Write([]byte(chunkedHeader + chunk(list)))
+							waitForClose(conn)
 						}
 					})
 				}
@@ -376,12 +376,12 @@
 				opens.Store(int64(time.Since(began) + refusing))
 				l.reload(raw, "read the configuration anew")
 				time.Sleep(time.Until(told.Add(counts + grace)))
-				before := len(left.seen())
+				before := len(left.received())
 				for k := range 10 {
-					l.dial().write(command(ask(fmt.Sprintf("late%d", k))...))
+					l.dial().write(encodeCommand(askArgs(fmt.Sprintf("late%d", k))...))
 				}
 				time.Sleep(500 * time.Millisecond)
-				assert.Len(t, left.seen(), before, "sent to a server that drains")
+				assert.Len(t, left.received(), before, "sent to a server that drains")
 			})
 		}
 	}
@@ -393,44 +393,44 @@
 	t.Parallel()
 	const asked = 10
 	large := strings.Repeat("p", 60<<10)
-	c := start(t, world{servers: []*server{newServer(t, "s-1", "hall-a", value(large))}}).dial()
+	c := start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue(large))}}).dial()
 	require.NoError(t, c.conn.(*net.TCPConn).SetReadBuffer(4<<10))
 	for n := range asked {
-		c.write(command(ask(fmt.Sprintf("%02x", n))...))
+		c.write(encodeCommand(askArgs(fmt.Sprintf("%02x", n))...))
 	}
-	c.write(command("QUIT"))
+	c.write(encodeCommand("QUIT"))
 	for range 100 {
-		if _, err := io.WriteString(c.conn, command("PING")); err != nil {
+		if _, err := io.WriteString(c.conn, encodeCommand("PING")); err != nil {
 			break
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 	for n := range asked {
-		require.Equal(t, large, c.answer(), "answer %d", n)
+		require.Equal(t, large, c.readReply(), "answer %d", n)
 	}
-	require.Equal(t, "+OK", c.answer())
+	require.Equal(t, "+OK", c.readReply())
 }
 
 // A caller cancels while the process stands still, with its call unread before it: nothing of the call leaves.
 func TestNothingLeavesForACallerThatCancelledAStoppedProcess(t *testing.T) {
 	t.Parallel()
-	o := &others{answer: verdictOf(within)}
-	l := start(t, world{second: second(t, o.listen(t))})
-	s := l.service()
-	_, err := s.ShouldRateLimit(inTime(t), call(of("1")))
+	o := &externalService{respond: respondWith(verdictOK)}
+	l := start(t, fixture{rateLimitFile: writeRateLimitFile(t, o.listen(t))})
+	s := l.rateLimitClient()
+	_, err := s.ShouldRateLimit(testContext(t), rateLimitRequest(firmDescriptor("1")))
 	require.NoError(t, err)
 	for round := range 10 {
-		l.stopped(10*time.Millisecond, func() {
+		l.whileStopped(10*time.Millisecond, func() {
 			var callers sync.WaitGroup
 			for range 5 {
 				callers.Go(func() {
 					ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 					defer cancel()
-					_, _ = s.ShouldRateLimit(ctx, call(of("1")))
+					_, _ = s.ShouldRateLimit(ctx, rateLimitRequest(firmDescriptor("1")))
 				})
 			}
 			callers.Wait()
-			time.Sleep(2 * goneAfter)
+			time.Sleep(2 * clientGoneGrace)
 		})
 		time.Sleep(50 * time.Millisecond)
 		require.Equal(t, 1, o.calls(), "round %d", round)
@@ -445,18 +445,18 @@
 	for n := range 4 {
 		servers = append(servers, newServer(t, fmt.Sprintf("s-%d", n), "hall-a", func(conn net.Conn, args []string) {
 			time.Sleep(100 * time.Millisecond)
-			value("v")(conn, args)
+			replyValue("v")(conn, args)
 		}))
 	}
-	l := start(t, world{servers: servers})
+	l := start(t, fixture{servers: servers})
 	c := l.dial()
 	var all strings.Builder
 	for n := range requests {
-		all.WriteString(command(ask(fmt.Sprintf("%04x", n))...))
+		all.WriteString(encodeCommand(askArgs(fmt.Sprintf("%04x", n))...))
 	}
 	c.write(all.String())
 	for n := range requests {
-		require.Equal(t, "v", c.answer(), "request %d", n)
+		require.Equal(t, "v", c.readReply(), "request %d", n)
 	}
 	assert.NotContains(t, l.log.String(), "left out")
 }
@@ -466,7 +466,7 @@
 func TestAClientThatSendsOnAtOnceIsLetGoAtAPlannedRestart(t *testing.T) {
 	t.Parallel()
 	const clients, soon = 8, 1500 * time.Millisecond // they stop to be kept 0.45 s after SIGTERM
-	l := start(t, world{servers: []*server{newServer(t, "s-1", "hall-a", value("v"))}})
+	l := start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}})
 	var told atomic.Int64
 	began := time.Now()
 	var all sync.WaitGroup
@@ -474,7 +474,7 @@
 		c := l.dial()
 		all.Go(func() {
 			for n := 0; ; n++ {
-				_, err := io.WriteString(c.conn, command(ask(fmt.Sprintf("%d-%d", k, n))...))
+				_, err := io.WriteString(c.conn, encodeCommand(askArgs(fmt.Sprintf("%d-%d", k, n))...))
 				if err == nil {
 					_, err = c.in.ReadString('\n')
 				}
@@ -493,7 +493,7 @@
 	told.Store(int64(time.Since(began)))
 	l.terminate()
 	all.Wait()
-	l.leaves()
+	l.waitForCleanExit()
 }
 
 // Clients that never read what they were answered keep no room for good: after some seconds they make room for others.
@@ -501,24 +501,24 @@
 	t.Parallel()
 	const room = 32 // clients, of 128 descriptors
 	large := strings.Repeat("p", 64<<10)
-	l := start(t, world{servers: []*server{newServer(t, "s-1", "hall-a", value(large))}})
+	l := start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue(large))}})
 	for n := range room {
 		c := l.dial()
 		require.NoError(t, c.conn.(*net.TCPConn).SetReadBuffer(4<<10))
-		c.write(command(ask(fmt.Sprintf("%02x", n))...))
-		require.Equal(t, byte('$'), first(c), "client %d", n)
+		c.write(encodeCommand(askArgs(fmt.Sprintf("%02x", n))...))
+		require.Equal(t, byte('$'), firstByte(c), "client %d", n)
 	}
 	time.Sleep(5500 * time.Millisecond) // an answer that nobody has read by then is given up
 	require.Eventually(t, func() bool {
 		c := l.dial()
-		_, _ = io.WriteString(c.conn, command("PING"))
+		_, _ = io.WriteString(c.conn, encodeCommand("PING"))
 		line, _ := c.in.ReadString('\n')
 		return line == "+PONG\r\n"
-	}, patience/4, 50*time.Millisecond)
+	}, testTimeout/4, 50*time.Millisecond)
 }
 
 // first is the first byte of an answer of which the rest is not read.
-func first(c *client) byte {
+func firstByte(c *client) byte {
 	b, err := c.in.ReadByte()
 	require.NoError(c.t, err)
 	return b
--- a/cmd/bramblefall/wallclock_test.go
+++ b/cmd/bramblefall/wallclock_test.go
@@ -48,13 +48,13 @@
 	return append(os.Environ(), "LD_PRELOAD="+c.library, "BRAMBLEFALL_TEST_WALLCLOCK="+c.path)
 }
 
-var steps = map[string]time.Duration{"an hour on": time.Hour, "an hour back": -time.Hour, "seconds on": 7 * time.Second, "seconds back": -7 * time.Second}
+var clockSteps = map[string]time.Duration{"an hour on": time.Hour, "an hour back": -time.Hour, "seconds on": 7 * time.Second, "seconds back": -7 * time.Second}
 
 // busyServer answers after some milliseconds, so that several requests are out at a time.
-func busyServer(t *testing.T, id string) *server {
+func newSlowServer(t *testing.T, id string) *server {
 	return newServer(t, id, "hall-a", func(conn net.Conn, args []string) {
 		time.Sleep(5 * time.Millisecond)
-		value("v")(conn, args)
+		replyValue("v")(conn, args)
 	})
 }
 
@@ -63,37 +63,37 @@
 func TestAStepOfTheWallClockHidesNoColdServer(t *testing.T) {
 	t.Parallel()
 	const cold, requests, atOnce = 4 * time.Second, 400, 8
-	for name, by := range steps {
+	for name, by := range clockSteps {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			clock := newWallClock(t)
-			warm, fresh := busyServer(t, "s-1"), busyServer(t, "s-2")
+			warm, fresh := newSlowServer(t, "s-1"), newSlowServer(t, "s-2")
 			r := newRegistry(t)
-			r.tell(2, true, warm)
+			r.sendList(2, true, warm)
 			set := settings()
 			set["rules"].(object)["cold"] = cold.Seconds()
-			l := start(t, world{settings: set, servers: []*server{warm}, registry: r, clock: clock})
+			l := start(t, fixture{settings: set, servers: []*server{warm}, registry: r, clock: clock})
 			share := func(kind string) float64 {
-				before := len(fresh.seen())
+				before := len(fresh.received())
 				var clients sync.WaitGroup
 				for k := range atOnce {
 					clients.Go(func() {
 						c := l.dial()
 						for n := range requests / atOnce {
-							assert.Equal(t, "v", c.do(ask(fmt.Sprintf("%s%d-%d", kind, k, n))...))
+							assert.Equal(t, "v", c.do(askArgs(fmt.Sprintf("%s%d-%d", kind, k, n))...))
 						}
 					})
 				}
 				clients.Wait()
-				return float64(len(fresh.seen())-before) / requests
+				return float64(len(fresh.received())-before) / requests
 			}
 			share("before")
 			clock.step(by)
 			time.Sleep(50 * time.Millisecond)
 			began := time.Now()
-			entry := entries([]*server{fresh})
+			entry := serverEntries([]*server{fresh})
 			entry[0]["started_ms"] = clock.now().UnixMilli()
-			r.say(3, listLine(t, object{"version": 3, "full": false, "servers": entry}))
+			r.sendLine(3, marshalList(t, object{"version": 3, "full": false, "servers": entry}))
 			time.Sleep(50 * time.Millisecond)
 			assert.Less(t, share("cold"), 0.35, "a cold server that is taken for a warm one")
 			require.Less(t, time.Since(began), cold/2, "the machine was too busy for this test")
@@ -112,16 +112,16 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			clock, counter := newWallClock(t), newCounter(t)
-			s := newServer(t, "s-1", "hall-a", value("v"))
+			s := newServer(t, "s-1", "hall-a", replyValue("v"))
 			startAs := func(rank int) *limiter {
 				set := settings()
 				set["balancers"], set["rank"] = 2, rank
 				set["tariffs"].([]object)[0]["perSecond"], set["tariffs"].([]object)[0]["depth"] = 20, 40
-				return start(t, world{settings: set, servers: []*server{s}, counter: counter, clock: clock})
+				return start(t, fixture{settings: set, servers: []*server{s}, counter: counter, clock: clock})
 			}
 			through := []*limiter{startAs(0)}
 			first := through[0].dial()
-			require.Equal(t, "v", first.do(two("00")...))
+			require.Equal(t, "v", first.do(twoLimiterArgs("00")...))
 			clock.step(by)
 			through = append(through, startAs(1))
 			var clients sync.WaitGroup
@@ -133,12 +133,12 @@
 						case <-stop:
 							return
 						case <-time.After(100 * time.Millisecond):
-							l.dial().do(two(fmt.Sprintf("%d%06d", k, n))...)
+							l.dial().do(twoLimiterArgs(fmt.Sprintf("%d%06d", k, n))...)
 						}
 					}
 				})
 			}
-			assert.Eventually(t, func() bool { return counter.largest() >= both }, patience/2, 10*time.Millisecond)
+			assert.Eventually(t, func() bool { return counter.largestTotal() >= both }, testTimeout/2, 10*time.Millisecond)
 			close(stop)
 			clients.Wait()
 		})
@@ -146,17 +146,17 @@
 }
 
 // two is a request of a firm that comes through two limiters.
-func two(id string) []string {
-	args := ask(id)
+func twoLimiterArgs(id string) []string {
+	args := askArgs(id)
 	args[3] = strings.Replace(args[3], "spread=1", "spread=2", 1)
 	return args
 }
 
 // largest is the largest total of a name.
-func (c *quotaCounter) largest() (most float64) {
+func (c *quotaCounter) largestTotal() (most float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, total := range c.names {
+	for _, total := range c.totals {
 		most = max(most, total)
 	}
 	return most
@@ -167,17 +167,17 @@
 	t.Parallel()
 	dir := t.TempDir()
 	clock, socket := newWallClock(t), filepath.Join(dir, "admin.sock")
-	start(t, world{servers: []*server{newServer(t, "s-1", "hall-a", value("v"))}, clock: clock,
-		operator: script(t, filepath.Join(dir, "operator.star"), fmt.Sprintf("bramblefall(admin = admin(socket = %q))\n", socket))})
+	start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}, clock: clock,
+		operatorFile: writeScript(t, filepath.Join(dir, "operator.star"), fmt.Sprintf("bramblefall(admin = admin(socket = %q))\n", socket))})
 	effective := fmt.Sprintf("effective = time(%q),", clock.now().Add(30*time.Minute).UTC().Format(time.RFC3339))
-	cli(t, 0, "plans", "apply", script(t, filepath.Join(dir, "1.star"), versionFile(1, effective, "rate = 100, burst = 50")), "--socket", socket)
+	runCLI(t, 0, "plans", "apply", writeScript(t, filepath.Join(dir, "1.star"), planScript(1, effective, "rate = 100, burst = 50")), "--socket", socket)
 	list := func() string {
-		out, _ := cli(t, 0, "plans", "list", "--socket", socket)
+		out, _ := runCLI(t, 0, "plans", "list", "--socket", socket)
 		return out
 	}
 	require.Regexp(t, `1 +to come`, list())
 	clock.step(time.Hour)
-	require.Eventually(t, func() bool { return strings.Contains(list(), "in force") && !strings.Contains(list(), "to come") }, patience, 50*time.Millisecond)
+	require.Eventually(t, func() bool { return strings.Contains(list(), "in force") && !strings.Contains(list(), "to come") }, testTimeout, 50*time.Millisecond)
 	clock.step(-time.Hour)
 	time.Sleep(100 * time.Millisecond)
 	require.NotContains(t, list(), "to come", "what has come into force stays so")
