--- a/cmd/bramblefall/counters_test.go
+++ b/cmd/bramblefall/counters_test.go
@@ -52,7 +52,7 @@
 const configReloaded = `msg="read the configuration anew"`
 
 // A bad list is told in one line, with line and field, and the last good one goes on.
-func TestABadListOfCountersIsRefused(t *testing.T) {
+func TestInvalidCounterListIsRejected(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
 	c := newCounter(t)
@@ -80,7 +80,7 @@
 
 // The names go to all counters of the list, those of one that is gone cost no other, and the list may change at any time: to one
 // more, to one elsewhere, to the platform's again.
-func TestNamesAreDealtOutToTheListsCounters(t *testing.T) {
+func TestNamesAreSpreadOverTheListedCounters(t *testing.T) {
 	t.Parallel()
 	first, s := newCounter(t), newServer(t, "s-1", "hall-a", replyValue("v"))
 	limiters, files, _ := startThreeLimiters(t, 3, plan("regular", 3, 30, 0), first, s)
@@ -155,7 +155,7 @@
 // A quota that is used up stays used up when its names move to another counter, whatever becomes of the former one: it answers,
 // it is slow, it is gone, it is silent. One limiter used the quota; the others, which never heard of it, ask after the move. One of
 // them is killed in the middle of the move and starts anew.
-func TestAQuotaIsNotGivenTwiceAtAMove(t *testing.T) {
+func TestUsedQuotaStaysUsedWhenCountersChange(t *testing.T) {
 	t.Parallel()
 	for name, hurt := range map[string]func(c *quotaCounter){
 		"well":   func(*quotaCounter) {},
@@ -183,7 +183,7 @@
 }
 
 // Limiters hear of a list at different times: what those with one list have used, those with the other know.
-func TestLimitersWithDifferentListsShareAQuota(t *testing.T) {
+func TestLimitersWithDifferentCounterListsShareQuota(t *testing.T) {
 	t.Parallel()
 	for name, order := range map[string][]int{"the new list's uses it": {0, 1, 2}, "the former list's use it": {1, 2, 0}} {
 		t.Run(name, func(t *testing.T) {
@@ -201,7 +201,7 @@
 }
 
 // A former counter that is wiped in a move is not believed by a limiter that heard from it before.
-func TestACounterWipedInAMoveGivesNoQuotaAgain(t *testing.T) {
+func TestFormerCounterWipedDuringChangeGrantsNoQuotaTwice(t *testing.T) {
 	t.Parallel()
 	first, second := newCounter(t), newCounter(t)
 	limiters, files, _ := startMovedLimiters(t, first)
@@ -219,7 +219,7 @@
 }
 
 // A list that changes every second gives no quota twice, whichever limiter asks after each change.
-func TestAListThatChangesEverySecondGivesNoQuotaTwice(t *testing.T) {
+func TestCounterListChangedEverySecondGrantsNoQuotaTwice(t *testing.T) {
 	t.Parallel()
 	const changes = 6
 	first := newCounter(t)
--- a/cmd/bramblefall/crossing_test.go
+++ b/cmd/bramblefall/crossing_test.go
@@ -105,7 +105,7 @@
 
 // A repeat of a keyed request that was allowed when its server was chosen, on a connection that comes up when the window
 // is over: nothing of it leaves, and the client is told that nothing is promised.
-func TestARepeatDoesNotLeaveAfterItsWindow(t *testing.T) {
+func TestNoRetryAfterKeyWindow(t *testing.T) {
 	t.Parallel()
 	const window = 2 * time.Second // the kernel asks again after 1 and 3 s
 	set := changeClass(settings(), 1, object{"keyTtl": window.Seconds()})
@@ -131,7 +131,7 @@
 
 // A long answer on a slow connection that keeps moving is whole in the end; one that stops in the middle is given up long
 // before the try's own time is over.
-func TestProgressDecidesOnALongAnswer(t *testing.T) {
+func TestSlowReplyIsKeptWhileItProgresses(t *testing.T) {
 	t.Parallel()
 	for name, whole := range map[string]bool{"keeps moving": true, "stops": false} {
 		t.Run(name, func(t *testing.T) {
@@ -166,7 +166,7 @@
 
 // A client that sends more at once than may wait on a connection, and reads later: each command has its one answer, in its
 // place, and those that were taken are served.
-func TestAFloodOnOneConnectionLosesNothingThatWasTaken(t *testing.T) {
+func TestPipelineBeyondLimitAnswersEveryCommand(t *testing.T) {
 	t.Parallel()
 	const all = 3000
 	open := make(chan struct{})
@@ -229,7 +229,7 @@
 
 // What the agent has binds a new process from its first moment: with an old list known, nothing is served by it while the
 // agent's answer is on its way.
-func TestANewProcessWaitsForItsAgentBeforeItServes(t *testing.T) {
+func TestStartWaitsForDiscoveryBeforeServing(t *testing.T) {
 	t.Parallel()
 	w, left, line := drainedServerFixture(t)
 	w.registry = newAgent(t, func(_ int, conn net.Conn) {
@@ -242,7 +242,7 @@
 }
 
 // An agent that is silent, since discovery is down, holds no start up for long, and the old list serves meanwhile.
-func TestASilentAgentHoldsNoStartUp(t *testing.T) {
+func TestSilentDiscoveryDoesNotBlockStart(t *testing.T) {
 	t.Parallel()
 	s := newServer(t, "s-1", "hall-a", replyValue("v"))
 	w := fixture{servers: []*server{s}, registry: newAgent(t, func(_ int, conn net.Conn) { waitForClose(conn) })}
@@ -251,7 +251,7 @@
 
 // Another deployment's file at SIGHUP: its addresses are followed, and nothing of its settings is in force beside the old
 // ones. Which of them differ is logged in one line.
-func TestHalfOfAnotherDeploymentIsNotInForce(t *testing.T) {
+func TestReloadOfAnotherDeploymentsSettingsAppliesNone(t *testing.T) {
 	t.Parallel()
 	w := fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}, counter: newCounter(t)}
 	l := start(t, w)
@@ -278,7 +278,7 @@
 
 // A client that leaves while its request waits for a connection to a server, at its first try or after a failed one: nothing
 // of it leaves once that is up.
-func TestNothingLeavesForAClientThatLeftInADial(t *testing.T) {
+func TestNothingSentForClientGoneDuringDial(t *testing.T) {
 	t.Parallel()
 	for name, again := range map[string]bool{"first try": false, "between two tries": true} {
 		t.Run(name, func(t *testing.T) {
@@ -314,7 +314,7 @@
 // A process that stands still, as one without its share of a core does, while clients leave: by their ends alone, behind a whole
 // command that it has not read, and while a connection to a server comes up. Once it goes on, what it does first is up to the
 // scheduler, and in no order may anything of theirs leave.
-func TestNothingLeavesForClientsThatLeftAStoppedProcess(t *testing.T) {
+func TestNothingSentForClientsGoneWhileProcessStopped(t *testing.T) {
 	t.Parallel()
 	const many = 40
 	for name, dialling := range map[string]bool{"unread": false, "in a dial": true} {
@@ -372,7 +372,7 @@
 
 // Hundreds of clients that leave at once while their requests are held or queued: in order, with a reset, with half of the
 // next command, or with more commands than one. What is sent on afterwards is none of theirs.
-func TestNothingLeavesForABurstOfClientsThatLeft(t *testing.T) {
+func TestNothingSentForBurstOfGoneClients(t *testing.T) {
 	t.Parallel()
 	s := newServer(t, "s-1", "hall-a", func(conn net.Conn, args []string) {
 		if args[2] == "last" {
@@ -414,7 +414,7 @@
 
 // A line of the list is whole when its last byte has come, in whatever form the answer is: without a length, with one, in
 // chunks, indented, a byte at a time; and a reset behind it takes nothing of it back.
-func TestAWholeLineIsWholeInAnyForm(t *testing.T) {
+func TestListIsCompleteInAnyTransferForm(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		head   string
@@ -473,7 +473,7 @@
 }
 
 // SIGTERM while a new process waits for its agent's first word: nothing was accepted, and it ends with 0.
-func TestToldToEndBeforeClientsAreLetIn(t *testing.T) {
+func TestTerminateBeforeClientsAreAccepted(t *testing.T) {
 	t.Parallel()
 	asked := make(chan struct{})
 	w := fixture{settings: settings(), registry: newAgent(t, func(n int, conn net.Conn) {
@@ -491,7 +491,7 @@
 }
 
 // A client that leaves while the rest of its large command waits for a server that does not read: it is never whole.
-func TestALargeCommandIsNotFinishedForAClientThatLeft(t *testing.T) {
+func TestLargeCommandIsNotCompletedForGoneClient(t *testing.T) {
 	t.Parallel()
 	d := newGatedListener(t)
 	require.NoError(t, syscall.SetsockoptInt(d.fd, syscall.SOL_SOCKET, syscall.SO_RCVBUF, 2048)) // its connections inherit it
@@ -512,7 +512,7 @@
 
 // No descriptor is left for a connection to a server, by the system's word or by the limiter's own count: the servers are not to
 // blame and not left out, the request is refused as harmless, and once there is one it is served.
-func TestDescriptorsShortBlameNoServer(t *testing.T) {
+func TestDescriptorShortageEjectsNoServer(t *testing.T) {
 	t.Parallel()
 	limit := func(l *limiter, n uint64) {
 		var was unix.Rlimit
@@ -576,7 +576,7 @@
 // Hundreds of connections that say nothing, that bring a byte of a command, or that do not read what they asked for, many
 // more than there are descriptors: the limit holds at every moment, and another client that is turned away and comes again is
 // served.
-func TestAFloodOfConnectionsLeavesRoomForOthers(t *testing.T) {
+func TestConnectionFloodLeavesRoomForOthers(t *testing.T) {
 	t.Parallel()
 	s := newServer(t, "s-1", "hall-a", replyValue("v"))
 	l := start(t, fixture{servers: []*server{s}}) // 128 descriptors
@@ -600,7 +600,7 @@
 
 // The first line of an indented list is no word yet: nobody is let in while the rest of it is on its way, by the list that
 // was known before.
-func TestTheFirstLineOfAnIndentedListLetsNobodyIn(t *testing.T) {
+func TestFirstLineOfIndentedListAcceptsNoClients(t *testing.T) {
 	t.Parallel()
 	for range 10 { // a limiter lets clients in after a second whatever has come: a machine that stood still gives no verdict
 		w, left, line := drainedServerFixture(t)
--- a/cmd/bramblefall/disk_test.go
+++ b/cmd/bramblefall/disk_test.go
@@ -16,7 +16,7 @@
 
 // A lasting folder that fails for a while: what came into force meanwhile is on the disk once it works again, with no further
 // change, and a kill then loses nothing. Of a kill in the middle of a write nothing is left lying.
-func TestPlansAreKeptOnceTheDiskWorksAgain(t *testing.T) {
+func TestPlansAreSavedOnceDiskRecovers(t *testing.T) {
 	t.Parallel()
 	for _, errno := range []syscall.Errno{syscall.ENOSPC, syscall.EIO} {
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
--- a/cmd/bramblefall/drain_test.go
+++ b/cmd/bramblefall/drain_test.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	drainGraceSeconds   = 2.0             // seconds, in the settings of these tests
-	auditGrace = 3 * time.Second // for a busy machine; the old waits of discovery's client were over it
-	drainInterval   = 150 * time.Millisecond
-	restartDelay   = 4 * time.Second
-	drainTestDuration    = 10 * time.Second
+	drainGraceSeconds = 2.0             // seconds, in the settings of these tests
+	auditGrace        = 3 * time.Second // for a busy machine; the old waits of discovery's client were over it
+	drainInterval     = 150 * time.Millisecond
+	restartDelay      = 4 * time.Second
+	drainTestDuration = 10 * time.Second
 )
 
 // fleet is several limiters in one world, each with an agent of its own.
@@ -118,7 +118,7 @@
 
 // Lists break off, stop short or fall silent while servers drain and others start at their addresses. No limiter may
 // send to one that it was told drains or is gone, nor to one that no list has named to it.
-func TestDrainsHoldWhileListsBreakOff(t *testing.T) {
+func TestDrainingIsHonouredWhileListsBreakOff(t *testing.T) {
 	t.Parallel()
 	every := func(answer int) standin.Trouble { // second answer falls silent: an ask beside it gets the rest
 		if answer%2 == 0 {
--- a/cmd/bramblefall/elf_test.go
+++ b/cmd/bramblefall/elf_test.go
@@ -14,7 +14,7 @@
 
 // The days at size lead the limiter's sockets and clocks through a library loaded into the process: that works only
 // if the file that `build` leaves asks for the C library's loader.
-func TestTheBuildLinksTheCLibraryDynamically(t *testing.T) {
+func TestBuildLinksCLibraryDynamically(t *testing.T) {
 	root, err := filepath.Abs("../..")
 	require.NoError(t, err)
 	text, err := os.ReadFile(filepath.Join(root, "deploy", "balancer.toml"))
--- a/cmd/bramblefall/endpoints_test.go
+++ b/cmd/bramblefall/endpoints_test.go
@@ -16,7 +16,7 @@
 
 // An endpoint that leaves the group, in whatever way, may answer what it has: calls in hand are not cut off, and nothing new goes
 // there.
-func TestAnEndpointThatLeavesAnswersWhatItHas(t *testing.T) {
+func TestRemovedEndpointAnswersCallsInFlight(t *testing.T) {
 	t.Parallel()
 	for name, rest := range map[string]func(t *testing.T, leaves, stays string) object{
 		"it drains": func(t *testing.T, leaves, stays string) object {
@@ -35,13 +35,13 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			held := make(chan struct{})
-			leaves := &externalService{respond: func(context.Context, *rlsv3.RateLimitRequest) (*rlsv3.RateLimitResponse, error) {
+			leaves := &externalService{answer: func(context.Context, *rlsv3.RateLimitRequest) (*rlsv3.RateLimitResponse, error) {
 				<-held
 				return respondWith(verdictOK)(nil, nil)
 			}}
-			stays := &externalService{respond: respondWith(rlsv3.RateLimitResponse_OVER_LIMIT)}
+			stays := &externalService{answer: respondWith(rlsv3.RateLimitResponse_OVER_LIMIT)}
 			addr := leaves.listen(t)
-			file := writeRateLimitFile(t, addr)
+			file := rateLimitFile(t, addr)
 			l := start(t, fixture{rateLimitFile: file})
 			s := l.rateLimitClient()
 			verdicts := make(chan rlsv3.RateLimitResponse_Code, 1)
@@ -66,11 +66,11 @@
 }
 
 // An endpoint that two clusters name is ours as our cluster says: what becomes of it in the other changes nothing.
-func TestAnEndpointInTwoClusters(t *testing.T) {
+func TestEndpointInTwoClustersFollowsOurCluster(t *testing.T) {
 	t.Parallel()
-	a, b := &externalService{respond: respondWith(verdictOK)}, &externalService{respond: respondWith(verdictOK)}
+	a, b := &externalService{answer: respondWith(verdictOK)}, &externalService{answer: respondWith(verdictOK)}
 	first, then := a.listen(t), b.listen(t)
-	file := writeRateLimitFile(t, first)
+	file := rateLimitFile(t, first)
 	dir := filepath.Dir(file)
 	s := start(t, fixture{rateLimitFile: file}).rateLimitClient()
 	asks := func(n int) {
--- a/cmd/bramblefall/fault_test.go
+++ b/cmd/bramblefall/fault_test.go
@@ -23,11 +23,11 @@
 // (make faults plays 100,000), BRAMBLEFALL_SEED which ones.
 
 const (
-	scriptsPerPlan = 6000
-	concurrentScripts = 200
-	connIdleSeconds     = 1.0 // seconds: connections to nodes close themselves before the count of descriptors
-	maxRestGoroutines     = 48  // goroutines of a limiter at rest, with both fronts, over which there is a leak
-	maxRestDescriptors      = 20  // descriptors, likewise: streams, pollers, two listeners, watch, counter
+	scriptsPerPlan     = 6000
+	concurrentScripts  = 200
+	connIdleSeconds    = 1.0 // seconds: connections to nodes close themselves before the count of descriptors
+	maxRestGoroutines  = 48  // goroutines of a limiter at rest, with both fronts, over which there is a leak
+	maxRestDescriptors = 20  // descriptors, likewise: streams, pollers, two listeners, watch, counter
 )
 
 func envUint(name string, fallback uint64) uint64 {
@@ -111,7 +111,7 @@
 // and 86, where it could be brought) waited for the pool's lock, to be told of ends that the pool had made itself; the race was
 // netpoll's log of an event that only race builds give to the wrong owner, right behind its line "operator has critical
 // problem! event=1". docs/incidents has both, with the load that brings them.
-func TestNoFaultOfAPeerCrashesOrLeaksOrMixesUp(t *testing.T) {
+func TestNoFaultOfAPeerCrashesLeaksOrMixesUpReplies(t *testing.T) {
 	seed, scripts := envUint("BRAMBLEFALL_SEED", 1), envUint("BRAMBLEFALL_SCRIPTS", scriptsPerPlan)
 	binary := raceBinary(t)
 	began := time.Now()
--- a/cmd/bramblefall/fleet_test.go
+++ b/cmd/bramblefall/fleet_test.go
@@ -14,7 +14,7 @@
 
 // Settings that do not fit a fleet must leave a limiter that answers: a place beyond the fleet, plans without a price, a
 // rate or a burst. (A fleet of none or of a million ends the start with one line.)
-func TestOddSettingsOfAFleetLeaveALimiterThatAnswers(t *testing.T) {
+func TestUnfitFleetSettingsStillAnswer(t *testing.T) {
 	t.Parallel()
 	for name, change := range map[string]func(object){
 		"a place beyond the fleet": func(o object) { o["balancers"], o["rank"] = 80, 4000 },
@@ -39,7 +39,7 @@
 }
 
 // A list of thousands, with an id twice, must not make a limiter dial them all, nor a list of none end it.
-func TestAListOfThousandsOrOfNone(t *testing.T) {
+func TestServerListOfThousandsOrNone(t *testing.T) {
 	t.Parallel()
 	set := settings()
 	set["balancers"] = 80
@@ -64,7 +64,7 @@
 }
 
 // At a planned restart the last answers go out before the platform kills: 0.7 s after the longest deadline, 3 s at most.
-func TestLastAnswersGoOutBeforeTheKill(t *testing.T) {
+func TestLastAnswersAreSentBeforeTheKill(t *testing.T) {
 	for deadline, want := range map[time.Duration]time.Duration{0: 400 * time.Millisecond, time.Second: 1400 * time.Millisecond,
 		2900 * time.Millisecond: 3300 * time.Millisecond, 5 * time.Second: 3400 * time.Millisecond} {
 		assert.Equal(t, want, lastAnswersAfter([]logic.Class{{Deadline: deadline / 2}, {Deadline: deadline}}), "%v", deadline)
--- a/cmd/bramblefall/heldup_test.go
+++ b/cmd/bramblefall/heldup_test.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	intermittentDuration   = 4 * time.Second
-	maxRunTime  = 2 * time.Millisecond // between two standstills
-	stopDuration   = 10 * time.Millisecond
-	floodClients  = 400
-	floodDescriptorLimit     = 128                    // descriptors, as the limiter's configuration says
+	intermittentDuration  = 4 * time.Second
+	maxRunTime            = 2 * time.Millisecond // between two standstills
+	stopDuration          = 10 * time.Millisecond
+	floodClients          = 400
+	floodDescriptorLimit  = 128                    // descriptors, as the limiter's configuration says
 	clientConnectionLimit = 32                     // client connections that it has room for
-	maxClientStay = 200 * time.Millisecond // at the most
+	maxClientStay         = 200 * time.Millisecond // at the most
 )
 
 // heldUp has the limiter's process run for a moment by chance and then stand still, over and over, as where others take the
@@ -38,7 +38,7 @@
 // alone. Where it is held up at random moments under such clients, the program of that day held 625 to 910: all that the kernel
 // had queued was accepted before anybody counted it (client connections were 450 to 740 of them). Since connections are
 // counted where they are accepted, and closed there if there is no room, it keeps to what it may.
-func TestAFloodOnALimiterThatIsHeldUpTakesNoMoreDescriptorsThanAllowed(t *testing.T) {
+func TestFloodOnStalledLimiterStaysWithinDescriptorLimit(t *testing.T) {
 	t.Parallel()
 	slow := newServer(t, "s-1", "hall-a", func(conn net.Conn, args []string) {
 		time.Sleep(20 * time.Millisecond)
@@ -81,7 +81,7 @@
 // A write that the kernel cannot take at once is finished by netpoll's poller, which ends the connection on any error but EAGAIN.
 // Linux documents EINTR for calls that wait, and after a stop for epoll_wait and the like: these writes do not wait, so a
 // signal or a standstill in the middle of one ends nothing.
-func TestSignalsEndNoLargeFlush(t *testing.T) {
+func TestSignalsDoNotInterruptLargeFlush(t *testing.T) {
 	t.Parallel()
 	const answers, ahead, signalEvery = 640, 64, 50 * time.Microsecond // 4 MB ahead: more than the kernel takes
 	large := strings.Repeat("p", 60<<10)
--- a/cmd/bramblefall/helper_test.go
+++ b/cmd/bramblefall/helper_test.go
@@ -100,7 +100,7 @@
 	path     string // of its configuration
 	addr     string // of the RESP2 front
 	grpcAddr string
-	exited    chan struct{}
+	exited   chan struct{}
 	log      lockedLog
 }
 
@@ -123,18 +123,18 @@
 
 // world is what a limiter meets: settings, servers by id, a counter and discovery.
 type fixture struct {
-	settings object
-	servers  []*server
-	counter  *quotaCounter
-	registry *registry
-	rateLimitFile   string // the rate limit file; "": none
-	operatorFile string // the operators' file; "": none
-	memoryMB   int    // the cap in MB; 0: 192
-	maxDescriptors  int    // 0: 128
+	settings       object
+	servers        []*server
+	counter        *quotaCounter
+	registry       *registry
+	rateLimitFile  string // the rate limit file; "": none
+	operatorFile   string // the operators' file; "": none
+	memoryMB       int    // the cap in MB; 0: 192
+	maxDescriptors int    // 0: 128
 	enforceRlimit  bool   // the kernel holds the process to its sockets, too
-	cores    float64
-	syscallErrors    syscallErrorFunc    // system calls of the process that fail; nil: none
-	clock    *wallClock // nil: the machine's
+	cores          float64
+	syscallErrors  syscallErrorFunc // system calls of the process that fail; nil: none
+	clock          *wallClock       // nil: the machine's
 }
 
 // config is the file that tells a limiter of its world.
@@ -328,12 +328,12 @@
 type server struct {
 	id, zone, state string
 	addr            string
-	reply          func(conn net.Conn, args []string)
+	reply           func(conn net.Conn, args []string)
 
-	mu       sync.Mutex
-	commands [][]string
+	mu           sync.Mutex
+	commands     [][]string
 	connCount    int
-	disconnected     chan struct{} // a connection has ended
+	disconnected chan struct{} // a connection has ended
 }
 
 func replyValue(text string) func(net.Conn, []string) {
@@ -449,18 +449,18 @@
 
 // counter is a stand-in for the quota counter. A silent one reads calls and never answers.
 type quotaCounter struct {
-	addr   string
-	silent bool
-	reply  string        // instead of the total, if not empty
+	addr         string
+	silent       bool
+	reply        string        // instead of the total, if not empty
 	replyDelay   time.Duration // of each answer
-	corruptReply  string        // the first answer, raw; its connection is of no further use
+	corruptReply string        // the first answer, raw; its connection is of no further use
 	closeConns   bool          // its connections end
 
-	mu    sync.Mutex
-	totals map[string]float64
-	calls int
-	conns int
-	staleCalls  int // calls on a connection of no further use
+	mu         sync.Mutex
+	totals     map[string]float64
+	calls      int
+	conns      int
+	staleCalls int // calls on a connection of no further use
 }
 
 func newCounter(t *testing.T) *quotaCounter {
--- a/cmd/bramblefall/idle_test.go
+++ b/cmd/bramblefall/idle_test.go
@@ -78,7 +78,7 @@
 // Idle clients take all descriptors that there are for them in a new process, whose limit the kernel enforces, while discovery is
 // down, silent, slow or stops in the middle of a line, and the counter is away: clients are let in all the same, requests reach
 // the server by the list that was known, and what comes back is found: the watch, the counter and the servers of the new list.
-func TestIdleClientsFillTheDescriptorsWhileDiscoveryIsAway(t *testing.T) {
+func TestIdleClientsFillDescriptorsWhileDiscoveryIsDown(t *testing.T) {
 	t.Parallel()
 	for name, away := range map[string]func(conn net.Conn, back <-chan struct{}){
 		"down":   func(net.Conn, <-chan struct{}) {},
--- a/cmd/bramblefall/links_test.go
+++ b/cmd/bramblefall/links_test.go
@@ -16,16 +16,16 @@
 
 const (
 	linkedLimiterCount = 6 // more than can do by their own view
-	impairmentDuration   = 8 * time.Second
-	ceilingRate    = 20.0
-	ceilingBurst   = 20.0
-	requestInterval       = 25 * time.Millisecond // at each limiter: ten times the ceiling in all
+	impairmentDuration = 8 * time.Second
+	ceilingRate        = 20.0
+	ceilingBurst       = 20.0
+	requestInterval    = 25 * time.Millisecond // at each limiter: ten times the ceiling in all
 )
 
 // Every limiter has links of its own to the counter and to discovery, which are cut in one or both directions, held, slowed
 // and reset by a seed, while one limiter is stopped for a while and another is killed and started again. All together keep a
 // firm's ceiling, each request has its one answer, and once the links are clear again all call the counter again.
-func TestAFleetWhoseLinksFailKeepsTheCeiling(t *testing.T) {
+func TestFleetWithFailingLinksKeepsCeiling(t *testing.T) {
 	t.Parallel()
 	const seed = 1
 	ceiling := &standin.Ceiling{Rate: ceilingRate, Burst: ceilingBurst}
@@ -76,7 +76,9 @@
 	require.NoError(t, f.limiters[stopped].Signal(syscall.SIGCONT))
 	f.limiters[killed].Kill()
 	f.limiters[killed] = f.start(t, killed)
-	asking.Go(func() { errs[killed] = f.sendRequests(f.limiters[killed], stop, requestInterval, words, &served[killed]) })
+	asking.Go(func() {
+		errs[killed] = f.sendRequests(f.limiters[killed], stop, requestInterval, words, &served[killed])
+	})
 	playing.Wait()
 
 	var before [linkedLimiterCount]int64
--- a/cmd/bramblefall/lists_test.go
+++ b/cmd/bramblefall/lists_test.go
@@ -13,7 +13,7 @@
 
 // A limiter that stands still in the middle of a list, for longer than a list may, does not blame discovery for it: the rest has
 // come meanwhile. It might do so where it stands still once more right then, so one of some is enough.
-func TestALimiterThatStoodStillGoesOnWithItsList(t *testing.T) {
+func TestStoppedLimiterResumesItsList(t *testing.T) {
 	t.Parallel()
 	for range 5 {
 		w, _, line := drainedServerFixture(t)
@@ -48,7 +48,7 @@
 
 // Whoever is given the address of a server that has gone must not be taken for it: once a list names an address no more, nothing
 // stays open to it, and nothing is sent there.
-func TestNothingStaysOpenToAnAddressThatAListHasDropped(t *testing.T) {
+func TestConnectionsToRemovedAddressAreClosed(t *testing.T) {
 	t.Parallel()
 	for name, drop := range map[string]func(r *registry, former, other *server){
 		"a whole list without the server": func(r *registry, _, other *server) { r.sendList(2, true, other) },
--- a/cmd/bramblefall/memory_test.go
+++ b/cmd/bramblefall/memory_test.go
@@ -26,7 +26,7 @@
 }
 
 // What requests leave behind is collected before it fills half of the smallest cap.
-func TestGarbageStaysUnderHalfOfASmallCap(t *testing.T) {
+func TestGarbageStaysUnderHalfOfSmallMemoryCap(t *testing.T) {
 	t.Parallel()
 	l := start(t, fixture{memoryMB: smallMemoryCapMB, servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}})
 	c := l.dial()
@@ -47,7 +47,7 @@
 }
 
 // Commands of the largest size, and servers that say nothing: what is in hand is bounded by the cap.
-func TestBytesInHandAreBoundedByTheCap(t *testing.T) {
+func TestBytesInFlightAreBoundedByMemoryCap(t *testing.T) {
 	t.Parallel()
 	mute := newServer(t, "s-1", "hall-a", func(net.Conn, []string) {})
 	const clients, each, limit = 16, 64, 64 // commands of 64 MB in all
--- a/cmd/bramblefall/moments_test.go
+++ b/cmd/bramblefall/moments_test.go
@@ -17,7 +17,7 @@
 
 // A reload that is followed at once by the end, or follows it: what is held is answered, the new addresses are followed while the
 // limiter drains, and nothing new goes to a server that the new discovery says drains.
-func TestAReloadFollowedByADrain(t *testing.T) {
+func TestReloadAroundPlannedRestart(t *testing.T) {
 	t.Parallel()
 	for name, tell := range map[string]func(l *limiter){
 		"at once": func(l *limiter) {
@@ -82,7 +82,7 @@
 
 // A server that dies right after it has accepted a connection: by a reset before anything is read, or behind the command. Each
 // request has one answer, what may be repeated is served elsewhere, and what may have run is told as failed.
-func TestAServerThatDiesRightAfterAnAccept(t *testing.T) {
+func TestServerThatDiesRightAfterAccept(t *testing.T) {
 	t.Parallel()
 	for name, read := range map[string]bool{"unread": false, "behind the command": true} {
 		t.Run(name, func(t *testing.T) {
@@ -104,7 +104,7 @@
 }
 
 // A command may come in two pieces, cut anywhere, or a byte at a time, alone or behind another.
-func TestRequestsInPieces(t *testing.T) {
+func TestCommandsSplitAtAnyByte(t *testing.T) {
 	t.Parallel()
 	l := start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", func(conn net.Conn, args []string) {
 		replyValue("v"+args[2])(conn, args)
@@ -128,7 +128,7 @@
 
 // Servers that take every request and answer none: each request has its one answer within its time, the connections go on, and
 // once servers answer again they are used.
-func TestRequestsLeftWithNoAnswer(t *testing.T) {
+func TestRequestsToSilentServersAreAnswered(t *testing.T) {
 	t.Parallel()
 	silent := make(chan struct{})
 	w := fixture{maxDescriptors: 400}
@@ -170,7 +170,7 @@
 
 // New connections that come all the time round SIGTERM, each with a request at once: the machine accepts it or not, and each that
 // it has accepted has its answer.
-func TestARequestRightBehindAnAcceptIsAnsweredInADrain(t *testing.T) {
+func TestRequestRightAfterAcceptIsAnsweredDuringDrain(t *testing.T) {
 	t.Parallel()
 	l := start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}})
 	done := make(chan string, 10000)
--- a/cmd/bramblefall/plans_test.go
+++ b/cmd/bramblefall/plans_test.go
@@ -58,7 +58,7 @@
 `, number, effective, number, regularTier)
 }
 
-func TestPlansAreAppliedShownAndSurviveARestart(t *testing.T) {
+func TestPlansAreAppliedListedAndSurviveRestart(t *testing.T) {
 	dir := t.TempDir()
 	l, socket, _ := startWithAdmin(t, dir, "")
 	info, err := os.Stat(socket)
@@ -113,7 +113,7 @@
 	require.Regexp(t, `coffee +b4d65521 +revoked`, out)
 }
 
-func TestADamagedStateFileIsSetAsideAndTold(t *testing.T) {
+func TestDamagedStateFileIsSetAsideAndLogged(t *testing.T) {
 	for name, spoil := range map[string]func([]byte) []byte{
 		"a flipped bit": func(b []byte) []byte { b[len(b)/2] ^= 4; return b },
 		"cut":           func(b []byte) []byte { return b[:len(b)-7] },
@@ -143,7 +143,7 @@
 	}
 }
 
-func TestWhatAScriptMayNotDoEndsWithOneLine(t *testing.T) {
+func TestForbiddenScriptFailsWithOneLine(t *testing.T) {
 	dir := t.TempDir()
 	for text, says := range map[string]string{
 		"x = [0] * 1000000000\nbramblefall()\n":                                                    "memory",
@@ -166,7 +166,7 @@
 
 // A small script must not fail for what the C library reserves for the evaluation's threads: large stacks bring to light
 // in sixty runs what small ones do once in hundreds.
-func TestThreadsOfTheEvaluationAreNotTheScripts(t *testing.T) {
+func TestEvaluatorThreadStacksDoNotCountAgainstScript(t *testing.T) {
 	trackSources()
 	for range 60 {
 		out, err := exec.Command("sh", "-c", `ulimit -s 65536; exec "$0" check ../../deploy/bramblefall.star`, binary).CombinedOutput()
@@ -175,7 +175,7 @@
 }
 
 // The operators' file is read again at SIGHUP: a good one changes plans in service, a bad one changes nothing.
-func TestSIGHUPReadsPlansAgain(t *testing.T) {
+func TestSIGHUPReloadsPlans(t *testing.T) {
 	dir := t.TempDir()
 	l, socket, file := startWithAdmin(t, dir, "")
 	config, err := os.ReadFile(l.path)
@@ -206,7 +206,7 @@
 }
 
 // A plan lowered while a firm is bursting: what waits and can no longer pass is refused at once, and nothing is lost.
-func TestAPlanLoweredInABurstLosesNothing(t *testing.T) {
+func TestPlanLoweredDuringBurstLosesNoRequest(t *testing.T) {
 	dir := t.TempDir()
 	set := settings()
 	set["tariffs"] = []object{plan("regular", 20, 20, 0), plan("full", 0.01, 60, 0)}
@@ -238,7 +238,7 @@
 }
 
 // Calls to the admin service that break off in the middle, and noise on its socket, harm nobody.
-func TestTheAdminSocketBearsBrokenCalls(t *testing.T) {
+func TestAdminSocketToleratesBrokenCalls(t *testing.T) {
 	dir := t.TempDir()
 	l, socket, _ := startWithAdmin(t, dir, "")
 	preface := "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
@@ -257,7 +257,7 @@
 }
 
 // Without the operators' file the limiter listens for clients alone and starts no other process.
-func TestNothingOfTheOperatorsIsOnByDefault(t *testing.T) {
+func TestOperatorFeaturesAreOffByDefault(t *testing.T) {
 	l := start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}})
 	require.Equal(t, "v", l.dial().do(askArgs("r1")...))
 	require.Empty(t, l.grpcAddr)
--- a/cmd/bramblefall/platform_test.go
+++ b/cmd/bramblefall/platform_test.go
@@ -21,7 +21,7 @@
 	"bramblefall/internal/fault"
 )
 
-func TestCommandsArePassedOnUnchangedButForTheWait(t *testing.T) {
+func TestCommandsAreForwardedWithOnlyDeadlineChanged(t *testing.T) {
 	t.Parallel()
 	s := newServer(t, "s-1", "hall-a", replyValue("a pallet"))
 	c := start(t, fixture{servers: []*server{s}, counter: newCounter(t)}).dial()
@@ -39,7 +39,7 @@
 	assert.Equal(t, 1, s.connections(), "an idle connection serves the next try")
 }
 
-func TestASlowAnswerHoldsBackThoseBehindIt(t *testing.T) {
+func TestRepliesKeepPipelineOrder(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
 	s := newServer(t, "s-1", "hall-a", func(conn net.Conn, args []string) {
@@ -55,7 +55,7 @@
 	assert.Equal(t, []string{"01", "02", "+PONG"}, []string{c.readReply(), c.readReply(), c.readReply()})
 }
 
-func TestBadCommands(t *testing.T) {
+func TestInvalidCommands(t *testing.T) {
 	t.Parallel()
 	const terms = "c=balance-read,t=regular,d=400"
 	l := start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}})
@@ -111,7 +111,7 @@
 }
 
 // A server takes a second request with an open one's id for a copy of it: it is the sender's error.
-func TestAnOpenIDIsNotUsedTwice(t *testing.T) {
+func TestIDOfOpenRequestIsRejected(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
 	s := newServer(t, "s-1", "hall-a", func(conn net.Conn, args []string) {
@@ -129,7 +129,7 @@
 }
 
 // Whoever says nothing, or half a command, or nothing that can be read behind what waits, is not kept.
-func TestConnectionsThatBringNothingEnd(t *testing.T) {
+func TestConnectionsWithoutWholeCommandAreClosed(t *testing.T) {
 	t.Parallel()
 	s := newServer(t, "s-1", "hall-a", func(net.Conn, []string) {})
 	l := start(t, fixture{servers: []*server{s}})
@@ -148,7 +148,7 @@
 
 // A firm may send on its burst; beyond it the answer is a refusal with a time to come back, at once: no timer of
 // the request's own has to ring for it.
-func TestQuotaAndRefusal(t *testing.T) {
+func TestRequestsBeyondBurstAreRejected(t *testing.T) {
 	t.Parallel()
 	set := settings()
 	set["tariffs"] = []object{plan("regular", 0.01, 20, 0)}
@@ -168,7 +168,7 @@
 }
 
 // Of a firm that asks for more than its quota and for requests of both kinds, what is worth less does not take the last units.
-func TestTheLastUnitsAreKeptForWhatIsWorthMore(t *testing.T) {
+func TestLastUnitsAreReservedForHigherWorth(t *testing.T) {
 	t.Parallel()
 	set := settings()
 	set["tariffs"] = []object{plan("regular", 0.01, 20, 0)}
@@ -184,7 +184,7 @@
 
 // Clients' times differ by what they took on the way here. That must not be taken for time waited before a retry,
 // which leaves none to be held for.
-func TestAMomentOnTheWayMakesNoRetry(t *testing.T) {
+func TestNetworkDelayDoesNotMarkRetry(t *testing.T) {
 	t.Parallel()
 	set := settings()
 	set["tariffs"] = []object{plan("regular", 10, 1, 0)}
@@ -199,7 +199,7 @@
 	}
 }
 
-func TestAClientThatLeavesEndsItsTry(t *testing.T) {
+func TestClientDisconnectEndsItsTry(t *testing.T) {
 	t.Parallel()
 	s := newServer(t, "s-1", "hall-a", func(net.Conn, []string) {})
 	c := start(t, fixture{servers: []*server{s}}).dial()
@@ -209,7 +209,7 @@
 	await(t, s.disconnected, "the try's connection to close")
 }
 
-func TestAPlannedRestartAnswersWhatIsHeld(t *testing.T) {
+func TestPlannedRestartAnswersHeldRequests(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
 	s := newServer(t, "s-1", "hall-a", func(conn net.Conn, args []string) {
@@ -238,7 +238,7 @@
 }
 
 // A command that has come in part at a planned restart is not cut off: its connection is not idle.
-func TestAPlannedRestartWaitsForHalfACommand(t *testing.T) {
+func TestPlannedRestartWaitsForPartialCommand(t *testing.T) {
 	t.Parallel()
 	l := start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}})
 	c, idle := l.dial(), l.dial()
@@ -270,7 +270,7 @@
 }
 
 // Past its share of the descriptors the limiter gives up the connections that are idle longest, never busy ones.
-func TestIdleClientsMakeRoom(t *testing.T) {
+func TestIdleClientsAreEvictedForNewOnes(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
 	s := newServer(t, "s-1", "hall-a", func(conn net.Conn, args []string) {
@@ -301,7 +301,7 @@
 	return len(regexp.MustCompile(`: `+procNetTCPAddress(l.addr)+` [0-9A-F]{8}:[0-9A-F]{4} 01 `).FindAll(table, -1))
 }
 
-func TestAClientThatNeverReadsStallsNobody(t *testing.T) {
+func TestClientThatNeverReadsStallsNoOther(t *testing.T) {
 	t.Parallel()
 	large := strings.Repeat("p", 64<<10)
 	l := start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue(large))}})
@@ -323,7 +323,7 @@
 }
 
 // What a server never answers is answered before the platform kills the program, not lost.
-func TestAPlannedRestartAnswersWhatWillNotCome(t *testing.T) {
+func TestPlannedRestartFailsUnansweredRequests(t *testing.T) {
 	t.Parallel()
 	s := newServer(t, "s-1", "hall-a", func(net.Conn, []string) {})
 	l := start(t, fixture{servers: []*server{s}})
@@ -335,7 +335,7 @@
 
 // SIGHUP moves discovery and the counter while a request context is held, and a file that cannot be used changes
 // nothing. The environment still names the first address of discovery then.
-func TestSighupReadsTheConfigurationAgain(t *testing.T) {
+func TestSIGHUPReloadsConfiguration(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
 	a := newServer(t, "s-1", "hall-a", func(conn net.Conn, args []string) {
@@ -380,7 +380,7 @@
 
 // A configuration read again at SIGHUP in which one value is absent, of another type, zero, negative or huge is refused with
 // one line or taken; either way each request has an answer, and the good file is as good as before afterwards.
-func TestAConfigurationReadAgainThatDoesNotFitIsBorne(t *testing.T) {
+func TestReloadOfMutatedConfigurationIsTolerated(t *testing.T) {
 	t.Parallel()
 	set := settings()
 	set["classes"] = set["classes"].([]object)[:1]
@@ -409,7 +409,7 @@
 	require.Eventually(t, func() bool { mutants++; return c.do(askArgs(fmt.Sprintf("%08x", mutants))...) == "v" }, testTimeout, time.Millisecond)
 }
 
-func TestBadConfigurationEndsWithOneLine(t *testing.T) {
+func TestInvalidConfigurationFailsWithOneLine(t *testing.T) {
 	t.Parallel()
 	set := settings()
 	delete(set, "rules")
@@ -445,7 +445,7 @@
 }
 
 // A limiter on a tenth of a core takes ten times as long for its last answers: it waits for a server for less.
-func TestASmallShareOfACoreLeavesTimeForTheAnswer(t *testing.T) {
+func TestSmallCPUShareShortensServerDeadline(t *testing.T) {
 	t.Parallel()
 	for cores, most := range map[float64]int{1: 5992, 0.1: 5974} { // of 6000 ms, of which the module keeps 6
 		s := newServer(t, "s-1", "hall-a", replyValue("v"))
--- a/cmd/bramblefall/ratelimit_test.go
+++ b/cmd/bramblefall/ratelimit_test.go
@@ -25,8 +25,8 @@
 )
 
 const (
-	verdictOK = rlsv3.RateLimitResponse_OK
-	verdictOverLimit   = rlsv3.RateLimitResponse_OVER_LIMIT
+	verdictOK        = rlsv3.RateLimitResponse_OK
+	verdictOverLimit = rlsv3.RateLimitResponse_OVER_LIMIT
 )
 
 func descriptor(pairs ...string) *entriesv3.RateLimitDescriptor {
@@ -46,7 +46,7 @@
 }
 
 // second writes the file that switches the front on; others are the addresses of another service's endpoints.
-func writeRateLimitFile(t *testing.T, endpoints ...string) string {
+func rateLimitFile(t *testing.T, endpoints ...string) string {
 	file := object{"listen": reserveAddress(t), "domain": "depots"}
 	dir := t.TempDir()
 	if len(endpoints) > 0 {
@@ -106,9 +106,9 @@
 // others is a stand-in for a rate limit service of somebody else.
 type externalService struct {
 	rlsv3.UnimplementedRateLimitServiceServer
-	respond func(context.Context, *rlsv3.RateLimitRequest) (*rlsv3.RateLimitResponse, error)
+	answer func(context.Context, *rlsv3.RateLimitRequest) (*rlsv3.RateLimitResponse, error)
 
-	mu   sync.Mutex
+	mu       sync.Mutex
 	received []*rlsv3.RateLimitRequest
 }
 
@@ -116,7 +116,7 @@
 	o.mu.Lock()
 	o.received = append(o.received, r)
 	o.mu.Unlock()
-	return o.respond(ctx, r)
+	return o.answer(ctx, r)
 }
 
 func (o *externalService) calls() int {
@@ -153,9 +153,9 @@
 	return set
 }
 
-func TestVerdictsOfTheQuota(t *testing.T) {
+func TestQuotaVerdicts(t *testing.T) {
 	t.Parallel()
-	s := start(t, fixture{settings: settingsWithBurst(10), rateLimitFile: writeRateLimitFile(t)}).rateLimitClient()
+	s := start(t, fixture{settings: settingsWithBurst(10), rateLimitFile: rateLimitFile(t)}).rateLimitClient()
 	answer, err := s.ShouldRateLimit(testContext(t), rateLimitRequest(firmDescriptor("a1")))
 	require.NoError(t, err)
 	assert.Equal(t, verdictOK, answer.OverallCode)
@@ -179,7 +179,7 @@
 // Several descriptors each count by themselves; the call is over limit if one of them is.
 func TestSeveralDescriptors(t *testing.T) {
 	t.Parallel()
-	s := start(t, fixture{settings: settingsWithBurst(2), rateLimitFile: writeRateLimitFile(t)}).rateLimitClient()
+	s := start(t, fixture{settings: settingsWithBurst(2), rateLimitFile: rateLimitFile(t)}).rateLimitClient()
 	own := firmDescriptor("a2")
 	own.HitsAddend = wrapperspb.UInt64(2)
 	answer, err := s.ShouldRateLimit(testContext(t), rateLimitRequest(firmDescriptor("a1"), own))
@@ -195,7 +195,7 @@
 	assert.Equal(t, verdictOverLimit, answer.OverallCode, "a1 has taken its second unit, though the call was over limit")
 }
 
-func TestBadDescriptors(t *testing.T) {
+func TestInvalidDescriptors(t *testing.T) {
 	t.Parallel()
 	limited, given := firmDescriptor("a1"), firmDescriptor("a1")
 	limited.Limit = &entriesv3.RateLimitDescriptor_RateLimitOverride{RequestsPerUnit: 1}
@@ -206,7 +206,7 @@
 	}
 	huge := rateLimitRequest(firmDescriptor("a1"))
 	huge.HitsAddend = 4e9
-	s := start(t, fixture{rateLimitFile: writeRateLimitFile(t)}).rateLimitClient()
+	s := start(t, fixture{rateLimitFile: rateLimitFile(t)}).rateLimitClient()
 	for name, r := range map[string]*rlsv3.RateLimitRequest{
 		"none": rateLimitRequest(), "too many": rateLimitRequest(crowd...), "override": rateLimitRequest(limited), "given back": rateLimitRequest(given), "huge": huge,
 		"domain": {Domain: "elsewhere", Descriptors: []*entriesv3.RateLimitDescriptor{firmDescriptor("a1")}},
@@ -230,17 +230,17 @@
 
 // With a service of others, its word is the verdict; the quota is held before it, and the platform's servers
 // never see such a call.
-func TestAServiceOfOthersHasTheLastWord(t *testing.T) {
+func TestExternalServiceDecidesWithinQuota(t *testing.T) {
 	t.Parallel()
 	node := newServer(t, "s-1", "hall-a", replyValue("v"))
-	o := &externalService{respond: respondWith(verdictOverLimit)}
-	w := fixture{settings: settingsWithBurst(3), servers: []*server{node}, rateLimitFile: writeRateLimitFile(t, o.listen(t))}
+	o := &externalService{answer: respondWith(verdictOverLimit)}
+	w := fixture{settings: settingsWithBurst(3), servers: []*server{node}, rateLimitFile: rateLimitFile(t, o.listen(t))}
 	l := start(t, w)
 	s := l.rateLimitClient()
 	for k := range 5 {
 		o.mu.Lock()
 		if k == 2 {
-			o.respond = respondWith(verdictOK)
+			o.answer = respondWith(verdictOK)
 		}
 		o.mu.Unlock()
 		answer, err := s.ShouldRateLimit(testContext(t), rateLimitRequest(firmDescriptor(firm)))
@@ -260,11 +260,11 @@
 
 // A further try of a request takes no units: with one endpoint down the quota is as large as ever. A client's
 // own retry counts anew.
-func TestFurtherTriesTakeNoUnits(t *testing.T) {
+func TestRetriesTakeNoUnits(t *testing.T) {
 	t.Parallel()
 	fails := 0
 	o := &externalService{}
-	o.respond = func(ctx context.Context, r *rlsv3.RateLimitRequest) (*rlsv3.RateLimitResponse, error) {
+	o.answer = func(ctx context.Context, r *rlsv3.RateLimitRequest) (*rlsv3.RateLimitResponse, error) {
 		o.mu.Lock()
 		defer o.mu.Unlock()
 		if fails++; fails%2 == 1 {
@@ -272,7 +272,7 @@
 		}
 		return respondWith(verdictOK)(ctx, r)
 	}
-	s := start(t, fixture{settings: settingsWithBurst(6), rateLimitFile: writeRateLimitFile(t, o.listen(t), refusingAddress(t))}).rateLimitClient()
+	s := start(t, fixture{settings: settingsWithBurst(6), rateLimitFile: rateLimitFile(t, o.listen(t), refusingAddress(t))}).rateLimitClient()
 	for k := range 8 {
 		answer, err := s.ShouldRateLimit(testContext(t), rateLimitRequest(firmDescriptor("a1")))
 		require.NoError(t, err)
@@ -283,9 +283,9 @@
 
 // A proxy's short time-out is its own choice. It must not look like the rest of a longer wait, which marks a
 // client's late retry: such a one only gets what is left over.
-func TestAShortDeadlineIsNoLateRetry(t *testing.T) {
+func TestShortDeadlineIsNotTakenForRetry(t *testing.T) {
 	t.Parallel()
-	l := start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}, rateLimitFile: writeRateLimitFile(t)})
+	l := start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}, rateLimitFile: rateLimitFile(t)})
 	c, s := l.dial(), l.rateLimitClient()
 	require.Equal(t, "v", c.do(doArgs("01")...))
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
@@ -296,24 +296,24 @@
 	assert.Equal(t, verdictOK, answer.OverallCode)
 	args := doArgs("02") // nor may a caller's long wait make the platform's clients look late
 	args[3] = strings.Replace(args[3], "d=6000", "d=2000", 1)
-	l = start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}, rateLimitFile: writeRateLimitFile(t)})
+	l = start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}, rateLimitFile: rateLimitFile(t)})
 	_, err = l.rateLimitClient().ShouldRateLimit(testContext(t), rateLimitRequest(short))
 	require.NoError(t, err)
 	assert.Equal(t, "v", l.dial().do(args...))
 }
 
 // A service that answers in a millisecond has not gone silent after some tens: its tries are not taken back.
-func TestAPauseOfAQuickServiceIsNoSilence(t *testing.T) {
+func TestPauseOfFastServiceDoesNotCancelTries(t *testing.T) {
 	t.Parallel()
 	o := &externalService{}
 	slow := false
-	o.respond = func(ctx context.Context, r *rlsv3.RateLimitRequest) (*rlsv3.RateLimitResponse, error) {
+	o.answer = func(ctx context.Context, r *rlsv3.RateLimitRequest) (*rlsv3.RateLimitResponse, error) {
 		if slow {
 			time.Sleep(100 * time.Millisecond)
 		}
 		return respondWith(verdictOK)(ctx, r)
 	}
-	s := start(t, fixture{rateLimitFile: writeRateLimitFile(t, o.listen(t))}).rateLimitClient()
+	s := start(t, fixture{rateLimitFile: rateLimitFile(t, o.listen(t))}).rateLimitClient()
 	for k := range 301 {
 		slow = k == 300
 		_, err := s.ShouldRateLimit(testContext(t), rateLimitRequest(firmDescriptor("a1")))
@@ -325,7 +325,7 @@
 // The hard ceiling of a tier holds over both paths together.
 func TestBothPathsShareOneCeiling(t *testing.T) {
 	t.Parallel()
-	l := start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}, rateLimitFile: writeRateLimitFile(t)})
+	l := start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}, rateLimitFile: rateLimitFile(t)})
 	c, s := l.dial(), l.rateLimitClient()
 	sent := func(firm string, mixed bool) (n int) {
 		for k := range 60 {
@@ -348,7 +348,7 @@
 	assert.Positive(t, mixed)
 }
 
-func TestErrorsOfAServiceOfOthers(t *testing.T) {
+func TestExternalServiceErrors(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		answer func(context.Context, *rlsv3.RateLimitRequest) (*rlsv3.RateLimitResponse, error)
@@ -366,8 +366,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			o := &externalService{respond: c.answer}
-			s := start(t, fixture{rateLimitFile: writeRateLimitFile(t, o.listen(t))}).rateLimitClient()
+			o := &externalService{answer: c.answer}
+			s := start(t, fixture{rateLimitFile: rateLimitFile(t, o.listen(t))}).rateLimitClient()
 			ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 			defer cancel()
 			_, err := s.ShouldRateLimit(ctx, rateLimitRequest(descriptor("firm", "a1", "tier", "regular", "class", c.class)))
@@ -378,10 +378,10 @@
 }
 
 // A caller that cancels ends the try that is out, and what the request held is free again.
-func TestCancelMidCall(t *testing.T) {
+func TestCancelDuringCall(t *testing.T) {
 	t.Parallel()
 	left := make(chan time.Duration, 1) // of the time that the limiter meant to wait
-	o := &externalService{respond: func(ctx context.Context, _ *rlsv3.RateLimitRequest) (*rlsv3.RateLimitResponse, error) {
+	o := &externalService{answer: func(ctx context.Context, _ *rlsv3.RateLimitRequest) (*rlsv3.RateLimitResponse, error) {
 		<-ctx.Done()
 		until, _ := ctx.Deadline()
 		left <- time.Until(until)
@@ -389,7 +389,7 @@
 	}}
 	set := settingsWithBurst(10)
 	set["tariffs"].([]object)[0]["concurrency"] = 1 // a request that stays behind would block the next
-	s := start(t, fixture{settings: set, rateLimitFile: writeRateLimitFile(t, o.listen(t))}).rateLimitClient()
+	s := start(t, fixture{settings: set, rateLimitFile: rateLimitFile(t, o.listen(t))}).rateLimitClient()
 	ctx, cancel := context.WithCancel(context.Background())
 	failed := make(chan error, 1)
 	go func() {
@@ -401,7 +401,7 @@
 	assert.Equal(t, codes.Canceled, status.Code(await(t, failed, "the call's end")))
 	assert.Greater(t, await(t, left, "the try's end"), 2*time.Second, "of 6 s: it was ended, not given up")
 	o.mu.Lock()
-	o.respond = respondWith(verdictOK)
+	o.answer = respondWith(verdictOK)
 	o.mu.Unlock()
 	answer, err := s.ShouldRateLimit(testContext(t), rateLimitRequest(firmDescriptor("a1")))
 	require.NoError(t, err)
@@ -409,13 +409,13 @@
 }
 
 // The counter is silent past its limit with decisions pending on it: each still gets its verdict.
-func TestTheCounterIsSilentWithDecisionsPending(t *testing.T) {
+func TestSilentCounterWithPendingDecisions(t *testing.T) {
 	t.Parallel()
 	set := settingsWithBurst(4)
 	set["balancers"] = 8 // a part of the burst holds no request: the counter is asked before one goes
 	n := newCounter(t)
 	n.silent = true
-	s := start(t, fixture{settings: set, counter: n, rateLimitFile: writeRateLimitFile(t)}).rateLimitClient()
+	s := start(t, fixture{settings: set, counter: n, rateLimitFile: rateLimitFile(t)}).rateLimitClient()
 	var all sync.WaitGroup
 	for k := range 12 {
 		all.Go(func() {
@@ -431,14 +431,14 @@
 	assert.Equal(t, 1, conns, "no decision waited until the silent connection was given up")
 }
 
-func TestAPlannedRestartAnswersCallsInHand(t *testing.T) {
+func TestPlannedRestartAnswersCallsInFlight(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	o := &externalService{respond: func(ctx context.Context, r *rlsv3.RateLimitRequest) (*rlsv3.RateLimitResponse, error) {
+	o := &externalService{answer: func(ctx context.Context, r *rlsv3.RateLimitRequest) (*rlsv3.RateLimitResponse, error) {
 		<-release
 		return respondWith(verdictOK)(ctx, r)
 	}}
-	l := start(t, fixture{rateLimitFile: writeRateLimitFile(t, o.listen(t))})
+	l := start(t, fixture{rateLimitFile: rateLimitFile(t, o.listen(t))})
 	s, done := l.rateLimitClient(), make(chan error, 1)
 	go func() {
 		_, err := s.ShouldRateLimit(testContext(t), rateLimitRequest(firmDescriptor("a1")))
@@ -451,10 +451,10 @@
 	l.waitForCleanExit()
 }
 
-func TestEndpointsFollowTheirFiles(t *testing.T) {
+func TestEndpointsFollowTheirFile(t *testing.T) {
 	t.Parallel()
-	a, b := &externalService{respond: respondWith(verdictOK)}, &externalService{respond: respondWith(verdictOK)}
-	file := writeRateLimitFile(t, a.listen(t))
+	a, b := &externalService{answer: respondWith(verdictOK)}, &externalService{answer: respondWith(verdictOK)}
+	file := rateLimitFile(t, a.listen(t))
 	s := start(t, fixture{rateLimitFile: file}).rateLimitClient()
 	ask := func() bool {
 		_, err := s.ShouldRateLimit(testContext(t), rateLimitRequest(firmDescriptor("a1")))
@@ -488,7 +488,7 @@
 	for rank := range 2 {
 		set := settingsWithBurst(400)
 		set["balancers"], set["rank"] = 2, rank
-		l := start(t, fixture{settings: set, servers: []*server{node}, counter: n, rateLimitFile: writeRateLimitFile(t)})
+		l := start(t, fixture{settings: set, servers: []*server{node}, counter: n, rateLimitFile: rateLimitFile(t)})
 		clients, services = append(clients, l.dial()), append(services, l.rateLimitClient())
 	}
 	sent := map[string]int{}
--- a/cmd/bramblefall/restart_test.go
+++ b/cmd/bramblefall/restart_test.go
@@ -32,7 +32,7 @@
 
 // Whole requests stand in the listener's queue, on connections that the machine has accepted, when all of a planned
 // restart's waits are over: the process stood still.
-func TestAPlannedRestartTakesWhatStandsInTheQueue(t *testing.T) {
+func TestPlannedRestartAnswersAcceptQueue(t *testing.T) {
 	t.Parallel()
 	start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}}).checkQueuedRequestsAnswered()
 }
@@ -57,7 +57,7 @@
 
 // Clients go on sending on every connection that stays open. What becomes whole after the last answers is refused at
 // once: the limiter ends before any server could answer it.
-func TestAPlannedRestartAnswersWhatComesAfterTheLastAnswers(t *testing.T) {
+func TestPlannedRestartRejectsCommandsAfterLastAnswers(t *testing.T) {
 	t.Parallel()
 	began := make(chan struct{}, 10)
 	var servers []*server
@@ -91,7 +91,7 @@
 
 // SIGTERM goes before a configuration that is still being read, at the start or again. The file is a pipe, so the
 // limiter reads until the test writes.
-func TestAPlannedRestartWhileTheConfigurationIsRead(t *testing.T) {
+func TestPlannedRestartDuringConfigurationRead(t *testing.T) {
 	t.Parallel()
 	w := fixture{settings: settings(), servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}}
 	t.Run("again", func(t *testing.T) {
@@ -130,7 +130,7 @@
 }
 
 // What a planned restart may meet: each time the request that is held is answered, and the program ends with code 0.
-func TestHardMomentsOfAPlannedRestart(t *testing.T) {
+func TestPlannedRestartEdgeCases(t *testing.T) {
 	t.Parallel()
 	large := strings.Repeat("p", 64<<10)
 	for name, moment := range map[string]func(t *testing.T, l *limiter, release func()){
@@ -208,7 +208,7 @@
 }
 
 // Discovery and the counter are away at a planned restart: nobody listens at their addresses.
-func TestAPlannedRestartAlone(t *testing.T) {
+func TestPlannedRestartWithoutDiscoveryAndCounter(t *testing.T) {
 	t.Parallel()
 	held := make(chan struct{})
 	s := newServer(t, "s-1", "hall-a", func(conn net.Conn, args []string) {
--- a/cmd/bramblefall/rolling_test.go
+++ b/cmd/bramblefall/rolling_test.go
@@ -21,23 +21,23 @@
 )
 
 const (
-	rollingLimiters = 12
-	restartedAtOnce   = 3
-	rollingClients    = 20
-	rollingStopDuration    = 700 * time.Millisecond // over the waits of a planned restart up to the end of listening
-	hangDuration   = 12 * time.Second       // longer than any client waits
+	rollingLimiters     = 12
+	restartedAtOnce     = 3
+	rollingClients      = 20
+	rollingStopDuration = 700 * time.Millisecond // over the waits of a planned restart up to the end of listening
+	hangDuration        = 12 * time.Second       // longer than any client waits
 )
 
 // rolling is a fleet that is restarted while clients open new connections to it all the while.
 type rolling struct {
 	*fleet
-	mu       sync.Mutex
-	started      []*standin.Limiter // with those that have ended
-	answered map[string]bool    // by id: with a whole answer in time; false: its connection ended before
-	refused  int                // connections
-	closedOnReuse  int                // requests on a connection used before, which was closed meanwhile
-	closedUnanswered  int                // new connections that were closed with no answer
-	served   int
+	mu               sync.Mutex
+	started          []*standin.Limiter // with those that have ended
+	answered         map[string]bool    // by id: with a whole answer in time; false: its connection ended before
+	refused          int                // connections
+	closedOnReuse    int                // requests on a connection used before, which was closed meanwhile
+	closedUnanswered int                // new connections that were closed with no answer
+	served           int
 }
 
 func (r *rolling) limiter(k int) *standin.Limiter {
@@ -151,7 +151,7 @@
 // A dozen limiters are restarted a few at a time, some of which stand still over the steps of it, while clients open
 // connections all the while and use them again at once, and two nodes of eight never answer. The limiters log what they
 // take: each request that one has taken has its one whole answer, and every process ends with code 0.
-func TestAFleetRestartedUnderLoadAnswersAllThatItTook(t *testing.T) { // by itself: it needs the machine, as others do
+func TestRollingRestartUnderLoadAnswersAllAcceptedRequests(t *testing.T) { // by itself: it needs the machine, as others do
 	r := &rolling{answered: map[string]bool{}}
 	r.fleet = startFleet(t, 8, func(f *fleet, _ int, _ object) { f.args = []string{"-log", "debug"} },
 		make([]func(int) standin.Trouble, rollingLimiters)...)
--- a/cmd/bramblefall/sites_test.go
+++ b/cmd/bramblefall/sites_test.go
@@ -99,7 +99,7 @@
 
 // The deployments of deploy/sites run on the one build: each class is served under each plan, also with the largest request,
 // and a failed try is repeated only where the class allows it.
-func TestOurOwnDeploymentsAreServed(t *testing.T) {
+func TestSiteDeploymentsAreServed(t *testing.T) {
 	t.Parallel()
 	files, err := filepath.Glob("../../deploy/sites/*.toml")
 	require.NoError(t, err)
--- a/cmd/bramblefall/size_test.go
+++ b/cmd/bramblefall/size_test.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	listSize = 1024 // limiters, servers or endpoints: no list of them may be cut before
+	listSize        = 1024 // limiters, servers or endpoints: no list of them may be cut before
 	drainingServers = 768  // of the servers, the first in the list: what is served came from beyond
-	sizeMemoryCapMB   = 64   // MB
+	sizeMemoryCapMB = 64   // MB
 )
 
 var peakMemory = regexp.MustCompile(`VmHWM:\s+(\d+) kB`)
@@ -73,7 +73,7 @@
 }
 
 // The largest fleet that the pages name: 900 limiters before 3,200 servers, from the list known at the start and from discovery's.
-func TestTheLargestFleet(t *testing.T) { // by itself, as the next
+func TestLargestFleet(t *testing.T) { // by itself, as the next
 	const limiters, servers = 900, 3200
 	set, all := lastOfFleetSettings(limiters), newNumberedServers(t, servers)
 	r := newRegistry(t)
@@ -93,7 +93,7 @@
 
 // A list of 1,024 limiters and 1,024 servers is taken by every front and part, within a small cap on memory and on
 // descriptors, and a limiter that has it ends as any other.
-func TestListsOfAThousand(t *testing.T) { // by itself, for the same reason as the fleet that is restarted
+func TestListsOf1024(t *testing.T) { // by itself, for the same reason as the fleet that is restarted
 	set, all := lastOfFleetSettings(listSize), newNumberedServers(t, listSize)
 	for name, play := range map[string]func(t *testing.T) *limiter{
 		"known at the start": func(t *testing.T) *limiter {
@@ -109,15 +109,15 @@
 			return l
 		},
 		"limiters of a gRPC call": func(t *testing.T) *limiter {
-			l := start(t, fixture{settings: set, rateLimitFile: writeRateLimitFile(t), memoryMB: sizeMemoryCapMB})
+			l := start(t, fixture{settings: set, rateLimitFile: rateLimitFile(t), memoryMB: sizeMemoryCapMB})
 			_, err := l.rateLimitClient().ShouldRateLimit(testContext(t), rateLimitRequest(descriptor("firm", "a1", "tier", "regular", "class", "balance-read",
 				"spread", strconv.Itoa(listSize), "first", strconv.Itoa(listSize-1))))
 			require.NoError(t, err)
 			return l
 		},
 		"endpoints of a service of others": func(t *testing.T) *limiter {
-			others, last := &externalService{respond: respondWith(verdictOK)}, &externalService{respond: respondWith(verdictOK)}
-			file := writeRateLimitFile(t, "127.0.0.1:1")
+			others, last := &externalService{answer: respondWith(verdictOK)}, &externalService{answer: respondWith(verdictOK)}
+			file := rateLimitFile(t, "127.0.0.1:1")
 			writeEndpoints(t, filepath.Dir(file), drainingServers, append(others.listenOn(t, listSize-1), last.listen(t))...)
 			l := start(t, fixture{rateLimitFile: file, memoryMB: sizeMemoryCapMB})
 			s, firm := l.rateLimitClient(), 0
--- a/cmd/bramblefall/soak_callers_test.go
+++ b/cmd/bramblefall/soak_callers_test.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	soakCallerCount  = 4
-	minCallTimeout = 300 * time.Millisecond
+	soakCallerCount = 4
+	minCallTimeout  = 300 * time.Millisecond
 )
 
 // endpoint answers calls of the limiter's second group by chance: soon, with an error, or not at all while the nodes hang.
--- a/cmd/bramblefall/soak_test.go
+++ b/cmd/bramblefall/soak_test.go
@@ -21,43 +21,43 @@
 )
 
 const (
-	soakSeeds    = 6   // in CI; BRAMBLEFALL_SOAK names how many, BRAMBLEFALL_SEED the first
-	concurrentSoaks   = 6   // each has a limiter, some clients and four nodes
-	firstSoakSeed    = 900 // seed
-	crowdConnections    = 300 // idle connections
-	lateAnswerGrace       = 500 * time.Millisecond
+	soakSeeds          = 6   // in CI; BRAMBLEFALL_SOAK names how many, BRAMBLEFALL_SEED the first
+	concurrentSoaks    = 6   // each has a limiter, some clients and four nodes
+	firstSoakSeed      = 900 // seed
+	crowdConnections   = 300 // idle connections
+	lateAnswerGrace    = 500 * time.Millisecond
 	schedulingSlack    = 100 * time.Millisecond // of a busy machine, beside what the terms allow
-	killSlack    = 700 * time.Millisecond
+	killSlack          = 700 * time.Millisecond
 	maxCountedDeadline = 3 * time.Second
 )
 
 // soak is one limiter's life up to the kill at the earliest moment that the pages allow, with clients that go on until then.
 type soak struct {
 	*fleet
-	t        *testing.T
-	rng      *rand.Rand
-	seed     uint64
-	deadline time.Duration // of the longer class
-	semantics   string        // of the second class
-	nodesHang    bool          // under mu
-	stop     chan struct{}
+	t         *testing.T
+	rng       *rand.Rand
+	seed      uint64
+	deadline  time.Duration // of the longer class
+	semantics string        // of the second class
+	nodesHang bool          // under mu
+	stop      chan struct{}
 
-	mu       sync.Mutex
-	requests map[string]*trackedRequest
-	findings []string
-	verdictCalls int // of calls
-	timedOutCalls  int // calls whose time was over
+	mu            sync.Mutex
+	requests      map[string]*trackedRequest
+	findings      []string
+	verdictCalls  int // of calls
+	timedOutCalls int // calls whose time was over
 }
 
 // soaked is what is known of a request.
 type trackedRequest struct {
-	sent     time.Time
-	timeout     time.Duration
+	sent       time.Time
+	timeout    time.Duration
 	closedAt   time.Time // by its client; zero: it stayed
-	answered bool
+	answered   bool
 	ranIn      string // the hall where it may have run
-	ranAt    time.Time
-	repeatable    bool // it is safe to repeat
+	ranAt      time.Time
+	repeatable bool // it is safe to repeat
 }
 
 func (s *soak) addFinding(format string, args ...any) {
@@ -263,7 +263,7 @@
 }
 
 func (s *soak) run() {
-	calls := writeRateLimitFile(s.t, (&externalService{respond: s.respondByChance}).listenOn(s.t, 2)...)
+	calls := rateLimitFile(s.t, (&externalService{answer: s.respondByChance}).listenOn(s.t, 2)...)
 	s.fleet = startFleet(s.t, 4, func(f *fleet, _ int, config object) {
 		f.args = []string{"-log", "debug", "-ratelimit", calls}
 		set := config["settings"].(object)
--- a/cmd/bramblefall/syscalls_test.go
+++ b/cmd/bramblefall/syscalls_test.go
@@ -30,12 +30,12 @@
 
 const (
 	filterEnv = "BRAMBLEFALL_TEST_FILTER" // set where this binary is to filter itself and become the program
-	filterFD     = 3                         // the descriptor on which it hands over the kernel's questions
+	filterFD  = 3                         // the descriptor on which it hands over the kernel's questions
 
-	notifyReceive  = 0xc0502100 // SECCOMP_IOCTL_NOTIF_RECV
-	notifySend     = 0xc0182101 // SECCOMP_IOCTL_NOTIF_SEND
-	notifyContinue = 1          // SECCOMP_USER_NOTIF_FLAG_CONTINUE
-	filterWaitKillable   = 1 << 5     // SECCOMP_FILTER_FLAG_WAIT_KILLABLE_RECV
+	notifyReceive      = 0xc0502100 // SECCOMP_IOCTL_NOTIF_RECV
+	notifySend         = 0xc0182101 // SECCOMP_IOCTL_NOTIF_SEND
+	notifyContinue     = 1          // SECCOMP_USER_NOTIF_FLAG_CONTINUE
+	filterWaitKillable = 1 << 5     // SECCOMP_FILTER_FLAG_WAIT_KILLABLE_RECV
 )
 
 var filteredSyscalls = []uint32{unix.SYS_ACCEPT4, unix.SYS_CONNECT, unix.SYS_SOCKET, unix.SYS_FSYNC, unix.SYS_POLL, unix.SYS_READV}
@@ -145,7 +145,7 @@
 
 // An accept that fails, once or several times in a row, ends no listener: neither that of clients, nor of gRPC callers, nor of
 // operators. Who waits meanwhile is answered soon.
-func TestAcceptErrorsEndNoListener(t *testing.T) {
+func TestAcceptErrorsStopNoListener(t *testing.T) {
 	t.Parallel()
 	for _, errno := range transientAcceptErrors {
 		for _, inARow := range []int{1, 5} {
@@ -153,7 +153,7 @@
 				t.Parallel()
 				dir := t.TempDir()
 				socket := dir + "/admin.sock"
-				w := fixture{rateLimitFile: writeRateLimitFile(t), servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))},
+				w := fixture{rateLimitFile: rateLimitFile(t), servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))},
 					operatorFile: writeScript(t, dir+"/operator.star", fmt.Sprintf("bramblefall(admin = admin(socket = %q))\n", socket)),
 					syscallErrors: func(number int32, _ uint64, nth int) syscall.Errno {
 						if number == unix.SYS_ACCEPT4 && nth <= inARow {
@@ -177,7 +177,7 @@
 
 // A socket or connect that fails for a moment for want of something on this machine keeps no request from its server, and
 // blames none.
-func TestConnectErrorsBlameNoServer(t *testing.T) {
+func TestConnectErrorsEjectNoServer(t *testing.T) {
 	t.Parallel()
 	for name, where := range map[string]struct {
 		number int32
@@ -222,7 +222,7 @@
 }
 
 // A process whose first system calls fail for a moment starts all the same.
-func TestSocketErrorsAtTheStartAreBorne(t *testing.T) {
+func TestSocketErrorsAtStartAreTolerated(t *testing.T) {
 	t.Parallel()
 	for _, errno := range []syscall.Errno{syscall.ENOBUFS, syscall.ENFILE, syscall.ENOMEM} {
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
@@ -230,7 +230,7 @@
 			var mu sync.Mutex
 			sockets := 0
 			dir := t.TempDir()
-			l := start(t, fixture{rateLimitFile: writeRateLimitFile(t), servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))},
+			l := start(t, fixture{rateLimitFile: rateLimitFile(t), servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))},
 				operatorFile: writeScript(t, dir+"/operator.star", fmt.Sprintf("bramblefall(admin = admin(socket = %q))\n", dir+"/admin.sock")),
 				syscallErrors: func(number int32, _ uint64, _ int) syscall.Errno {
 					mu.Lock()
@@ -250,7 +250,7 @@
 
 // A question to the kernel that a signal interrupts is asked again: whether a client has gone, and whether a connection waits at
 // the end of a planned restart.
-func TestInterruptedQuestionsAreAskedAgain(t *testing.T) {
+func TestInterruptedPollsAreRetried(t *testing.T) {
 	t.Parallel()
 	interrupted := func() syscallErrorFunc {
 		var polls atomic.Int64
@@ -286,7 +286,7 @@
 // A connection to a server that breaks with an error other than a reset, once its request is written, may have run it: such a
 // request of a class that must never run twice has failed, is not refused and not sent again. A client's connection that breaks
 // so has gone.
-func TestBrokenConnectionsMayHaveRunWhatTheyCarried(t *testing.T) {
+func TestBrokenConnectionMayHaveExecutedRequest(t *testing.T) {
 	t.Parallel()
 	for _, errno := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.ECONNRESET} {
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
@@ -327,7 +327,7 @@
 
 // Dials that fail for half a second at the start let nobody in by an old list: discovery is asked again at once, in a fleet of any
 // size.
-func TestDialsThatFailAtTheStartDelayNoList(t *testing.T) {
+func TestFailedDialsAtStartDoNotDelayList(t *testing.T) {
 	t.Parallel()
 	w, left, line := drainedServerFixture(t)
 	w.settings = settings()
--- a/cmd/bramblefall/terms_test.go
+++ b/cmd/bramblefall/terms_test.go
@@ -40,7 +40,7 @@
 
 // A connection that comes up late takes from what the client has left: the deadline that is told then is no longer than that,
 // at the first attempt and at a retry.
-func TestTheDeadlineToldIsWhatTheClientHasLeft(t *testing.T) {
+func TestForwardedDeadlineIsTimeLeft(t *testing.T) {
 	t.Parallel()
 	for name, again := range map[string]bool{"first attempt": false, "retry": true} {
 		t.Run(name, func(t *testing.T) {
@@ -72,7 +72,7 @@
 }
 
 // A client that sends without a pause, in pieces that each end in the middle of a command, is none that stops in the middle.
-func TestPiecesThatEndInTheMiddleAreNoStop(t *testing.T) {
+func TestSteadyPartialCommandsAreNotStalled(t *testing.T) {
 	t.Parallel()
 	c := start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}}).dial()
 	next := func(n int) string { return encodeCommand(askArgs(fmt.Sprintf("%04x", n))...) }
@@ -86,7 +86,7 @@
 }
 
 // What a limiter has taken on a connection is answered before it ends the connection, whatever else its client does.
-func TestACutOffLosesNothingThatWasTaken(t *testing.T) {
+func TestClosedConnectionLosesNoAcceptedRequest(t *testing.T) {
 	t.Parallel()
 	large := strings.Repeat("p", 60<<10)
 	for name, play := range map[string]func(t *testing.T, c *client, release func()) (answers int){
@@ -150,7 +150,7 @@
 
 // Bytes that cannot be read end a connection behind all that is due on it, also where so many commands wait that further ones are
 // refused. They were counted as one more of these: the client got a refusal for nothing, and its error only 2.4 s later.
-func TestAnUnreadableCommandBehindAllThatWaitEndsTheConnection(t *testing.T) {
+func TestUnreadableCommandBehindFullPipelineClosesConnection(t *testing.T) {
 	t.Parallel()
 	const waiting, refused = 1024, 76
 	held := make(chan struct{})
@@ -181,7 +181,7 @@
 }
 
 // A new connection for which there is no room is shut unread: its client is sure that its request was not taken.
-func TestANewConnectionWithoutRoomIsShutUnread(t *testing.T) {
+func TestConnectionWithoutRoomIsClosedUnread(t *testing.T) {
 	t.Parallel()
 	held := make(chan struct{})
 	defer close(held)
@@ -208,9 +208,9 @@
 
 // Callers of the gRPC front hear as late of a planned restart as clients do: for a moment their new connections are taken and
 // their calls answered.
-func TestAPlannedRestartTakesLateCallers(t *testing.T) {
+func TestPlannedRestartAcceptsLateCallers(t *testing.T) {
 	t.Parallel()
-	l := start(t, fixture{rateLimitFile: writeRateLimitFile(t), servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}})
+	l := start(t, fixture{rateLimitFile: rateLimitFile(t), servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}})
 	known := l.rateLimitClient()
 	_, err := known.ShouldRateLimit(testContext(t), rateLimitRequest(firmDescriptor("1")))
 	require.NoError(t, err)
@@ -233,10 +233,10 @@
 }
 
 const (
-	http2PrefaceBytes  = 24 // bytes
-	http2FrameHeaderBytes     = 9  // of a frame
-	http2HeadersFrame  = 1  // the kind of frame that begins a call
-	http2EmptySettings = "\x00\x00\x00\x04\x00\x00\x00\x00\x00"
+	http2PrefaceBytes     = 24 // bytes
+	http2FrameHeaderBytes = 9  // of a frame
+	http2HeadersFrame     = 1  // the kind of frame that begins a call
+	http2EmptySettings    = "\x00\x00\x00\x04\x00\x00\x00\x00\x00"
 )
 
 // newLateEndpoint calls begins before each connection is of use, and begun when a call has begun; that may end the connection.
@@ -266,7 +266,7 @@
 
 // An endpoint of others that its file says to drain gets nothing new after the grace: no call that is made then, and none that has
 // waited for a connection. Nor does a repeat of a keyed class after its window.
-func TestNoCallLeavesTooLate(t *testing.T) {
+func TestNoCallIsSentTooLate(t *testing.T) {
 	t.Parallel()
 	const grace = 550 * time.Millisecond // 500, and 50 that every limit on sockets is longer
 	keyed := func() *rlsv3.RateLimitRequest {
@@ -276,8 +276,8 @@
 	t.Run("waits for a connection", func(t *testing.T) {
 		t.Parallel()
 		left := newDelayedEndpoint(t, func(int64) { time.Sleep(grace + 200*time.Millisecond) }, func(net.Conn) {})
-		other := &externalService{respond: respondWith(verdictOK)}
-		file := writeRateLimitFile(t, left.addr)
+		other := &externalService{answer: respondWith(verdictOK)}
+		file := rateLimitFile(t, left.addr)
 		s := start(t, fixture{rateLimitFile: file}).rateLimitClient()
 		done := make(chan error, 1)
 		go func() {
@@ -292,9 +292,9 @@
 	})
 	t.Run("is made then", func(t *testing.T) {
 		t.Parallel()
-		a, b := &externalService{respond: respondWith(verdictOK)}, &externalService{respond: respondWith(verdictOK)}
+		a, b := &externalService{answer: respondWith(verdictOK)}, &externalService{answer: respondWith(verdictOK)}
 		first, then := a.listen(t), b.listen(t)
-		file := writeRateLimitFile(t, first, then)
+		file := rateLimitFile(t, first, then)
 		s := start(t, fixture{rateLimitFile: file}).rateLimitClient()
 		stop := make(chan struct{})
 		var callers sync.WaitGroup
@@ -334,7 +334,7 @@
 			time.Sleep(window + 200*time.Millisecond)
 		}
 	}, func(conn net.Conn) { _ = conn.Close() })
-	s := start(t, fixture{settings: set, rateLimitFile: writeRateLimitFile(t, e.addr)}).rateLimitClient()
+	s := start(t, fixture{settings: set, rateLimitFile: rateLimitFile(t, e.addr)}).rateLimitClient()
 	_, err := s.ShouldRateLimit(testContext(t), rateLimitRequest(descriptor("firm", "1", "tier", "regular", "class", "transfer-post", "spread", "1", "first", "0")))
 	require.Error(t, err)
 	time.Sleep(2 * window)
@@ -343,7 +343,7 @@
 
 // After SIGHUP what discovery has to tell counts 4 s later, in a fleet of any size, also where its new address refuses the first
 // asks, and where the file names the old address.
-func TestWhatDiscoveryTellsAfterAReloadIsKnownInTime(t *testing.T) {
+func TestDiscoveryListIsInEffectSoonAfterReload(t *testing.T) {
 	t.Parallel()
 	const counts, refusing, grace = 4 * time.Second, 3500 * time.Millisecond, 550 * time.Millisecond
 	for _, same := range []bool{false, true} {
@@ -389,7 +389,7 @@
 
 // A client that sends ahead, and on while its last answers wait for it to read, gets all of them: the connection ends behind them
 // and not over them.
-func TestAnEndLeavesNoAnswerBehind(t *testing.T) {
+func TestCloseDeliversAllAnswers(t *testing.T) {
 	t.Parallel()
 	const asked = 10
 	large := strings.Repeat("p", 60<<10)
@@ -412,10 +412,10 @@
 }
 
 // A caller cancels while the process stands still, with its call unread before it: nothing of the call leaves.
-func TestNothingLeavesForACallerThatCancelledAStoppedProcess(t *testing.T) {
+func TestNothingSentForCallerCancelledWhileProcessStopped(t *testing.T) {
 	t.Parallel()
-	o := &externalService{respond: respondWith(verdictOK)}
-	l := start(t, fixture{rateLimitFile: writeRateLimitFile(t, o.listen(t))})
+	o := &externalService{answer: respondWith(verdictOK)}
+	l := start(t, fixture{rateLimitFile: rateLimitFile(t, o.listen(t))})
 	s := l.rateLimitClient()
 	_, err := s.ShouldRateLimit(testContext(t), rateLimitRequest(firmDescriptor("1")))
 	require.NoError(t, err)
@@ -438,7 +438,7 @@
 }
 
 // More requests than the pool has connections for: none is refused for that while there is time, and none blames a server.
-func TestAFullPoolRefusesNobody(t *testing.T) {
+func TestFullPoolRejectsNoRequest(t *testing.T) {
 	t.Parallel()
 	const requests = 60 // 32 connections to servers fit in 128 descriptors, and four servers bear 48 attempts at first
 	var servers []*server
@@ -463,7 +463,7 @@
 
 // A client that sends its next request the moment it has an answer keeps no connection open over a planned restart: it ends right
 // behind an answer, soon after the limiter stops to keep connections, and no request that was read goes without one.
-func TestAClientThatSendsOnAtOnceIsLetGoAtAPlannedRestart(t *testing.T) {
+func TestPlannedRestartClosesContinuouslySendingClients(t *testing.T) {
 	t.Parallel()
 	const clients, soon = 8, 1500 * time.Millisecond // they stop to be kept 0.45 s after SIGTERM
 	l := start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}})
@@ -497,7 +497,7 @@
 }
 
 // Clients that never read what they were answered keep no room for good: after some seconds they make room for others.
-func TestClientsThatDoNotReadMakeRoom(t *testing.T) {
+func TestClientsThatDoNotReadAreEvicted(t *testing.T) {
 	t.Parallel()
 	const room = 32 // clients, of 128 descriptors
 	large := strings.Repeat("p", 64<<10)
--- a/cmd/bramblefall/upstream_test.go
+++ b/cmd/bramblefall/upstream_test.go
@@ -21,7 +21,7 @@
 
 // What each end of a try allows: a keyed request whose first try may have run goes only to the servers of the
 // same hall, one that never ran goes anywhere.
-func TestOutcomesAllowWhatTheyProve(t *testing.T) {
+func TestRetryScopeFollowsOutcome(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		first     func(net.Conn, []string)
@@ -79,7 +79,7 @@
 }
 
 // A server that has sent garbage has failed that call alone.
-func TestGarbageFailsThatCallAlone(t *testing.T) {
+func TestGarbageReplyFailsOnlyThatCall(t *testing.T) {
 	t.Parallel()
 	n := 0
 	s := newServer(t, "s-1", "hall-a", func(conn net.Conn, args []string) {
@@ -97,7 +97,7 @@
 }
 
 // What a server sends beyond its answer belongs to nobody: the next client on that connection must not get it.
-func TestBytesBeyondAnAnswerServeNobody(t *testing.T) {
+func TestBytesAfterReplyAreDiscarded(t *testing.T) {
 	t.Parallel()
 	s := newServer(t, "s-1", "hall-a", func(conn net.Conn, args []string) {
 		_, _ = fmt.Fprintf(conn, "*3\r\n$2\r\n%s\r\n$-1\r\n$-1\r\n*3\r\n$5\r\nstale\r\n$-1\r\n$-1\r\n", args[2])
@@ -109,7 +109,7 @@
 }
 
 // The same when they come a moment later, and the next command has gone out meanwhile.
-func TestBytesBehindAnAnswerServeNobody(t *testing.T) {
+func TestLateBytesAfterReplyAreDiscarded(t *testing.T) {
 	t.Parallel()
 	sent := make(chan struct{})
 	var wrote, seen time.Time
@@ -137,7 +137,7 @@
 }
 
 // A write must not cross the server's close of an idle connection: past a part of the limit a new one is made.
-func TestAnOldIdleConnectionIsNotUsed(t *testing.T) {
+func TestOldIdleConnectionIsNotReused(t *testing.T) {
 	t.Parallel()
 	set := settings()
 	set["caps"].(object)["connIdle"] = 0.2
@@ -150,7 +150,7 @@
 }
 
 // A client's wait ends with one answer though the server stays silent, and the try's connection is closed.
-func TestATryThatIsNotAnsweredEnds(t *testing.T) {
+func TestUnansweredTryEndsAtDeadline(t *testing.T) {
 	t.Parallel()
 	s := newServer(t, "s-1", "hall-a", func(net.Conn, []string) {})
 	c := start(t, fixture{servers: []*server{s}}).dial()
@@ -160,7 +160,7 @@
 	await(t, s.disconnected, "the try's connection to close")
 }
 
-func TestNothingNewGoesToADrainingServer(t *testing.T) {
+func TestDrainingServerGetsNothingNew(t *testing.T) {
 	t.Parallel()
 	a, b := newServer(t, "s-1", "hall-a", replyValue("a")), newServer(t, "s-2", "hall-b", replyValue("b"))
 	r := newRegistry(t)
@@ -182,7 +182,7 @@
 }
 
 // An answer without a number, with or without an end, ends its connection: the calls go on over the next one.
-func TestASpoiltAnswerOfTheCounterEndsItsConnection(t *testing.T) {
+func TestInvalidCounterReplyClosesConnection(t *testing.T) {
 	t.Parallel()
 	for name, spoil := range map[string]string{"noise": "\x00\xff\x10\r\n", "no number": "ok many\r\n", "nan": "ok nan\r\n",
 		"word": "okay\r\n", "no end": "\x07\x07\x07", "endless": "ok " + strings.Repeat("1", 100)} {
@@ -208,7 +208,7 @@
 
 // A sum that no request waits for may come later than the settings' 30 ms: a firm that comes through this limiter
 // alone is given most of its quota here, not this limiter's half of it.
-func TestALateSumIsTaken(t *testing.T) {
+func TestLateCounterTotalIsUsed(t *testing.T) {
 	t.Parallel()
 	set := settings()
 	set["balancers"] = 2
@@ -231,7 +231,7 @@
 }
 
 // The counter is called off the path: silence, refusals and garbage of it hold no request up and end nothing.
-func TestTheCountersTroublesHoldNobodyUp(t *testing.T) {
+func TestCounterFailuresDelayNoRequest(t *testing.T) {
 	t.Parallel()
 	for name, reply := range map[string]string{"silent": "", "busy": "busy", "error": "error", "garbage": "ok many"} {
 		t.Run(name, func(t *testing.T) {
--- a/cmd/bramblefall/wallclock_test.go
+++ b/cmd/bramblefall/wallclock_test.go
@@ -60,7 +60,7 @@
 
 // A server that starts after a step of the wall clock is as cold as any, and warm when its time is over: what discovery tells
 // of its start is the clock's word after the step.
-func TestAStepOfTheWallClockHidesNoColdServer(t *testing.T) {
+func TestWallClockStepKeepsColdStart(t *testing.T) {
 	t.Parallel()
 	const cold, requests, atOnce = 4 * time.Second, 400, 8
 	for name, by := range clockSteps {
@@ -104,7 +104,7 @@
 }
 
 // Limiters that ran through a step of the wall clock and others that started after it count a firm under one name.
-func TestAStepOfTheWallClockLeavesOneNameForAFirmsCount(t *testing.T) {
+func TestWallClockStepKeepsOneCounterNamePerFirm(t *testing.T) {
 	t.Parallel()
 	const both = 2 << 17 // a sum in which two limiters have told their forecasts
 	for name, by := range map[string]time.Duration{"an hour on": time.Hour, "an hour back": -time.Hour, "minutes on": 2 * time.Minute,
@@ -163,7 +163,7 @@
 }
 
 // A plan comes into force at its instant by the wall clock, also where that is reached by a step.
-func TestAStepOfTheWallClockBringsAPlanIntoForce(t *testing.T) {
+func TestWallClockStepActivatesPlan(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
 	clock, socket := newWallClock(t), filepath.Join(dir, "admin.sock")
