--- a/cmd/bramblefall/counters_test.go
+++ b/cmd/bramblefall/counters_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// counters is an operators' file with such a list; more is what stands beside it.
+// countersScript returns an operators' file that lists these counters; more is appended to its arguments.
 func countersScript(more string, list ...*quotaCounter) string {
 	var b strings.Builder
 	for _, c := range list {
@@ -24,7 +24,7 @@
 	return fmt.Sprintf("bramblefall(\n counters = [\n%s ], %s)\n", b.String(), more)
 }
 
-// read has a limiter read its operators' file again.
+// reloadOperatorFile replaces the operators' file, sends SIGHUP and waits until the limiter logs message once more.
 func (l *limiter) reloadOperatorFile(path, text, message string) {
 	l.t.Helper()
 	before := strings.Count(l.log.String(), message)
@@ -33,7 +33,8 @@
 	require.Eventually(l.t, func() bool { return strings.Count(l.log.String(), message) > before }, testTimeout, time.Millisecond)
 }
 
-// threeLimiters is three limiters of a deployment of so many, with an operators' file each.
+// startThreeLimiters starts the first three limiters of a deployment of this size, each with its own operators' file. restart
+// starts the one of a rank again.
 func startThreeLimiters(t *testing.T, balancers int, plan object, c *quotaCounter, s *server) (all []*limiter, files []string, restart func(rank int) *limiter) {
 	set := settings()
 	set["balancers"], set["tariffs"] = balancers, []object{plan}
@@ -51,7 +52,8 @@
 
 const configReloaded = `msg="read the configuration anew"`
 
-// A bad list is told in one line, with line and field, and the last good one goes on.
+// An invalid list is reported in one line that names the script's line and the field. At a reload the limiter keeps the last
+// valid list.
 func TestInvalidCounterListIsRejected(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -74,12 +76,12 @@
 	l := start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}, operatorFile: file})
 	l.reloadOperatorFile(file, "bramblefall(counters = [])\n", "the old one is kept")
 	require.Contains(t, l.log.String(), "counters: minItems")
-	require.Contains(t, l.log.String(), strings.Replace(list, " ", "=", 1), "limiters can be compared with the file")
+	require.Contains(t, l.log.String(), strings.Replace(list, " ", "=", 1), "the limiter logs the same fingerprint of the list as the check of the file")
 	require.Equal(t, "v", l.dial().do(askArgs("r1")...))
 }
 
-// The names go to all counters of the list, those of one that is gone cost no other, and the list may change at any time: to one
-// more, to one elsewhere, to the platform's again.
+// Names are spread over all counters of the list, and the list may change at any time: more counters, one counter replaced, or
+// back to the platform's own. The names of a counter that is gone cost the other counters nothing.
 func TestNamesAreSpreadOverTheListedCounters(t *testing.T) {
 	t.Parallel()
 	first, s := newCounter(t), newServer(t, "s-1", "hall-a", replyValue("v"))
@@ -121,11 +123,11 @@
 	drive(func() bool { n, _ := first.callsAndConns(); return n > before+5 })
 	for _, c := range append(list, elsewhere) {
 		_, conns := c.callsAndConns()
-		assert.LessOrEqual(t, conns, 6, "a connection for each limiter, and one more where it had rested")
+		assert.LessOrEqual(t, conns, 6, "one connection for each of three limiters, and one more each if the first was closed while idle")
 	}
 }
 
-// drain asks one limiter for units of some firms until it refuses each, and counts what it serves.
+// useQuota sends eight requests for each of some firms through one limiter, more than a firm's quota, and counts those served.
 func (l *limiter) useQuota(firms int, tag string) (served int) {
 	c := l.dial()
 	for f := range firms {
@@ -142,26 +144,27 @@
 const (
 	movedFirms = 6
 	movedBurst = 5
-	// mostMoved is what three limiters may serve of the firms' quotas: of the even part, a fraction of a request here, each limiter
-	// lets one go, and the interval of one firm may have ended.
+	// maxMovedServed is how many requests three limiters together may serve: the firms' bursts; for each firm one more request
+	// through each of the two other limiters, since a limiter admits one request on its even share even where that is a fraction
+	// of a request; and one burst more, since the counting interval of one firm may have ended.
 	maxMovedServed = movedFirms*movedBurst + 2*movedFirms + movedBurst
 )
 
-// movedLimiters is three limiters of a deployment of six, whose firms' quotas come back so slowly that none does in a test.
+// startMovedLimiters starts three limiters of a deployment of six. The firms' quotas refill so slowly that none does in a test.
 func startMovedLimiters(t *testing.T, c *quotaCounter) (all []*limiter, files []string, restart func(rank int) *limiter) {
 	return startThreeLimiters(t, 6, plan("regular", 0.05, movedBurst, 0), c, newServer(t, "s-1", "hall-a", replyValue("v")))
 }
 
-// A quota that is used up stays used up when its names move to another counter, whatever becomes of the former one: it answers,
-// it is slow, it is gone, it is silent. One limiter used the quota; the others, which never heard of it, ask after the move. One of
-// them is killed in the middle of the move and starts anew.
+// A quota that is used up stays used up when its names move to another counter, whether the former counter answers, is slow,
+// closes its connections or is silent. One limiter used the quota before the change; the others, which know nothing of that use,
+// ask after it. One of them is killed during the change and restarted.
 func TestUsedQuotaStaysUsedWhenCountersChange(t *testing.T) {
 	t.Parallel()
 	for name, hurt := range map[string]func(c *quotaCounter){
-		"well":   func(*quotaCounter) {},
-		"slow":   func(c *quotaCounter) { c.mu.Lock(); defer c.mu.Unlock(); c.replyDelay = 29 * time.Millisecond },
-		"gone":   func(c *quotaCounter) { c.mu.Lock(); defer c.mu.Unlock(); c.closeConns = true },
-		"silent": func(c *quotaCounter) { c.mu.Lock(); defer c.mu.Unlock(); c.silent = true },
+		"healthy": func(*quotaCounter) {},
+		"slow":    func(c *quotaCounter) { c.mu.Lock(); defer c.mu.Unlock(); c.replyDelay = 29 * time.Millisecond },
+		"closed":  func(c *quotaCounter) { c.mu.Lock(); defer c.mu.Unlock(); c.closeConns = true },
+		"silent":  func(c *quotaCounter) { c.mu.Lock(); defer c.mu.Unlock(); c.silent = true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -175,17 +178,17 @@
 			more := limiters[1].useQuota(movedFirms, "b")
 			require.NoError(t, limiters[2].cmd.Process.Kill())
 			<-limiters[2].exited
-			more += again(2).useQuota(movedFirms, "c") // it never had the former list
-			t.Logf("%d used, %d more after the move", used, more)
+			more += again(2).useQuota(movedFirms, "c") // this process never had the former list
+			t.Logf("%d served before the change, %d after it; at most %d allowed together", used, more, maxMovedServed)
 			require.LessOrEqual(t, used+more, maxMovedServed)
 		})
 	}
 }
 
-// Limiters hear of a list at different times: what those with one list have used, those with the other know.
+// Limiters switch to a new list at different times: quota used by limiters with one list is known to those with the other.
 func TestLimitersWithDifferentCounterListsShareQuota(t *testing.T) {
 	t.Parallel()
-	for name, order := range map[string][]int{"the new list's uses it": {0, 1, 2}, "the former list's use it": {1, 2, 0}} {
+	for name, order := range map[string][]int{"used under the new list": {0, 1, 2}, "used under the former list": {1, 2, 0}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			first, second := newCounter(t), newCounter(t)
@@ -193,14 +196,14 @@
 			limiters[0].reloadOperatorFile(files[0], countersScript("", second), configReloaded)
 			used := limiters[order[0]].useQuota(movedFirms, "a")
 			more := limiters[order[1]].useQuota(movedFirms, "b") + limiters[order[2]].useQuota(movedFirms, "c")
-			t.Logf("%d used, %d more with the other list", used, more)
+			t.Logf("%d served, %d more by limiters with the other list", used, more)
 			require.GreaterOrEqual(t, used, movedFirms*(movedBurst-1))
 			require.LessOrEqual(t, used+more, maxMovedServed)
 		})
 	}
 }
 
-// A former counter that is wiped in a move is not believed by a limiter that heard from it before.
+// A former counter that loses its totals during a change is not trusted by a limiter that had read higher totals from it.
 func TestFormerCounterWipedDuringChangeGrantsNoQuotaTwice(t *testing.T) {
 	t.Parallel()
 	first, second := newCounter(t), newCounter(t)
@@ -214,11 +217,11 @@
 	clear(first.totals)
 	first.mu.Unlock()
 	more := limiters[1].useQuota(movedFirms, "c")
-	t.Logf("%d used, %d by the one that heard of it, %d more after the move", used, heard, more)
+	t.Logf("%d served by the first limiter, %d by the one that read the totals, %d after the change", used, heard, more)
 	require.LessOrEqual(t, used+heard+more, maxMovedServed)
 }
 
-// A list that changes every second gives no quota twice, whichever limiter asks after each change.
+// A list that changes every second grants no quota twice, whichever limiter asks after each change.
 func TestCounterListChangedEverySecondGrantsNoQuotaTwice(t *testing.T) {
 	t.Parallel()
 	const changes = 6
@@ -233,6 +236,6 @@
 		served += limiters[(1+change)%3].useQuota(movedFirms, fmt.Sprint(1+change))
 		time.Sleep(time.Second)
 	}
-	t.Logf("%d served under %d lists", served, 1+changes)
+	t.Logf("%d served under %d lists, at most %d allowed", served, 1+changes, maxMovedServed)
 	require.LessOrEqual(t, served, maxMovedServed)
 }
--- a/cmd/bramblefall/crossing_test.go
+++ b/cmd/bramblefall/crossing_test.go
@@ -23,10 +23,11 @@
 	"bramblefall/internal/resp"
 )
 
-// Events that cross, forced: a stand-in stops where the other event has to come in between.
+// The tests of this file force races between two events: a stand-in pauses at the point where the other event has to happen.
 
-// door is a server whose connections come up when the test says so: what waits in the kernel's queue is accepted by hand,
-// and while that is full the kernel drops what else comes, to be asked again a second later.
+// gatedListener is a server whose connections are established when the test says so. The test accepts connections from the
+// kernel's queue itself; while that queue is full the kernel drops further connection requests, and clients repeat theirs a
+// second later.
 type gatedListener struct {
 	t    *testing.T
 	fd   int
@@ -45,7 +46,7 @@
 	return &gatedListener{t, fd, netip.AddrPortFrom(host, uint16(at.(*syscall.SockaddrInet4).Port)).String()}
 }
 
-// accept takes the connection that waits, or the next.
+// accept returns the connection at the head of the queue, and waits for one if the queue is empty.
 func (d *gatedListener) accept() net.Conn {
 	fd, _, err := syscall.Accept(d.fd)
 	require.NoError(d.t, err)
@@ -58,23 +59,23 @@
 	return conn
 }
 
-// shut fills the queue, so that nothing more comes up.
+// fillBacklog fills the kernel's queue, so that no further connection is established.
 func (d *gatedListener) fillBacklog() {
 	conn, err := net.Dial("tcp", d.addr)
 	require.NoError(d.t, err)
 	d.t.Cleanup(func() { _ = conn.Close() })
 }
 
-// knocked waits until a connection has been asked for that does not come up.
+// waitForPendingDial waits until a client has asked for a connection that is not established.
 func (d *gatedListener) waitForPendingDial() {
-	remote := procNetTCPAddress(d.addr) + " 02 " // in SYN_SENT
+	remote := procNetTCPAddress(d.addr) + " 02 " // 02 is the state SYN_SENT
 	require.Eventually(d.t, func() bool {
 		table, err := os.ReadFile("/proc/net/tcp")
 		return err == nil && strings.Contains(string(table), remote)
 	}, testTimeout, time.Millisecond)
 }
 
-// command reads one command; nil: the connection has ended.
+// readCommand reads one command; nil means that the connection has ended.
 func readCommand(conn net.Conn) []string {
 	var p resp.Parser
 	buf := make([]byte, 64<<10)
@@ -94,7 +95,7 @@
 	}
 }
 
-// class changes one class of the settings.
+// changeClass changes the nth class of the settings, in place, and returns them.
 func changeClass(set object, n int, changes object) object {
 	c := set["classes"].([]object)[n]
 	for k, v := range changes {
@@ -103,11 +104,12 @@
 	return set
 }
 
-// A repeat of a keyed request that was allowed when its server was chosen, on a connection that comes up when the window
-// is over: nothing of it leaves, and the client is told that nothing is promised.
+// A retry of a keyed request is allowed when its server is chosen, but its connection is established only after the key's
+// window, when servers no longer drop duplicates. The retry must not be sent, and the client gets an error that leaves open
+// whether the request ran.
 func TestNoRetryAfterKeyWindow(t *testing.T) {
 	t.Parallel()
-	const window = 2 * time.Second // the kernel asks again after 1 and 3 s
+	const window = 2 * time.Second // the kernel repeats a SYN after 1 and 3 s
 	set := changeClass(settings(), 1, object{"keyTtl": window.Seconds()})
 	set["caps"].(object)["connectTimeout"] = 8.0
 	d := newGatedListener(t)
@@ -119,18 +121,18 @@
 	d.fillBacklog()
 	_, err := first.Write([]byte("-ERR failed\r\n"))
 	require.NoError(t, err)
-	d.waitForPendingDial() // the repeat has its server, and no connection
-	require.Less(t, time.Since(began), window, "the machine was too busy for this test")
+	d.waitForPendingDial() // the retry has been given its server, and has no connection yet
+	require.Less(t, time.Since(began), window, "the machine is too slow for this test: the retry must have been chosen within the window")
 	time.Sleep(time.Until(began.Add(window)))
-	_ = d.accept() // the one that filled the queue
+	_ = d.accept() // the connection that filled the queue
 	assert.Equal(t, "-ERR failed", c.readReply())
 	late := d.accept()
 	require.NoError(t, late.SetReadDeadline(time.Now().Add(time.Second)))
-	assert.Nil(t, readCommand(late), "a repeat that no server drops any more")
+	assert.Nil(t, readCommand(late), "a retry was sent after the window, when no server drops duplicates any more")
 }
 
-// A long answer on a slow connection that keeps moving is whole in the end; one that stops in the middle is given up long
-// before the try's own time is over.
+// A long reply on a slow connection is delivered whole as long as bytes keep arriving. A reply that stops in the middle is given
+// up long before the deadline of the try.
 func TestSlowReplyIsKeptWhileItProgresses(t *testing.T) {
 	t.Parallel()
 	for name, whole := range map[string]bool{"keeps moving": true, "stops": false} {
@@ -138,7 +140,7 @@
 			t.Parallel()
 			text := strings.Repeat("v", 8000)
 			answer := fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(text), text)
-			var gap atomic.Int64 // the longest of the last answer
+			var gap atomic.Int64 // longest pause within the last reply, in nanoseconds
 			s := newServer(t, "s-1", "hall-a", func(conn net.Conn, _ []string) {
 				gap.Store(0)
 				for k := 0; k < len(answer) && (whole || k < 4000); k += 400 {
@@ -155,7 +157,7 @@
 					assert.Equal(t, "-ERR failed", got)
 					return
 				}
-				if time.Duration(gap.Load()) < 100*time.Millisecond || try == 20 { // else the machine was too busy to keep it moving
+				if time.Duration(gap.Load()) < 100*time.Millisecond || try == 20 { // otherwise the machine was too busy to send without long pauses
 					assert.Equal(t, text, got)
 					return
 				}
@@ -164,8 +166,8 @@
 	}
 }
 
-// A client that sends more at once than may wait on a connection, and reads later: each command has its one answer, in its
-// place, and those that were taken are served.
+// A client pipelines more commands than may wait on one connection, and reads the replies later. Each command gets exactly one
+// reply, in order, and the commands that were accepted are served.
 func TestPipelineBeyondLimitAnswersEveryCommand(t *testing.T) {
 	t.Parallel()
 	const all = 3000
@@ -187,17 +189,18 @@
 	served := 0
 	for n := range all {
 		switch got := c.readReply(); {
-		case strings.HasPrefix(got, "-BUSY"): // refused by the module, or in its turn
+		case strings.HasPrefix(got, "-BUSY"): // rejected by package logic, or in its turn because too many commands waited
 		default:
-			require.Equal(t, fmt.Sprintf("vid%d", n), got, "an answer in another's place")
+			require.Equal(t, fmt.Sprintf("vid%d", n), got, "reply out of order")
 			served++
 		}
 	}
 	assert.NotZero(t, served)
-	assert.Equal(t, "+PONG", c.do("PING"), "nothing but the answers came, and the connection goes on")
+	assert.Equal(t, "+PONG", c.do("PING"), "no surplus replies, and the connection still works")
 }
 
-// agent answers watches as the test says: answer is called with the number of the ask and the connection.
+// newAgent starts a discovery agent that answers watches as the test says: answer is called with the number of the request,
+// from 0, and its connection.
 func newAgent(t *testing.T, answer func(request int, conn net.Conn)) *registry {
 	requests := make(chan int, 1)
 	requests <- 0
@@ -210,14 +213,15 @@
 	})}
 }
 
-// until the limiter leaves.
+// waitForClose blocks until the limiter closes the connection.
 func waitForClose(conn net.Conn) { _, _ = conn.Read(make([]byte, 1)) }
 
 const chunkedHeader = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 func chunk(line string) string { return fmt.Sprintf("%x\r\n%s\n\r\n", len(line)+1, line) }
 
-// moved is a world whose known list names one server, and the list's line by which that one drains and another is ready.
+// drainedServerFixture returns a fixture whose known list names one server, that server, and the line of a newer list in which
+// it drains and another server is ready.
 func drainedServerFixture(t *testing.T) (w fixture, draining *server, line string) {
 	draining = newServer(t, "s-1", "hall-a", replyValue("old"))
 	now := serverEntries([]*server{draining, newServer(t, "s-2", "hall-a", replyValue("new"))})
@@ -227,8 +231,8 @@
 	return fixture{servers: []*server{draining}}, draining, string(raw)
 }
 
-// What the agent has binds a new process from its first moment: with an old list known, nothing is served by it while the
-// agent's answer is on its way.
+// A new process must act on the agent's list from the start: while the agent's answer is still on its way, no request may be
+// served according to the old list in the configuration.
 func TestStartWaitsForDiscoveryBeforeServing(t *testing.T) {
 	t.Parallel()
 	w, left, line := drainedServerFixture(t)
@@ -241,7 +245,7 @@
 	assert.Empty(t, left.received())
 }
 
-// An agent that is silent, since discovery is down, holds no start up for long, and the old list serves meanwhile.
+// An agent that stays silent because discovery is down does not delay the start for long; the old list is used meanwhile.
 func TestSilentDiscoveryDoesNotBlockStart(t *testing.T) {
 	t.Parallel()
 	s := newServer(t, "s-1", "hall-a", replyValue("v"))
@@ -249,8 +253,8 @@
 	assert.Equal(t, "v", start(t, w).dial().do(askArgs("01")...))
 }
 
-// Another deployment's file at SIGHUP: its addresses are followed, and nothing of its settings is in force beside the old
-// ones. Which of them differ is logged in one line.
+// SIGHUP with another deployment's file: its addresses are followed, but none of its settings takes effect next to the old ones.
+// One log line names the settings that differ.
 func TestReloadOfAnotherDeploymentsSettingsAppliesNone(t *testing.T) {
 	t.Parallel()
 	w := fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}, counter: newCounter(t)}
@@ -265,19 +269,19 @@
 	l.reload(raw, "settings differ that hold until a restart")
 	require.Eventually(t, func() bool { return strings.Contains(l.log.String(), "read the configuration anew") }, testTimeout, time.Millisecond)
 	assert.Contains(t, l.log.String(), "settings=[Classes]")
-	assert.Equal(t, "v", c.do(askArgs("02")...), "the old class and plan")
-	require.Eventually(t, func() bool { _, conns := next.counter.callsAndConns(); return conns > 0 }, testTimeout, time.Millisecond, "the new counter")
+	assert.Equal(t, "v", c.do(askArgs("02")...), "the old class and plan stay in effect")
+	require.Eventually(t, func() bool { _, conns := next.counter.callsAndConns(); return conns > 0 }, testTimeout, time.Millisecond, "no connection to the new counter")
 }
 
-// descriptors is how many the limiter holds.
+// descriptors returns how many file descriptors the limiter has open.
 func (l *limiter) descriptors() int {
 	list, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", l.cmd.Process.Pid))
 	require.NoError(l.t, err)
 	return len(list)
 }
 
-// A client that leaves while its request waits for a connection to a server, at its first try or after a failed one: nothing
-// of it leaves once that is up.
+// A client closes its connection while its request waits for a connection to a server, at its first try or after a failed one.
+// Nothing of the request is sent once the connection to the server is established.
 func TestNothingSentForClientGoneDuringDial(t *testing.T) {
 	t.Parallel()
 	for name, again := range map[string]bool{"first try": false, "between two tries": true} {
@@ -302,22 +306,22 @@
 			d.waitForPendingDial()
 			before := l.descriptors()
 			require.NoError(t, c.conn.Close())
-			require.Eventually(t, func() bool { return l.descriptors() < before }, testTimeout, time.Millisecond, "its end is seen")
-			_ = d.accept() // the one that filled the queue
+			require.Eventually(t, func() bool { return l.descriptors() < before }, testTimeout, time.Millisecond, "the limiter has not noticed the client's close")
+			_ = d.accept() // the connection that filled the queue
 			late := d.accept()
 			require.NoError(t, late.SetReadDeadline(time.Now().Add(time.Second)))
-			assert.Nil(t, readCommand(late), "a request that nobody waits for")
+			assert.Nil(t, readCommand(late), "a request was sent although its client had gone")
 		})
 	}
 }
 
-// A process that stands still, as one without its share of a core does, while clients leave: by their ends alone, behind a whole
-// command that it has not read, and while a connection to a server comes up. Once it goes on, what it does first is up to the
-// scheduler, and in no order may anything of theirs leave.
+// Clients close their connections while the process is stopped, as happens to a process that gets no share of a core: with a
+// whole unread command before the close, and while a connection to a server is being established. When the process continues,
+// the scheduler decides what it handles first, and in no order may a request of these clients be sent.
 func TestNothingSentForClientsGoneWhileProcessStopped(t *testing.T) {
 	t.Parallel()
 	const many = 40
-	for name, dialling := range map[string]bool{"unread": false, "in a dial": true} {
+	for name, dialling := range map[string]bool{"unread": false, "during a dial": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			set := settings()
@@ -352,26 +356,26 @@
 			}
 			var late net.Conn
 			if dialling {
-				_ = d.accept() // the one that filled the queue
+				_ = d.accept() // the connection that filled the queue
 				late = d.accept()
 			}
 			time.Sleep(clientGoneGrace)
 			require.NoError(t, l.cmd.Process.Signal(syscall.SIGCONT))
 			if dialling {
 				require.NoError(t, late.SetReadDeadline(time.Now().Add(time.Second)))
-				assert.Nil(t, readCommand(late), "a request that nobody waits for")
+				assert.Nil(t, readCommand(late), "a request was sent although its client had gone")
 				return
 			}
 			assert.Equal(t, "v", l.dial().do(askArgs("last")...))
 			for _, args := range s.received() {
-				assert.Equal(t, "last", args[2], "a request that nobody waits for")
+				assert.Equal(t, "last", args[2], "a request was sent although its client had gone")
 			}
 		})
 	}
 }
 
-// Hundreds of clients that leave at once while their requests are held or queued: in order, with a reset, with half of the
-// next command, or with more commands than one. What is sent on afterwards is none of theirs.
+// Hundreds of clients close their connections at once while their requests are held or queued: with an orderly close, with a
+// reset, after a part of the next command, or after several commands. None of their requests is sent to a server afterwards.
 func TestNothingSentForBurstOfGoneClients(t *testing.T) {
 	t.Parallel()
 	s := newServer(t, "s-1", "hall-a", func(conn net.Conn, args []string) {
@@ -402,18 +406,18 @@
 		}
 		require.NoError(t, c.conn.Close())
 	}
-	require.Eventually(t, func() bool { return l.descriptors() < base+100 }, testTimeout, time.Millisecond, "their ends are seen")
+	require.Eventually(t, func() bool { return l.descriptors() < base+100 }, testTimeout, time.Millisecond, "the limiter has not noticed the clients' closes")
 	last := l.dial()
 	require.Equal(t, "+PONG", last.do("PING"))
-	time.Sleep(clientGoneGrace) // what crossed their ends has come by now
+	time.Sleep(clientGoneGrace) // requests that were already being sent have arrived by now
 	sent := len(s.received())
 	require.Equal(t, "v", last.do(askArgs("last")...))
 	seen := s.received()
-	assert.Equal(t, 1, len(seen)-sent, "only the last client's: %v", seen[sent:])
+	assert.Equal(t, 1, len(seen)-sent, "only the last client's request may be sent, got %v", seen[sent:])
 }
 
-// A line of the list is whole when its last byte has come, in whatever form the answer is: without a length, with one, in
-// chunks, indented, a byte at a time; and a reset behind it takes nothing of it back.
+// A list takes effect when its last byte has arrived, in whatever form the HTTP response is sent: without a length, with one, in
+// chunks, indented, or one byte at a time. A connection reset after it does not undo it.
 func TestListIsCompleteInAnyTransferForm(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
@@ -449,7 +453,7 @@
 			taken := make(chan struct{})
 			w.registry = newAgent(t, func(n int, conn net.Conn) {
 				if n > 0 {
-					waitForClose(conn) // only the first answer says anything
+					waitForClose(conn) // only the first request gets a list
 					return
 				}
 				for k := range len(text) {
@@ -472,7 +476,7 @@
 	}
 }
 
-// SIGTERM while a new process waits for its agent's first word: nothing was accepted, and it ends with 0.
+// SIGTERM while a new process waits for its agent's first list: no connection was accepted, and the process exits with code 0.
 func TestTerminateBeforeClientsAreAccepted(t *testing.T) {
 	t.Parallel()
 	asked := make(chan struct{})
@@ -485,33 +489,35 @@
 	cmd := exec.Command(binary, "-config", writeJSON(t, filepath.Join(t.TempDir(), "config.json"), w.config(t)))
 	require.NoError(t, cmd.Start())
 	defer func() { _ = cmd.Process.Kill() }()
-	await(t, asked, "the first ask")
+	await(t, asked, "the first request to the agent")
 	require.NoError(t, cmd.Process.Signal(syscall.SIGTERM))
 	require.NoError(t, cmd.Wait())
 }
 
-// A client that leaves while the rest of its large command waits for a server that does not read: it is never whole.
+// A client closes its connection while the rest of its large command waits for a server that does not read. The rest of the
+// command is never sent.
 func TestLargeCommandIsNotCompletedForGoneClient(t *testing.T) {
 	t.Parallel()
 	d := newGatedListener(t)
-	require.NoError(t, syscall.SetsockoptInt(d.fd, syscall.SOL_SOCKET, syscall.SO_RCVBUF, 2048)) // its connections inherit it
+	require.NoError(t, syscall.SetsockoptInt(d.fd, syscall.SOL_SOCKET, syscall.SO_RCVBUF, 2048)) // inherited by accepted connections
 	l := start(t, fixture{servers: []*server{{id: "s-1", zone: "hall-a", state: "ready", addr: d.addr}}})
 	c := l.dial()
 	args := doArgs("01")
 	args[4] = strings.Repeat("b", 60<<10)
 	c.write(encodeCommand(args...))
 	conn := d.accept()
-	_, err := conn.Read(make([]byte, 1)) // it has begun
+	_, err := conn.Read(make([]byte, 1)) // the command has begun to arrive
 	require.NoError(t, err)
 	before := l.descriptors()
 	require.NoError(t, c.conn.Close())
-	require.Eventually(t, func() bool { return l.descriptors() <= before-2 }, testTimeout, time.Millisecond, "both connections are over")
+	require.Eventually(t, func() bool { return l.descriptors() <= before-2 }, testTimeout, time.Millisecond, "the connections to the client and to the server are not both closed")
 	rest, _ := io.ReadAll(conn)
-	assert.Less(t, len(rest), 60<<10, "all of it has come")
+	assert.Less(t, len(rest), 60<<10, "the whole command was sent for a client that had gone")
 }
 
-// No descriptor is left for a connection to a server, by the system's word or by the limiter's own count: the servers are not to
-// blame and not left out, the request is refused as harmless, and once there is one it is served.
+// No descriptor is left for a connection to a server, because of the kernel's limit or of the limiter's own count. The servers
+// are not at fault and are not ejected, the request is rejected as one that did not run, and once a descriptor is free requests
+// are served again.
 func TestDescriptorShortageEjectsNoServer(t *testing.T) {
 	t.Parallel()
 	limit := func(l *limiter, n uint64) {
@@ -519,21 +525,21 @@
 		require.NoError(t, unix.Prlimit(l.cmd.Process.Pid, unix.RLIMIT_NOFILE, nil, &was))
 		require.NoError(t, unix.Prlimit(l.cmd.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: n, Max: was.Max}, nil))
 	}
-	t.Run("the system's word", func(t *testing.T) {
+	t.Run("kernel limit", func(t *testing.T) {
 		t.Parallel()
 		l := start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v")), newServer(t, "s-2", "hall-a", replyValue("v"))}})
 		c := l.dial()
 		require.Equal(t, "+PONG", c.do("PING"))
-		limit(l, 3) // no new one, whatever is free
+		limit(l, 3) // lower than the descriptors in use: no new one can be opened
 		assert.Regexp(t, "^-BUSY", c.do(doArgs("01")...))
 		l.waitForLog("no descriptor left")
 		limit(l, 128)
 		assert.Equal(t, "v", c.do(doArgs("02")...))
 		assert.NotContains(t, l.log.String(), "left out")
 	})
-	t.Run("its own count", func(t *testing.T) {
+	t.Run("own count", func(t *testing.T) {
 		t.Parallel()
-		const most = 32 // of 128
+		const most = 32 // connections to servers, of 128 descriptors
 		release := make(chan struct{})
 		slow := func(conn net.Conn, args []string) {
 			<-release
@@ -559,7 +565,7 @@
 	})
 }
 
-// serves tells whether a new client gets a value: one may be turned away unread where there is no room.
+// servesNewClient reports whether a new client gets a value. Where there is no room, a connection may be closed unread.
 func (l *limiter) servesNewClient(id string) bool {
 	conn, err := net.Dial("tcp", l.addr)
 	if err != nil {
@@ -573,9 +579,9 @@
 	return err == nil && string(text) == "+PONG\r\n$1\r\nv\r\n"
 }
 
-// Hundreds of connections that say nothing, that bring a byte of a command, or that do not read what they asked for, many
-// more than there are descriptors: the limit holds at every moment, and another client that is turned away and comes again is
-// served.
+// Hundreds of connections, many more than there are descriptors, send nothing, send one byte of a command, or do not read the
+// replies that they asked for. The descriptor limit holds at every moment, and another client that retries after its connection
+// was closed is served.
 func TestConnectionFloodLeavesRoomForOthers(t *testing.T) {
 	t.Parallel()
 	s := newServer(t, "s-1", "hall-a", replyValue("v"))
@@ -598,14 +604,14 @@
 	}
 }
 
-// The first line of an indented list is no word yet: nobody is let in while the rest of it is on its way, by the list that
-// was known before.
+// The first line of an indented list is not a list yet: while the rest is on its way, no client is accepted and served by the
+// list that was known before.
 func TestFirstLineOfIndentedListAcceptsNoClients(t *testing.T) {
 	t.Parallel()
-	for range 10 { // a limiter lets clients in after a second whatever has come: a machine that stood still gives no verdict
+	for range 10 { // a limiter accepts clients after a second at the latest, so a run in which the machine stalled proves nothing
 		w, left, line := drainedServerFixture(t)
 		w.settings = settings()
-		w.settings["rules"].(object)["drainGrace"] = 2.0 // a list may stand still for longer than this test lets it
+		w.settings["rules"].(object)["drainGrace"] = 2.0 // the pause in the list below is shorter than the limiter tolerates
 		var b bytes.Buffer
 		require.NoError(t, json.Indent(&b, []byte(line), "", "  "))
 		first, rest, _ := strings.Cut(b.String(), "\n")
@@ -614,7 +620,7 @@
 			if n == 0 {
 				_, _ = conn.Write([]byte(chunkedHeader + chunk(first)))
 				select {
-				case <-serving: // too soon
+				case <-serving: // it accepts clients too soon: whole stays open
 				case <-time.After(300 * time.Millisecond):
 					close(whole)
 				}
@@ -630,11 +636,11 @@
 		select {
 		case <-whole:
 		default:
-			require.Fail(t, "let in by the first line")
+			require.Fail(t, "clients were accepted after the first line of the list")
 		}
 		assert.Equal(t, "new", l.dial().do(askArgs("01")...))
 		assert.Empty(t, left.received())
 		return
 	}
-	require.Fail(t, "discovery's word came too late each time")
+	require.Fail(t, "the list arrived too late in each of 10 runs")
 }
--- a/cmd/bramblefall/disk_test.go
+++ b/cmd/bramblefall/disk_test.go
@@ -14,8 +14,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// A lasting folder that fails for a while: what came into force meanwhile is on the disk once it works again, with no further
-// change, and a kill then loses nothing. Of a kill in the middle of a write nothing is left lying.
+// The disk of the state directory fails for a while. Plans that took effect meanwhile are written once it works again, without a
+// further change of the plans, and a kill after that loses nothing. The temporary file that an earlier kill left in the middle of
+// a write is removed at the start.
 func TestPlansAreSavedOnceDiskRecovers(t *testing.T) {
 	t.Parallel()
 	for _, errno := range []syscall.Errno{syscall.ENOSPC, syscall.EIO} {
@@ -48,10 +49,10 @@
 			require.Eventually(t, func() bool {
 				_, err := os.Stat(filepath.Join(state, "plans.state"))
 				return err == nil
-			}, testTimeout, 10*time.Millisecond, "the disk works again")
-			time.Sleep(100 * time.Millisecond) // for its directory's sync
+			}, testTimeout, 10*time.Millisecond, "the plans were not saved after the disk recovered")
+			time.Sleep(100 * time.Millisecond) // until the directory is synced, too
 			require.NoError(t, l.cmd.Process.Kill())
-			await(t, l.exited, "the kill")
+			await(t, l.exited, "the process to end after the kill")
 			start(t, w)
 			out, _ := runCLI(t, 0, "plans", "list", "--socket", socket)
 			require.Regexp(t, `1 +in force.*n1`, out)
--- a/cmd/bramblefall/drain_test.go
+++ b/cmd/bramblefall/drain_test.go
@@ -17,23 +17,24 @@
 )
 
 const (
-	drainGraceSeconds = 2.0             // seconds, in the settings of these tests
-	auditGrace        = 3 * time.Second // for a busy machine; the old waits of discovery's client were over it
+	drainGraceSeconds = 2.0             // drainGrace in the settings of these tests
+	auditGrace        = 3 * time.Second // allows for a busy machine; the discovery client's former retry delays exceeded it
 	drainInterval     = 150 * time.Millisecond
 	restartDelay      = 4 * time.Second
 	drainTestDuration = 10 * time.Second
 )
 
-// fleet is several limiters in one world, each with an agent of its own.
+// fleet is several limiters in one environment of stand-ins, each with a discovery agent of its own.
 type fleet struct {
 	world    *standin.World
 	limiters []*standin.Limiter
 	configs  []object
-	args     []string // of the program, beside its configuration
+	args     []string // of the program, besides its configuration
 	ids      atomic.Int64
 }
 
-// startFleet starts as many limiters as there are hands. Dress changes the configuration of each; nil: it is as usual.
+// startFleet starts as many limiters as there are troubles, which decide how the agent of each limiter misbehaves (nil: not at
+// all). customize changes the configuration of each limiter; nil: none is changed.
 func startFleet(t *testing.T, nodes int, customize func(f *fleet, k int, config object), troubles ...func(int) standin.Trouble) *fleet {
 	trackSources()
 	f := &fleet{world: standin.NewWorld(fault.Plan{})}
@@ -78,8 +79,9 @@
 	return l
 }
 
-// ask keeps one request after the other at a limiter until stop, with a pause between them. Each has its one answer, and a
-// value is that request's own. It counts what was served.
+// sendRequests sends one request after the other to a limiter until stop is closed, with a pause before each. It returns an error
+// unless each request gets exactly one answer, and each value is that of its own request. served counts the requests that got a
+// value.
 func (f *fleet) sendRequests(l *standin.Limiter, stop <-chan struct{}, pause time.Duration, fields string, served *atomic.Int64) error {
 	conn, err := net.Dial("tcp", l.Addr)
 	if err != nil {
@@ -91,7 +93,7 @@
 		select {
 		case <-stop:
 			if n := in.Buffered(); n > 0 {
-				return fmt.Errorf("%d bytes behind the last answer", n)
+				return fmt.Errorf("got %d bytes after the last answer, want none", n)
 			}
 			return nil
 		case <-time.After(pause):
@@ -110,23 +112,23 @@
 		if strings.HasPrefix(line, "$") {
 			served.Add(1)
 			if value, err := in.ReadString('\n'); err != nil || value != id+"\r\n" {
-				return fmt.Errorf("%q for request %s: %v", value, id, err)
+				return fmt.Errorf("request %s got the value %q, want its id (error: %v)", id, value, err)
 			}
 		}
 	}
 }
 
-// Lists break off, stop short or fall silent while servers drain and others start at their addresses. No limiter may
-// send to one that it was told drains or is gone, nor to one that no list has named to it.
+// Lists break off, are truncated or stall while servers drain and others start at their addresses. No limiter may send to a
+// server that it was told drains or is gone, nor to one that no list has named to it.
 func TestDrainingIsHonouredWhileListsBreakOff(t *testing.T) {
 	t.Parallel()
-	every := func(answer int) standin.Trouble { // second answer falls silent: an ask beside it gets the rest
+	every := func(answer int) standin.Trouble { // every second answer stalls; a second request made meanwhile gets the rest
 		if answer%2 == 0 {
 			return standin.Mute
 		}
 		return standin.Fine
 	}
-	most := func(bad standin.Trouble) func(int) standin.Trouble { // eight in a row, then a good one
+	most := func(bad standin.Trouble) func(int) standin.Trouble { // eight bad answers in a row, then a good one
 		return func(answer int) standin.Trouble {
 			if answer%9 == 8 {
 				return standin.Fine
--- a/cmd/bramblefall/elf_test.go
+++ b/cmd/bramblefall/elf_test.go
@@ -12,17 +12,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The days at size lead the limiter's sockets and clocks through a library loaded into the process: that works only
-// if the file that `build` leaves asks for the C library's loader.
+// The operators' full-size load checks redirect the limiter's sockets and clocks through a library that is preloaded into the
+// process. That works only if the file that the `build` command produces requests the C library's dynamic loader.
 func TestBuildLinksCLibraryDynamically(t *testing.T) {
 	root, err := filepath.Abs("../..")
 	require.NoError(t, err)
 	text, err := os.ReadFile(filepath.Join(root, "deploy", "balancer.toml"))
 	require.NoError(t, err)
 	build := regexp.MustCompile(`(?m)^build = "([^"]*)"`).FindSubmatch(text)
-	require.NotNil(t, build, "the build line cannot be read")
+	require.NotNil(t, build, "deploy/balancer.toml has no line build = \"...\"")
 	run := regexp.MustCompile(`(?m)^run = "exec (\S+)"`).FindSubmatch(text)
-	require.NotNil(t, run, "run must end by exec in one program")
+	require.NotNil(t, run, "deploy/balancer.toml has no line run = \"exec PROGRAM...\"")
 
 	file := filepath.Join(t.TempDir(), filepath.Base(string(run[1])))
 	command := strings.NewReplacer("mkdir -p bin && ", "", "-o bin/ ./cmd/...", "-o "+file+" ./cmd/"+filepath.Base(file))
@@ -32,7 +32,7 @@
 	require.NoError(t, err)
 	defer built.Close()
 	interpreter := built.Section(".interp")
-	require.NotNil(t, interpreter, "no interpreter: linked statically")
+	require.NotNil(t, interpreter, "no .interp section: the program is linked statically")
 	loader, err := interpreter.Data()
 	require.NoError(t, err)
 	require.Contains(t, string(loader), "ld-linux")
--- a/cmd/bramblefall/endpoints_test.go
+++ b/cmd/bramblefall/endpoints_test.go
@@ -12,10 +12,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-const endpointDrainWait = 550 * time.Millisecond // the settings' 500, and 50 that every limit on sockets is longer
+// endpointDrainWait is the 500 ms of drainGrace in the settings, and 50 ms by which every time limit on sockets is longer.
+const endpointDrainWait = 550 * time.Millisecond
 
-// An endpoint that leaves the group, in whatever way, may answer what it has: calls in hand are not cut off, and nothing new goes
-// there.
+// An endpoint that leaves the group, in whatever way, may still answer the calls that it has: calls in flight are not cut off,
+// and no new call goes there.
 func TestRemovedEndpointAnswersCallsInFlight(t *testing.T) {
 	t.Parallel()
 	for name, rest := range map[string]func(t *testing.T, leaves, stays string) object{
@@ -52,20 +53,20 @@
 			}()
 			require.Eventually(t, func() bool { return leaves.calls() == 1 }, testTimeout, time.Millisecond)
 			writeAssignments(t, filepath.Dir(file), rest(t, addr, stays.listen(t)))
-			time.Sleep(endpointDrainWait) // what the files say is in force
+			time.Sleep(endpointDrainWait) // the files are in effect by then
 			for firm := range 5 {
 				_, err := s.ShouldRateLimit(testContext(t), rateLimitRequest(firmDescriptor(fmt.Sprintf("b%d", firm))))
 				require.NoError(t, err)
 			}
 			close(held)
-			assert.Equal(t, verdictOK, <-verdicts, "the one that had the call has answered it")
+			assert.Equal(t, verdictOK, <-verdicts, "the verdict must come from the endpoint that had the call")
 			assert.Equal(t, 1, leaves.calls())
 			assert.Equal(t, 5, stays.calls())
 		})
 	}
 }
 
-// An endpoint that two clusters name is ours as our cluster says: what becomes of it in the other changes nothing.
+// Two clusters name the same endpoint. It is used as our cluster says; its state in the other cluster changes nothing.
 func TestEndpointInTwoClustersFollowsOurCluster(t *testing.T) {
 	t.Parallel()
 	a, b := &externalService{answer: respondWith(verdictOK)}, &externalService{answer: respondWith(verdictOK)}
@@ -81,9 +82,9 @@
 	}
 	ours := assignment("limits", locality(t, "hall-a", 0, 0, first))
 	for name, other := range map[string]object{
-		"drains there":     assignment("audit", locality(t, "hall-a", 0, 1, first)),
-		"is not there":     assignment("audit", locality(t, "hall-a", 0, 0, then)),
-		"the other's gone": assignment("audit"),
+		"drains in the other":    assignment("audit", locality(t, "hall-a", 0, 1, first)),
+		"missing from the other": assignment("audit", locality(t, "hall-a", 0, 0, then)),
+		"other cluster empty":    assignment("audit"),
 	} {
 		before := a.calls()
 		writeAssignments(t, dir, other, ours)
@@ -95,6 +96,6 @@
 	time.Sleep(endpointDrainWait)
 	before := a.calls()
 	asks(5)
-	require.Equal(t, before, a.calls(), "it drains in our cluster, and is ready in the other")
+	require.Equal(t, before, a.calls(), "an endpoint that drains in our cluster got calls because it is ready in the other")
 	require.Equal(t, 5, b.calls())
 }
--- a/cmd/bramblefall/fault_test.go
+++ b/cmd/bramblefall/fault_test.go
@@ -18,16 +18,16 @@
 	"bramblefall/internal/standin"
 )
 
-// The fault tests run the real program, built with the race detector, against peers that break off, stall, repeat
-// themselves and send noise on every socket that it has. BRAMBLEFALL_SCRIPTS sets how many connections play a script
-// (make faults plays 100,000), BRAMBLEFALL_SEED which ones.
+// The fault tests run the real program, built with the race detector, against peers that break connections, stall, send
+// duplicates and send noise on every socket that the program has. BRAMBLEFALL_SCRIPTS sets how many connections play a fault
+// script (make faults plays 100,000), BRAMBLEFALL_SEED the seed by which the scripts are drawn.
 
 const (
 	scriptsPerPlan     = 6000
 	concurrentScripts  = 200
-	connIdleSeconds    = 1.0 // seconds: connections to nodes close themselves before the count of descriptors
-	maxRestGoroutines  = 48  // goroutines of a limiter at rest, with both fronts, over which there is a leak
-	maxRestDescriptors = 20  // descriptors, likewise: streams, pollers, two listeners, watch, counter
+	connIdleSeconds    = 1.0 // short, so that idle connections to nodes are closed before descriptors are counted
+	maxRestGoroutines  = 48  // a limiter at rest that serves RESP2 and gRPC has no more goroutines unless it leaks
+	maxRestDescriptors = 20  // nor more descriptors: standard streams, pollers, two listeners, the watch, the counter
 )
 
 func envUint(name string, fallback uint64) uint64 {
@@ -48,7 +48,7 @@
 	return path
 }
 
-// playFaults runs one plan against a new limiter and gives what broke; "" if nothing did.
+// playFaultPlan runs one plan against a new limiter and describes what broke; "" if nothing did.
 func playFaultPlan(t *testing.T, binary string, p fault.Plan) (standin.Tally, string) {
 	w := standin.NewWorld(p)
 	defer w.Close()
@@ -74,7 +74,7 @@
 		return w.Audit.Tally(), crash
 	}
 	if findings, n := w.Audit.Findings(); n > 0 {
-		return w.Audit.Tally(), fmt.Sprintf("%d findings, first %q", n, findings)
+		return w.Audit.Tally(), fmt.Sprintf("%d findings, want none; the first are %q", n, findings)
 	}
 	tally := w.Audit.Tally()
 	held, err := l.Descriptors()
@@ -83,15 +83,15 @@
 		held, err = l.Descriptors()
 	}
 	if err != nil || held > maxRestDescriptors {
-		return tally, fmt.Sprintf("%d descriptors at rest: %v", held, err)
+		return tally, fmt.Sprintf("%d descriptors at rest, want at most %d (error: %v)", held, maxRestDescriptors, err)
 	}
 	if n, err := l.Goroutines(); err != nil || n > maxRestGoroutines {
-		return tally, fmt.Sprintf("%d goroutines at rest: %v\n%s\n%s", n, err, goroutinesByCreator(l.Log()), l.Log())
+		return tally, fmt.Sprintf("%d goroutines at rest, want at most %d (error: %v)\n%s\n%s", n, maxRestGoroutines, err, goroutinesByCreator(l.Log()), l.Log())
 	}
 	return tally, ""
 }
 
-// whereGoroutinesBegan counts the goroutines of a dump by where they were started.
+// goroutinesByCreator counts the goroutines of a dump by the function that started them.
 func goroutinesByCreator(dump string) string {
 	counts := map[string]int{}
 	for line := range strings.Lines(dump) {
@@ -102,15 +102,17 @@
 	}
 	var list strings.Builder
 	for _, creator := range slices.Sorted(maps.Keys(counts)) {
-		fmt.Fprintf(&list, "%d begun in %s\n", counts[creator], creator)
+		fmt.Fprintf(&list, "%d created by %s\n", counts[creator], creator)
 	}
 	return list.String()
 }
 
-// This test failed with 70 goroutines at rest, and on a limiter that is held up with a data race. The goroutines (53 and 59 of 85
-// and 86, where it could be brought) waited for the pool's lock, to be told of ends that the pool had made itself; the race was
-// netpoll's log of an event that only race builds give to the wrong owner, right behind its line "operator has critical
-// problem! event=1". docs/incidents has both, with the load that brings them.
+// No fault of a peer may crash the limiter, leak goroutines or descriptors, or give a client another request's reply.
+//
+// This test once failed with 70 goroutines at rest, and once, on a limiter that got too little processor time, with a data race.
+// In two reproductions 53 of 85 and 59 of 86 goroutines waited for the connection pool's lock, to be notified of closes that the
+// pool had made itself. The race was in netpoll's logging of an event that only race builds deliver to the wrong owner, right
+// after its log line "operator has critical problem! event=1". docs/incidents describes both, with the load that reproduces them.
 func TestNoFaultOfAPeerCrashesLeaksOrMixesUpReplies(t *testing.T) {
 	seed, scripts := envUint("BRAMBLEFALL_SEED", 1), envUint("BRAMBLEFALL_SCRIPTS", scriptsPerPlan)
 	binary := raceBinary(t)
--- a/cmd/bramblefall/fleet_test.go
+++ b/cmd/bramblefall/fleet_test.go
@@ -12,16 +12,16 @@
 	"bramblefall/logic"
 )
 
-// Settings that do not fit a fleet must leave a limiter that answers: a place beyond the fleet, plans without a price, a
-// rate or a burst. (A fleet of none or of a million ends the start with one line.)
+// A limiter still answers with settings that do not fit its fleet: a rank outside the fleet, plans without a price, a rate or a
+// burst. (A fleet of no limiters or of a million ends the start with one line: TestInvalidConfigurationFailsWithOneLine.)
 func TestUnfitFleetSettingsStillAnswer(t *testing.T) {
 	t.Parallel()
 	for name, change := range map[string]func(object){
-		"a place beyond the fleet": func(o object) { o["balancers"], o["rank"] = 80, 4000 },
-		"a place before it":        func(o object) { o["balancers"], o["rank"] = 80, -3 },
-		"plans without a price":    func(o object) { o["balancers"], o["tariffs"].([]object)[0]["worthFactor"] = 80, 0.0 },
-		"plans without a rate":     func(o object) { o["balancers"], o["tariffs"].([]object)[0]["perSecond"] = 80, 0.0 },
-		"plans without a burst":    func(o object) { o["balancers"], o["tariffs"].([]object)[0]["depth"] = 80, 0.0 },
+		"a rank beyond the fleet": func(o object) { o["balancers"], o["rank"] = 80, 4000 },
+		"a negative rank":         func(o object) { o["balancers"], o["rank"] = 80, -3 },
+		"plans without a price":   func(o object) { o["balancers"], o["tariffs"].([]object)[0]["worthFactor"] = 80, 0.0 },
+		"plans without a rate":    func(o object) { o["balancers"], o["tariffs"].([]object)[0]["perSecond"] = 80, 0.0 },
+		"plans without a burst":   func(o object) { o["balancers"], o["tariffs"].([]object)[0]["depth"] = 80, 0.0 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -29,7 +29,7 @@
 			change(set)
 			s := newServer(t, "s-1", "hall-a", replyValue("v"))
 			l := start(t, fixture{settings: set, servers: []*server{s}, counter: newCounter(t)})
-			assert.Equal(t, strings.Contains(name, "place"), strings.Contains(l.log.String(), "beyond the fleet"))
+			assert.Equal(t, strings.Contains(name, "rank"), strings.Contains(l.log.String(), "beyond the fleet"))
 			c := l.dial()
 			for k := range 3 {
 				assert.Regexp(t, "^(v|-BUSY.*)$", c.do(askArgs(fmt.Sprintf("%02x", k+1))...))
@@ -38,7 +38,7 @@
 	}
 }
 
-// A list of thousands, with an id twice, must not make a limiter dial them all, nor a list of none end it.
+// A list of thousands of servers, each named twice, must not make a limiter dial them all, and an empty list must not end it.
 func TestServerListOfThousandsOrNone(t *testing.T) {
 	t.Parallel()
 	set := settings()
@@ -52,9 +52,9 @@
 	r.sendList(2, true, append(many, many...)...)
 	for k := range 60 {
 		require.Equal(t, "v", c.do(askArgs(fmt.Sprintf("%03x", k+1))...))
-		time.Sleep(25 * time.Millisecond) // a connection rests after an answer
+		time.Sleep(25 * time.Millisecond) // a connection is not reused right after a reply
 	}
-	assert.LessOrEqual(t, s.connections(), 12, "servers that one of many limiters keeps to, and the first")
+	assert.LessOrEqual(t, s.connections(), 12, "connections: to the few servers that one of many limiters uses, and the first server")
 	r.sendList(3, true)
 	id := 0x1000
 	next := func() string { id++; return c.do(askArgs(fmt.Sprintf("%04x", id))...) }
@@ -63,7 +63,8 @@
 	require.Eventually(t, func() bool { return next() == "v" }, testTimeout, time.Millisecond)
 }
 
-// At a planned restart the last answers go out before the platform kills: 0.7 s after the longest deadline, 3 s at most.
+// At a planned restart the last answers are sent before the platform kills the process, which it does 0.7 s after the longest
+// deadline, of which it counts 3 s at most.
 func TestLastAnswersAreSentBeforeTheKill(t *testing.T) {
 	for deadline, want := range map[time.Duration]time.Duration{0: 400 * time.Millisecond, time.Second: 1400 * time.Millisecond,
 		2900 * time.Millisecond: 3300 * time.Millisecond, 5 * time.Second: 3400 * time.Millisecond} {
--- a/cmd/bramblefall/heldup_test.go
+++ b/cmd/bramblefall/heldup_test.go
@@ -17,16 +17,16 @@
 
 const (
 	intermittentDuration  = 4 * time.Second
-	maxRunTime            = 2 * time.Millisecond // between two standstills
+	maxRunTime            = 2 * time.Millisecond // between two stops
 	stopDuration          = 10 * time.Millisecond
 	floodClients          = 400
-	floodDescriptorLimit  = 128                    // descriptors, as the limiter's configuration says
-	clientConnectionLimit = 32                     // client connections that it has room for
-	maxClientStay         = 200 * time.Millisecond // at the most
+	floodDescriptorLimit  = 128                    // as the limiter's configuration says
+	clientConnectionLimit = 32                     // the limiter has room for so many client connections
+	maxClientStay         = 200 * time.Millisecond // before a client closes its connection
 )
 
-// heldUp has the limiter's process run for a moment by chance and then stand still, over and over, as where others take the
-// processors. It looks at each standstill.
+// runIntermittently lets the limiter's process run for a random moment and then stops it, over and over, as happens where other
+// processes take the processors. It calls inspect while the process is stopped.
 func (l *limiter) runIntermittently(rng *rand.Rand, duration time.Duration, inspect func()) {
 	for until := time.Now().Add(duration); time.Now().Before(until); {
 		time.Sleep(time.Duration(rng.Int64N(int64(maxRunTime))))
@@ -34,10 +34,12 @@
 	}
 }
 
-// On a day of bad clients a limiter that got too little of its processor held 384 of the 384 descriptors that it may, and 206
-// alone. Where it is held up at random moments under such clients, the program of that day held 625 to 910: all that the kernel
-// had queued was accepted before anybody counted it (client connections were 450 to 740 of them). Since connections are
-// counted where they are accepted, and closed there if there is no room, it keeps to what it may.
+// A limiter that gets too little processor time under a flood of clients must stay within its descriptor limit.
+//
+// In a load check with misbehaving clients such a limiter held 384 of its 384 descriptors, against 206 when it ran alone. Stopped
+// at random moments under such clients, the program of that day held 625 to 910 descriptors, 450 to 740 of them client
+// connections: everything in the kernel's queue was accepted before it was counted. Connections are now counted where they are
+// accepted, and closed there if there is no room.
 func TestFloodOnStalledLimiterStaysWithinDescriptorLimit(t *testing.T) {
 	t.Parallel()
 	slow := newServer(t, "s-1", "hall-a", func(conn net.Conn, args []string) {
@@ -70,24 +72,24 @@
 	l.runIntermittently(rand.New(rand.NewPCG(1, 1)), intermittentDuration, func() { most = max(most, l.descriptors()) })
 	close(stop)
 	flood.Wait()
-	t.Logf("%d descriptors at the most, %d requests", most, ids.Load())
+	t.Logf("at most %d descriptors of %d, %d requests", most, floodDescriptorLimit, ids.Load())
 	require.LessOrEqual(t, most, floodDescriptorLimit)
-	require.Greater(t, most, clientConnectionLimit, "this shows little")
+	require.Greater(t, most, clientConnectionLimit, "the flood took too few descriptors to prove anything")
 	require.NoError(t, l.cmd.Process.Signal(syscall.SIGCONT))
 	asked := 0
-	require.Eventually(t, func() bool { asked++; return l.servesNewClient(fmt.Sprint("after-", asked)) }, testTimeout, 10*time.Millisecond, "it serves on")
+	require.Eventually(t, func() bool { asked++; return l.servesNewClient(fmt.Sprint("after-", asked)) }, testTimeout, 10*time.Millisecond, "the limiter does not serve a new client after the flood")
 }
 
-// A write that the kernel cannot take at once is finished by netpoll's poller, which ends the connection on any error but EAGAIN.
-// Linux documents EINTR for calls that wait, and after a stop for epoll_wait and the like: these writes do not wait, so a
-// signal or a standstill in the middle of one ends nothing.
+// A write that the kernel cannot take at once is finished by netpoll's poller, which closes the connection on any error but
+// EAGAIN. Linux documents EINTR for calls that block, and after a stop for epoll_wait and similar calls. These writes do not
+// block, so a signal or a stop in the middle of one must not close the connection.
 func TestSignalsDoNotInterruptLargeFlush(t *testing.T) {
 	t.Parallel()
-	const answers, ahead, signalEvery = 640, 64, 50 * time.Microsecond // 4 MB ahead: more than the kernel takes
+	const answers, ahead, signalEvery = 640, 64, 50 * time.Microsecond // 64 replies of 60 KB are 4 MB: more than the kernel buffers
 	large := strings.Repeat("p", 60<<10)
 	l := start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue(large))}})
 	c := l.dial()
-	require.NoError(t, c.conn.(*net.TCPConn).SetReadBuffer(16<<10)) // the kernel holds little, so most of each value waits
+	require.NoError(t, c.conn.(*net.TCPConn).SetReadBuffer(16<<10)) // the kernel buffers little, so most of each value waits in the limiter
 	stop := make(chan struct{})
 	var signals atomic.Int64
 	var signalling sync.WaitGroup
@@ -100,7 +102,7 @@
 				return
 			case <-time.After(signalEvery):
 			}
-			_ = l.cmd.Process.Signal(syscall.SIGURG) // the Go runtime's own, which means nothing else
+			_ = l.cmd.Process.Signal(syscall.SIGURG) // the Go runtime uses this signal itself and ignores stray ones
 			if signals.Add(1)%100 == 0 {
 				l.whileStopped(time.Millisecond, func() {})
 			}
@@ -112,14 +114,14 @@
 			for k := range ahead {
 				c.write(encodeCommand(askArgs(fmt.Sprintf("%04x", n+k))...))
 			}
-			time.Sleep(20 * time.Millisecond) // they wait for this client
+			time.Sleep(20 * time.Millisecond) // until the replies wait for this client
 		}
-		if answer := c.readReply(); answer == large { // fails the test where the connection has ended
+		if answer := c.readReply(); answer == large { // readReply fails the test if the connection has ended
 			values++
 		} else {
-			require.Regexp(t, "^-BUSY", answer, "answer %d", n) // the bound on tries out, or on what waits for this client
+			require.Regexp(t, "^-BUSY", answer, "answer %d", n) // the limit on tries in flight, or on replies that wait for this client
 		}
 	}
-	require.Greater(t, values, answers/2, "this shows little")
+	require.Greater(t, values, answers/2, "too few values were served to prove anything")
 	t.Logf("%d signals, %d values", signals.Load(), values)
 }
--- a/cmd/bramblefall/helper_test.go
+++ b/cmd/bramblefall/helper_test.go
@@ -26,12 +26,13 @@
 	"bramblefall/internal/resp"
 )
 
-// The tests of this folder start the real program as a process and talk to it as clients, servers, discovery and
-// the counter would. This file is their one helper.
+// The tests of this package start the real program as a process and talk to it as clients, servers, discovery and
+// the counter would. This file has the helpers that they share.
 
-const testTimeout = 20 * time.Second // a test that waits so long has failed; no verdict depends on less
+// testTimeout bounds every wait of a test. A test that waits this long has failed; no result depends on a shorter wait.
+const testTimeout = 20 * time.Second
 
-// goneAfter is when a client that has closed its connection has gone: no attempt for it begins later.
+// clientGoneGrace is how long after a client closes its connection an attempt for it may still begin.
 const clientGoneGrace = 100 * time.Millisecond
 
 var binary string
@@ -54,8 +55,8 @@
 	os.Exit(code)
 }
 
-// look guards against a verdict of go test's cache that is older than the program, which is built out of its sight:
-// what a test has looked at counts there, so the tests look at the sources.
+// trackSources makes go test's result cache depend on the sources of the program, which TestMain builds with a command that
+// go test does not track. The cache records every file that a test examines, so this examines the sources.
 var trackSources = sync.OnceFunc(func() {
 	for _, sources := range []string{"../../go.*", "../../logic/*.go", "../../internal/*/*.go", "*.go"} {
 		files, _ := filepath.Glob(sources)
@@ -67,7 +68,7 @@
 
 type object = map[string]any
 
-// settings are those of a small deployment: two classes, one plan with a large quota and one with a ceiling.
+// settings returns the settings of a small deployment: two classes, one plan with a large quota and one with a ceiling.
 func settings() object {
 	return object{
 		"balancers": 1, "rank": 0, "zone": 0, "zones": []string{"hall-a", "hall-b"}, "skus": []string{"std-3core"},
@@ -87,18 +88,19 @@
 	}
 }
 
-// plan has a rate, a burst and a ceiling's store (0: none) that fills as slowly as the rate.
+// plan returns a plan with a rate, a burst and the burst of its ceiling (0: no ceiling). A ceiling refills at 0.01 units per
+// second, as slowly as the rate of the plan that has one.
 func plan(name string, rate, burst, ceiling float64) object {
 	return object{"name": name, "perSecond": rate, "depth": burst, "concurrency": 0, "worthFactor": 1.0,
 		"extraWorth": 0.0, "overCost": 0.5, "hardRate": min(ceiling, 0.01), "hardBurst": ceiling, "hardSlack": ceiling / 4}
 }
 
-// limiter is the program, started.
+// limiter is a running process of the program.
 type limiter struct {
 	t        *testing.T
 	cmd      *exec.Cmd
-	path     string // of its configuration
-	addr     string // of the RESP2 front
+	path     string // of its configuration file
+	addr     string // where it serves RESP2
 	grpcAddr string
 	exited   chan struct{}
 	log      lockedLog
@@ -121,23 +123,23 @@
 	return strings.Join(l.lines, "\n")
 }
 
-// world is what a limiter meets: settings, servers by id, a counter and discovery.
+// fixture is the environment of a limiter under test: its settings and limits, its servers, a counter and discovery.
 type fixture struct {
 	settings       object
 	servers        []*server
 	counter        *quotaCounter
 	registry       *registry
-	rateLimitFile  string // the rate limit file; "": none
-	operatorFile   string // the operators' file; "": none
-	memoryMB       int    // the cap in MB; 0: 192
-	maxDescriptors int    // 0: 128
-	enforceRlimit  bool   // the kernel holds the process to its sockets, too
+	rateLimitFile  string // path of the -ratelimit file; "": none
+	operatorFile   string // path of the -operator file; "": none
+	memoryMB       int    // memory cap; 0: 192
+	maxDescriptors int    // limit on descriptors in the configuration; 0: 128
+	enforceRlimit  bool   // the kernel enforces maxDescriptors, too (ulimit -n)
 	cores          float64
-	syscallErrors  syscallErrorFunc // system calls of the process that fail; nil: none
-	clock          *wallClock       // nil: the machine's
+	syscallErrors  syscallErrorFunc // decides which system calls of the process fail; nil: none
+	clock          *wallClock       // nil: the machine's clock
 }
 
-// config is the file that tells a limiter of its world.
+// config returns the content of the limiter's configuration file.
 func (f fixture) config(t *testing.T) object {
 	cfg := object{"name": "n0", "listen": limiterAddress(t), "seed": "8c1f30d27a5be964",
 		"limits": object{"cores": cmp.Or(f.cores, 1.0), "memory_mb": cmp.Or(f.memoryMB, 192), "sockets": cmp.Or(f.maxDescriptors, 128)}, "settings": f.settings,
@@ -158,7 +160,7 @@
 	return path
 }
 
-// start runs a limiter in a world. It is killed at the test's end unless it has ended before.
+// start runs a limiter in a fixture and waits until it serves. The process is killed at the end of the test if it still runs.
 func start(t *testing.T, f fixture) *limiter {
 	t.Helper()
 	trackSources()
@@ -177,7 +179,7 @@
 	if f.enforceRlimit {
 		l.cmd = exec.Command("sh", append([]string{"-c", `ulimit -n "$0" && exec "$@"`, fmt.Sprint(cmp.Or(f.maxDescriptors, 128)), binary}, args...)...)
 	}
-	if f.registry != nil { // as on the platform, where the environment keeps the first address
+	if f.registry != nil { // as on the platform, where the environment keeps the first address of discovery
 		l.cmd.Env = append(os.Environ(), "RELAY_DISCOVERY="+f.registry.addr)
 	}
 	if f.clock != nil {
@@ -213,13 +215,13 @@
 		_ = l.cmd.Process.Kill()
 		<-l.exited
 		require.NotContains(t, l.log.String(), "panic")
-		require.NotContains(t, l.log.String(), "DATA RACE") // where the tests are run with GOFLAGS=-race
+		require.NotContains(t, l.log.String(), "DATA RACE") // reported when the tests run with GOFLAGS=-race
 	})
-	await(t, up, "the limiter to serve")
+	await(t, up, "the limiter to log that it serves")
 	return l
 }
 
-// reload replaces the configuration and waits for the limiter to say what it made of it.
+// reload replaces the configuration file, sends SIGHUP and waits until the limiter logs message once more.
 func (l *limiter) reload(raw []byte, message string) {
 	l.t.Helper()
 	before := strings.Count(l.log.String(), message)
@@ -228,7 +230,7 @@
 	require.Eventually(l.t, func() bool { return strings.Count(l.log.String(), message) > before }, testTimeout, time.Millisecond)
 }
 
-// holding gives a client connection whose one request a server has got and not answered.
+// holdRequest returns a client connection with one request that s has received and not answered.
 func (l *limiter) holdRequest(s *server) *client {
 	l.t.Helper()
 	c := l.dial()
@@ -237,10 +239,10 @@
 	return c
 }
 
-// leaves waits for the program to end by itself, with code 0.
+// waitForCleanExit waits for the process to exit by itself, with code 0.
 func (l *limiter) waitForCleanExit() {
 	l.t.Helper()
-	await(l.t, l.exited, "the program's end")
+	await(l.t, l.exited, "the process to exit")
 	require.Zero(l.t, l.cmd.ProcessState.ExitCode())
 }
 
@@ -251,12 +253,12 @@
 	select {
 	case v = <-c:
 	case <-time.After(testTimeout):
-		require.Fail(t, "waited in vain for "+what)
+		require.Fail(t, fmt.Sprintf("timed out after %v waiting for %s", testTimeout, what))
 	}
 	return v
 }
 
-// client is a client connection.
+// client is a client connection to a limiter.
 type client struct {
 	t    *testing.T
 	conn net.Conn
@@ -284,7 +286,7 @@
 	require.NoError(c.t, err)
 }
 
-// answer reads one answer: its line, or a bulk string's value.
+// readReply reads one reply and returns its line, or the value of a bulk string.
 func (c *client) readReply() string {
 	c.t.Helper()
 	line, err := c.in.ReadString('\n')
@@ -307,7 +309,7 @@
 	return c.readReply()
 }
 
-// ended waits for the limiter to close the connection.
+// expectClosed waits for the limiter to close the connection, and fails if anything else is read.
 func (c *client) expectClosed() {
 	c.t.Helper()
 	_, err := c.in.ReadByte()
@@ -324,7 +326,7 @@
 	return []string{"Q.DO", firm, id, "c=transfer-post,t=regular,d=6000,k=5c0f6e1a2b3d4c59,units=1,spread=1,first=0", "BODY"}
 }
 
-// server is a stand-in for an exchange node: handle answers each command on its connection.
+// server is a stand-in for an exchange node: reply answers each command on its connection.
 type server struct {
 	id, zone, state string
 	addr            string
@@ -333,7 +335,7 @@
 	mu           sync.Mutex
 	commands     [][]string
 	connCount    int
-	disconnected chan struct{} // a connection has ended
+	disconnected chan struct{} // receives once for each connection that has ended
 }
 
 func replyValue(text string) func(net.Conn, []string) {
@@ -388,7 +390,8 @@
 	return s.connCount
 }
 
-// anyPort is an address to listen on that nobody else on the machine is given, also once its listener has closed.
+// reserveAddress returns an address to listen on that no other process on the machine is given, even after its listener has
+// closed.
 func reserveAddress(t *testing.T) string {
 	t.Helper()
 	address, err := loopback.AnyPort()
@@ -396,7 +399,7 @@
 	return address
 }
 
-// limiterAddresses has the address of each test's limiter: a configuration that is read again names the same as before.
+// limiterAddresses maps each test to the address of its limiter, so that a reloaded configuration names the same address.
 var limiterAddresses sync.Map
 
 func limiterAddress(t *testing.T) string {
@@ -410,14 +413,15 @@
 	return address
 }
 
-// inSocketTable is an address as /proc/net/tcp words it.
+// procNetTCPAddress returns an address in the form that /proc/net/tcp has.
 func procNetTCPAddress(addr string) string {
 	at := netip.MustParseAddrPort(addr)
 	ip := at.Addr().As4()
 	return fmt.Sprintf("%02X%02X%02X%02X:%04X", ip[3], ip[2], ip[1], ip[0], at.Port())
 }
 
-// acceptOn accepts connections on a free loopback port until the test ends.
+// serveConns accepts connections on a free loopback port until the test ends, runs handle for each in its own goroutine and
+// closes the connection after it. It returns the address.
 func serveConns(t *testing.T, handle func(net.Conn)) string {
 	l, err := loopback.Listen()
 	require.NoError(t, err)
@@ -447,20 +451,20 @@
 	return list
 }
 
-// counter is a stand-in for the quota counter. A silent one reads calls and never answers.
+// quotaCounter is a stand-in for the quota counter.
 type quotaCounter struct {
 	addr         string
-	silent       bool
-	reply        string        // instead of the total, if not empty
-	replyDelay   time.Duration // of each answer
-	corruptReply string        // the first answer, raw; its connection is of no further use
-	closeConns   bool          // its connections end
+	silent       bool          // reads calls and never answers
+	reply        string        // sent instead of the total, if not empty
+	replyDelay   time.Duration // before each reply
+	corruptReply string        // sent raw as the first reply; its connection gets no replies after it
+	closeConns   bool          // closes each connection at its next line
 
 	mu         sync.Mutex
 	totals     map[string]float64
 	calls      int
 	conns      int
-	staleCalls int // calls on a connection of no further use
+	staleCalls int // calls on a connection after its corrupt reply
 }
 
 func newCounter(t *testing.T) *quotaCounter {
@@ -517,7 +521,7 @@
 	return "ok " + strconv.FormatFloat(c.totals[fields[1]], 'f', -1, 64)
 }
 
-// made is how many calls were made, over how many connections.
+// callsAndConns returns how many calls were received and how many connections were accepted.
 func (c *quotaCounter) callsAndConns() (calls, conns int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -530,8 +534,8 @@
 	return c.staleCalls
 }
 
-// registry is a stand-in for discovery: a watch gets the lines of later versions than it names, and then all new
-// ones. Lines without a version go to the watches that are open.
+// registry is a stand-in for discovery: a watch gets the lines whose version is later than the one that it names, and then
+// every new line. A line without a version (0) goes only to the watches that are open when it is sent.
 type registry struct {
 	addr string
 
