--- a/cmd/bramblefall/idle_test.go
+++ b/cmd/bramblefall/idle_test.go
@@ -14,11 +14,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// readyWithin is how long a limiter that starts may take until it answers a PING.
+// maxTimeToReady is how long a limiter that starts may take until it answers a PING.
 const maxTimeToReady = 10 * time.Second
 
-// idle fills a limiter's descriptors: so many clients that come, say the word, if any, and rest, and come again as soon as they
-// are closed, until the test ends.
+// keepIdleClients fills a limiter's descriptors until the test ends: each client connects, sends text, if any, and stays idle,
+// and connects again as soon as its connection is closed.
 func (l *limiter) keepIdleClients(clients int, text string) {
 	stop := make(chan struct{})
 	l.t.Cleanup(func() { close(stop) })
@@ -45,7 +45,8 @@
 	}
 }
 
-// asks makes one command on a connection of its own, and again where that is shut unread. It gives the answer.
+// askUntilAccepted sends one command on a new connection and returns its answer. It tries again where the connection is closed
+// unread or the command is rejected; argsOf gives the command of each attempt, from 1.
 func (l *limiter) askUntilAccepted(argsOf func(n int) []string) (answer string) {
 	l.t.Helper()
 	attempt := func(n int) bool {
@@ -66,18 +67,19 @@
 	}
 	n, began := 1, time.Now()
 	for ; !attempt(n); n++ {
-		require.Less(l.t, time.Since(began), testTimeout, "shut unread each time")
+		require.Less(l.t, time.Since(began), testTimeout, "closed unread or rejected each time")
 		time.Sleep(5 * time.Millisecond)
 	}
 	if n > 1 {
-		l.t.Logf("%d times", n)
+		l.t.Logf("accepted at attempt %d", n)
 	}
 	return answer
 }
 
-// Idle clients take all descriptors that there are for them in a new process, whose limit the kernel enforces, while discovery is
-// down, silent, slow or stops in the middle of a line, and the counter is away: clients are let in all the same, requests reach
-// the server by the list that was known, and what comes back is found: the watch, the counter and the servers of the new list.
+// Idle clients take all descriptors that a new process has for clients, with the limit enforced by the kernel, while discovery is
+// down, silent, slow or stops in the middle of a line, and the counter is unreachable. Clients are accepted all the same, and
+// requests reach the server of the list that was known at the start. What recovers later is used again: the watch, the counter
+// and the servers of the new list.
 func TestIdleClientsFillDescriptorsWhileDiscoveryIsDown(t *testing.T) {
 	t.Parallel()
 	for name, away := range map[string]func(conn net.Conn, back <-chan struct{}){
@@ -100,8 +102,8 @@
 			waitUntilBackOrClosed(conn, back)
 		},
 	} {
-		for word, text := range map[string]string{"speechless": "", "after a word": encodeCommand("PING"), "after half a command": encodeCommand(askArgs("half")...)[:30]} {
-			t.Run(name+", "+word, func(t *testing.T) { // one after another: each is a crowd
+		for word, text := range map[string]string{"nothing sent": "", "after a command": encodeCommand("PING"), "after half a command": encodeCommand(askArgs("half")...)[:30]} {
+			t.Run(name+", "+word, func(t *testing.T) { // not in parallel: each keeps 300 clients connected
 				back := make(chan struct{})
 				w, left, line := drainedServerFixture(t)
 				w.settings = settings()
@@ -137,19 +139,19 @@
 				full := func() bool { return l.descriptors() > 32 }
 				require.Eventually(t, full, testTimeout, time.Millisecond)
 				assert.Equal(t, "+PONG", l.askUntilAccepted(func(int) []string { return []string{"PING"} }))
-				t.Logf("ready %v after the start", time.Since(began))
+				t.Logf("ready %v after the start, at most %v allowed", time.Since(began), maxTimeToReady)
 				assert.Less(t, time.Since(began), maxTimeToReady)
 				assert.Equal(t, "old", l.askUntilAccepted(func(n int) []string { return askArgs(fmt.Sprint("a", n)) }))
 				require.NotEmpty(t, left.received())
 				close(back)
 				for k, since := 0, time.Now(); l.askUntilAccepted(func(n int) []string { return askArgs(fmt.Sprint("b", k, "-", n)) }) != "new"; k++ {
-					require.Less(t, time.Since(since), testTimeout, "the new list")
+					require.Less(t, time.Since(since), testTimeout, "requests still do not go to the server of the new list")
 				}
-				require.Eventually(t, func() bool { return calls.Load() > 0 }, testTimeout, 10*time.Millisecond, "the counter")
-				if word == "after half a command" { // these come again and again: room is made for some in this very moment
-					require.Eventually(t, full, testTimeout, time.Millisecond, "the idle clients are still there")
+				require.Eventually(t, func() bool { return calls.Load() > 0 }, testTimeout, 10*time.Millisecond, "the counter is not connected again")
+				if word == "after half a command" { // these reconnect all the time, so at this very moment some may have been evicted
+					require.Eventually(t, full, testTimeout, time.Millisecond, "the idle clients must still hold the descriptors")
 				} else {
-					assert.True(t, full(), "the idle clients are still there")
+					assert.True(t, full(), "the idle clients must still hold the descriptors")
 				}
 				assert.LessOrEqual(t, l.descriptors(), 128)
 				assert.NotContains(t, l.log.String(), "too many open files")
@@ -158,7 +160,7 @@
 	}
 }
 
-// wait until the agent is to speak again, or its peer leaves.
+// waitUntilBackOrClosed waits until discovery is to answer again or the limiter closes the connection.
 func waitUntilBackOrClosed(conn net.Conn, back <-chan struct{}) {
 	closed := make(chan struct{})
 	go func() { waitForClose(conn); close(closed) }()
--- a/cmd/bramblefall/links_test.go
+++ b/cmd/bramblefall/links_test.go
@@ -15,16 +15,17 @@
 )
 
 const (
-	linkedLimiterCount = 6 // more than can do by their own view
+	linkedLimiterCount = 6 // too many to keep a ceiling by what each limiter sees itself, without the counter
 	impairmentDuration = 8 * time.Second
 	ceilingRate        = 20.0
 	ceilingBurst       = 20.0
-	requestInterval    = 25 * time.Millisecond // at each limiter: ten times the ceiling in all
+	requestInterval    = 25 * time.Millisecond // at each limiter: about ten times the ceiling in all
 )
 
-// Every limiter has links of its own to the counter and to discovery, which are cut in one or both directions, held, slowed
-// and reset by a seed, while one limiter is stopped for a while and another is killed and started again. All together keep a
-// firm's ceiling, each request has its one answer, and once the links are clear again all call the counter again.
+// Every limiter has network links of its own to the counter and to discovery, which are cut in one or both directions, stalled,
+// slowed and reset as drawn from a seed, while one limiter is stopped for a while and another is killed and restarted. All
+// limiters together keep a firm's ceiling, each request gets exactly one answer, and once the links work again every limiter
+// calls the counter again.
 func TestFleetWithFailingLinksKeepsCeiling(t *testing.T) {
 	t.Parallel()
 	const seed = 1
@@ -86,7 +87,7 @@
 		before[k] = links[2*k].Back()
 	}
 	for k, l := range f.limiters {
-		require.Eventually(t, func() bool { return links[2*k].Back() > before[k]+2 }, testTimeout, 10*time.Millisecond, "the counter answers limiter %d again", k)
+		require.Eventually(t, func() bool { return links[2*k].Back() > before[k]+2 }, testTimeout, 10*time.Millisecond, "the counter does not answer limiter %d again", k)
 		require.Empty(t, l.Crashed())
 	}
 	close(stop)
@@ -98,7 +99,7 @@
 		require.Positive(t, served[k].Load(), "limiter %d", k)
 	}
 	low, sends := ceiling.Lowest()
-	t.Logf("%d sends, the ceiling's store at least %.1f", sends, low)
-	require.Greater(t, sends, int(impairmentDuration.Seconds()*ceilingRate/10), "this shows little")
+	t.Logf("%d sends, units left under the ceiling at least %.1f", sends, low)
+	require.Greater(t, sends, int(impairmentDuration.Seconds()*ceilingRate/10), "too few sends to prove anything")
 	require.GreaterOrEqual(t, low, -ceilingBurst/10)
 }
--- a/cmd/bramblefall/lists_test.go
+++ b/cmd/bramblefall/lists_test.go
@@ -11,8 +11,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A limiter that stands still in the middle of a list, for longer than a list may, does not blame discovery for it: the rest has
-// come meanwhile. It might do so where it stands still once more right then, so one of some is enough.
+// A limiter that is stopped in the middle of a list, for longer than a list may pause, does not report discovery as silent: the
+// rest of the list has arrived meanwhile. It may still do so if the machine stalls it once more right then, so one success in
+// five runs is enough.
 func TestStoppedLimiterResumesItsList(t *testing.T) {
 	t.Parallel()
 	for range 5 {
@@ -32,7 +33,7 @@
 		l := start(t, w)
 		await(t, half, "half of the list")
 		require.NoError(t, l.cmd.Process.Signal(syscall.SIGSTOP))
-		time.Sleep(300 * time.Millisecond) // over twice what a list may stand still for
+		time.Sleep(300 * time.Millisecond) // more than twice as long as a list may pause
 		close(stopped)
 		await(t, whole, "the rest of the list")
 		require.NoError(t, l.cmd.Process.Signal(syscall.SIGCONT))
@@ -43,20 +44,20 @@
 			return
 		}
 	}
-	require.Fail(t, "discovery was blamed each time")
+	require.Fail(t, "the limiter reported discovery as silent in each of 5 runs")
 }
 
-// Whoever is given the address of a server that has gone must not be taken for it: once a list names an address no more, nothing
-// stays open to it, and nothing is sent there.
+// The address of a removed server may be given to another program, which must not be taken for the server. Once a list no longer
+// names an address, the connections to it are closed and nothing is sent there.
 func TestConnectionsToRemovedAddressAreClosed(t *testing.T) {
 	t.Parallel()
 	for name, drop := range map[string]func(r *registry, former, other *server){
-		"a whole list without the server": func(r *registry, _, other *server) { r.sendList(2, true, other) },
-		"a change that calls it gone": func(r *registry, former, other *server) {
+		"full list without the server": func(r *registry, _, other *server) { r.sendList(2, true, other) },
+		"update that marks it gone": func(r *registry, former, other *server) {
 			former.state = "gone"
 			r.sendList(2, false, former, other)
 		},
-		"a change of its address": func(r *registry, former, other *server) {
+		"update of its address": func(r *registry, former, other *server) {
 			r.sendList(2, false, &server{id: former.id, zone: former.zone, state: "ready", addr: other.addr})
 		},
 	} {
@@ -65,7 +66,7 @@
 			former, other := newServer(t, "s-1", "hall-a", replyValue("former")), newServer(t, "s-2", "hall-a", replyValue("other"))
 			r := newRegistry(t)
 			set := settings()
-			set["caps"].(object)["connIdle"] = 60.0 // no connection ends for its rest before the test does
+			set["caps"].(object)["connIdle"] = 60.0 // no connection is closed for being idle during the test
 			c := start(t, fixture{settings: set, servers: []*server{former}, registry: r}).dial()
 			require.Equal(t, "former", c.do(askArgs("01")...))
 			drop(r, former, other)
--- a/cmd/bramblefall/memory_test.go
+++ b/cmd/bramblefall/memory_test.go
@@ -14,9 +14,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-const smallMemoryCapMB = 32 // MB
+const smallMemoryCapMB = 32 // the smallest memory cap
 
-// memory is one of the kernel's figures of the limiter, in MB.
+// memoryMB returns one of the memory fields of /proc/PID/status for the limiter, in MB.
 func (l *limiter) memoryMB(field string) int {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", l.cmd.Process.Pid))
 	require.NoError(l.t, err)
@@ -25,7 +25,7 @@
 	return kb >> 10
 }
 
-// What requests leave behind is collected before it fills half of the smallest cap.
+// The garbage that requests leave is collected before it fills half of the smallest memory cap.
 func TestGarbageStaysUnderHalfOfSmallMemoryCap(t *testing.T) {
 	t.Parallel()
 	l := start(t, fixture{memoryMB: smallMemoryCapMB, servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}})
@@ -46,11 +46,11 @@
 	assert.Less(t, l.memoryMB("RssAnon"), smallMemoryCapMB/2)
 }
 
-// Commands of the largest size, and servers that say nothing: what is in hand is bounded by the cap.
+// Many commands of the largest size are in flight while servers do not answer. The memory that they take stays under the cap.
 func TestBytesInFlightAreBoundedByMemoryCap(t *testing.T) {
 	t.Parallel()
 	mute := newServer(t, "s-1", "hall-a", func(net.Conn, []string) {})
-	const clients, each, limit = 16, 64, 64 // commands of 64 MB in all
+	const clients, each, limit = 16, 64, 64 // 16 * 64 commands of 64 KB are 64 MB, as much as the cap
 	l := start(t, fixture{memoryMB: limit, servers: []*server{mute}})
 	large := strings.Repeat("p", 64<<10)
 	var flood sync.WaitGroup
@@ -59,7 +59,7 @@
 			c := l.dial()
 			for k := range each {
 				args := doArgs(fmt.Sprintf("%04x", each*n+k+1))
-				args[1], args[4] = fmt.Sprintf("%016x", each*n+k+1), large // of firms with room in their quotas
+				args[1], args[4] = fmt.Sprintf("%016x", each*n+k+1), large // a new firm each, so that no quota is exhausted
 				c.write(encodeCommand(args...))
 			}
 			for range each {
@@ -69,6 +69,6 @@
 	}
 	flood.Wait()
 	peak := l.memoryMB("VmHWM") - l.memoryMB("RssFile")
-	t.Log(peak, "MB at most")
+	t.Log(peak, "MB of memory at the peak")
 	assert.Less(t, peak, limit)
 }
--- a/cmd/bramblefall/moments_test.go
+++ b/cmd/bramblefall/moments_test.go
@@ -15,25 +15,25 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A reload that is followed at once by the end, or follows it: what is held is answered, the new addresses are followed while the
-// limiter drains, and nothing new goes to a server that the new discovery says drains.
+// SIGHUP right before SIGTERM, or right after it. Held requests are answered, the new addresses of discovery and the counter are
+// used while the limiter drains, and nothing new goes to a server that the new discovery lists as draining.
 func TestReloadAroundPlannedRestart(t *testing.T) {
 	t.Parallel()
 	for name, tell := range map[string]func(l *limiter){
-		"at once": func(l *limiter) {
+		"SIGTERM right after SIGHUP": func(l *limiter) {
 			require.NoError(l.t, l.cmd.Process.Signal(syscall.SIGHUP))
 			l.terminate()
 		},
-		"a moment later": func(l *limiter) {
+		"SIGTERM 2 ms after SIGHUP": func(l *limiter) {
 			require.NoError(l.t, l.cmd.Process.Signal(syscall.SIGHUP))
 			time.Sleep(2 * time.Millisecond)
 			l.terminate()
 		},
-		"in the drain": func(l *limiter) {
+		"SIGHUP during the drain": func(l *limiter) {
 			l.terminate()
 			require.NoError(l.t, l.cmd.Process.Signal(syscall.SIGHUP))
 		},
-		"again and again": func(l *limiter) {
+		"many SIGHUPs": func(l *limiter) {
 			for range 20 {
 				require.NoError(l.t, l.cmd.Process.Signal(syscall.SIGHUP))
 			}
@@ -80,11 +80,11 @@
 	}
 }
 
-// A server that dies right after it has accepted a connection: by a reset before anything is read, or behind the command. Each
-// request has one answer, what may be repeated is served elsewhere, and what may have run is told as failed.
+// A server resets a connection right after accepting it, before reading anything or after reading the command. Each request gets
+// one answer: requests that may be repeated are served by another server, and those that may have run are reported as failed.
 func TestServerThatDiesRightAfterAccept(t *testing.T) {
 	t.Parallel()
-	for name, read := range map[string]bool{"unread": false, "behind the command": true} {
+	for name, read := range map[string]bool{"unread": false, "after the command": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			dies := &server{id: "s-1", zone: "hall-a", state: "ready", addr: serveConns(t, func(conn net.Conn) {
@@ -103,7 +103,7 @@
 	}
 }
 
-// A command may come in two pieces, cut anywhere, or a byte at a time, alone or behind another.
+// A command may arrive in two pieces, split at any byte, or one byte at a time, alone or behind another command.
 func TestCommandsSplitAtAnyByte(t *testing.T) {
 	t.Parallel()
 	l := start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", func(conn net.Conn, args []string) {
@@ -126,8 +126,8 @@
 	require.Equal(t, "vslow", c.readReply())
 }
 
-// Servers that take every request and answer none: each request has its one answer within its time, the connections go on, and
-// once servers answer again they are used.
+// Servers accept every request and answer none. Each request gets exactly one answer in time, the client connections stay open,
+// and the servers are used again once they answer.
 func TestRequestsToSilentServersAreAnswered(t *testing.T) {
 	t.Parallel()
 	silent := make(chan struct{})
@@ -137,7 +137,7 @@
 			select {
 			case <-silent:
 				replyValue("v")(conn, args)
-			default: // never
+			default: // no answer, ever
 			}
 		}))
 	}
@@ -168,8 +168,8 @@
 	}
 }
 
-// New connections that come all the time round SIGTERM, each with a request at once: the machine accepts it or not, and each that
-// it has accepted has its answer.
+// New connections arrive all the time around SIGTERM, each with a request at once. Each connection that the kernel has accepted
+// gets its answer.
 func TestRequestRightAfterAcceptIsAnsweredDuringDrain(t *testing.T) {
 	t.Parallel()
 	l := start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}})
--- a/cmd/bramblefall/plans_test.go
+++ b/cmd/bramblefall/plans_test.go
@@ -16,7 +16,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// cli runs a sub-command of the real program.
+// runCLI runs the real program with these arguments, usually a sub-command, and checks its exit code. If that is not 0, standard
+// error must have exactly one line besides the log.
 func runCLI(t *testing.T, wantCode int, args ...string) (stdout, stderr string) {
 	t.Helper()
 	trackSources()
@@ -31,8 +32,8 @@
 	}
 	require.Equal(t, wantCode, code, "%v: %s%s", args, o.String(), e.String())
 	if wantCode != 0 {
-		stderr := regexp.MustCompile(`(?m)^time=.*\n`).ReplaceAllString(e.String(), "") // but for the log
-		require.Regexp(t, `^bramblefall: .*\n$`, stderr, "one line")
+		stderr := regexp.MustCompile(`(?m)^time=.*\n`).ReplaceAllString(e.String(), "") // without log lines
+		require.Regexp(t, `^bramblefall: .*\n$`, stderr, "standard error must have one line besides the log")
 	}
 	return o.String(), e.String()
 }
@@ -43,7 +44,8 @@
 	return path
 }
 
-// operated is a limiter with an admin socket and a state directory.
+// startWithAdmin starts a limiter with an admin socket and a state directory; more is appended to the arguments in its operators'
+// file.
 func startWithAdmin(t *testing.T, dir, more string) (l *limiter, socket, file string) {
 	socket = filepath.Join(dir, "admin.sock")
 	file = writeScript(t, filepath.Join(dir, "operator.star"), fmt.Sprintf("bramblefall(admin = admin(socket = %q), state_dir = %q, %s)\n", socket, filepath.Join(dir, "state"), more))
@@ -77,7 +79,7 @@
 	require.Equal(t, "0", list[0]["number"], "a dry run changes nothing")
 
 	runCLI(t, 0, "plans", "apply", first, "--socket", socket)
-	runCLI(t, 0, "plans", "apply", first, "--socket", socket) // again: the same
+	runCLI(t, 0, "plans", "apply", first, "--socket", socket) // applying the same file again is accepted
 	later := writeScript(t, filepath.Join(dir, "2.star"), planScript(2, `effective = time("2099-01-01T00:00:00Z"),`, "rate = 200, burst = 50"))
 	runCLI(t, 0, "plans", "apply", later, "--socket", socket)
 	out, _ = runCLI(t, 0, "plans", "list", "--socket", socket)
@@ -164,8 +166,8 @@
 	require.Contains(t, out, "bramblefall")
 }
 
-// A small script must not fail for what the C library reserves for the evaluation's threads: large stacks bring to light
-// in sixty runs what small ones do once in hundreds.
+// A small script must not fail because of the memory that the C library reserves for the threads of the evaluation process. Large
+// stacks show this failure within sixty runs; with small ones it occurs once in hundreds.
 func TestEvaluatorThreadStacksDoNotCountAgainstScript(t *testing.T) {
 	trackSources()
 	for range 60 {
@@ -174,7 +176,7 @@
 	}
 }
 
-// The operators' file is read again at SIGHUP: a good one changes plans in service, a bad one changes nothing.
+// SIGHUP reloads the operators' file: a valid one changes the plans in effect, an invalid one changes nothing.
 func TestSIGHUPReloadsPlans(t *testing.T) {
 	dir := t.TempDir()
 	l, socket, file := startWithAdmin(t, dir, "")
@@ -205,7 +207,8 @@
 	require.Regexp(t, `regular +3 +30`, out)
 }
 
-// A plan lowered while a firm is bursting: what waits and can no longer pass is refused at once, and nothing is lost.
+// A plan is lowered during a firm's burst. Waiting requests that can no longer pass are rejected at once, and no request goes
+// unanswered.
 func TestPlanLoweredDuringBurstLosesNoRequest(t *testing.T) {
 	dir := t.TempDir()
 	set := settings()
@@ -237,7 +240,8 @@
 	require.Less(t, served, 60)
 }
 
-// Calls to the admin service that break off in the middle, and noise on its socket, harm nobody.
+// Calls to the admin service that break off in the middle, and noise on its socket, affect neither clients nor other callers. A
+// second process must not take over the socket.
 func TestAdminSocketToleratesBrokenCalls(t *testing.T) {
 	dir := t.TempDir()
 	l, socket, _ := startWithAdmin(t, dir, "")
@@ -256,7 +260,7 @@
 	require.Contains(t, said, "another process serves it")
 }
 
-// Without the operators' file the limiter listens for clients alone and starts no other process.
+// Without an operators' file the limiter listens for clients only and starts no other process.
 func TestOperatorFeaturesAreOffByDefault(t *testing.T) {
 	l := start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}})
 	require.Equal(t, "v", l.dial().do(askArgs("r1")...))
--- a/cmd/bramblefall/platform_test.go
+++ b/cmd/bramblefall/platform_test.go
@@ -27,7 +27,7 @@
 	c := start(t, fixture{servers: []*server{s}, counter: newCounter(t)}).dial()
 	assert.Equal(t, "+PONG", c.do("PING"))
 	assert.Equal(t, "a pallet", c.do(askArgs("9b1f03aa5c7e2d41")...))
-	time.Sleep(50 * time.Millisecond) // a connection rests after an answer
+	time.Sleep(50 * time.Millisecond) // a connection is not reused right after a reply
 	assert.Equal(t, "a pallet", c.do(doArgs("9b1f03aa5c7e2d42")...))
 	for k, sent := range [][]string{askArgs("9b1f03aa5c7e2d41"), doArgs("9b1f03aa5c7e2d42")} {
 		got := s.received()[k]
@@ -36,7 +36,7 @@
 		got[3] = sent[3]
 		assert.Equal(t, sent, got)
 	}
-	assert.Equal(t, 1, s.connections(), "an idle connection serves the next try")
+	assert.Equal(t, 1, s.connections(), "the next try must reuse the idle connection")
 }
 
 func TestRepliesKeepPipelineOrder(t *testing.T) {
@@ -60,44 +60,44 @@
 	const terms = "c=balance-read,t=regular,d=400"
 	l := start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}})
 	for name, text := range map[string]string{
-		"class":    encodeCommand("Q.ASK", firm, "01", "c=nothing,t=regular,d=400"),
-		"plan":     encodeCommand("Q.ASK", firm, "01", "c=balance-read,t=nothing,d=400"),
-		"wait":     encodeCommand("Q.ASK", firm, "01", "c=balance-read,t=regular,d=soon"),
-		"no wait":  encodeCommand("Q.ASK", firm, "01", "c=balance-read,t=regular"),
-		"customer": encodeCommand("Q.ASK", "a firm", "01", "c=balance-read,t=regular,d=400"),
-		"units":    encodeCommand("Q.ASK", firm, "01", "c=balance-read,t=regular,d=400,units=nan"),
-		"verb":     encodeCommand("Q.ASK", firm, "01", "c=transfer-post,t=regular,d=400"),
-		"short":    encodeCommand("Q.ASK", firm),
-		"no id":    encodeCommand("Q.ASK", firm, "", terms),
-		"long id":  encodeCommand("Q.ASK", firm, strings.Repeat("0", 65), terms),
-		"digits":   encodeCommand("Q.ASK", "b4d65521", "01", terms),
-		"firm":     encodeCommand("Q.ASK", "0000000200000000", "01", terms),
-		"body":     encodeCommand("Q.ASK", firm, "01", terms, "BODY"),
-		"forever":  encodeCommand("Q.ASK", firm, "01", "c=balance-read,t=regular,d=inf"),
-		"none":     encodeCommand("Q.ASK", firm, "01", terms+",units=0"),
-		"many":     encodeCommand("Q.ASK", firm, "01", terms+",units=1.5"),
-		"no set":   encodeCommand("Q.ASK", firm, "01", terms+",spread=0"),
-		"wide set": encodeCommand("Q.ASK", firm, "01", terms+",spread=2"),
-		"far set":  encodeCommand("Q.ASK", firm, "01", terms+",first=-1"),
-		"twice":    encodeCommand("Q.ASK", firm, "01", terms+",c=balance-read"),
-		"no key":   encodeCommand("Q.DO", firm, "01", "c=transfer-post,t=regular,d=400", "BODY"),
-		"unknown":  encodeCommand("FLUSHALL"),
+		"class":             encodeCommand("Q.ASK", firm, "01", "c=nothing,t=regular,d=400"),
+		"tier":              encodeCommand("Q.ASK", firm, "01", "c=balance-read,t=nothing,d=400"),
+		"deadline":          encodeCommand("Q.ASK", firm, "01", "c=balance-read,t=regular,d=soon"),
+		"no deadline":       encodeCommand("Q.ASK", firm, "01", "c=balance-read,t=regular"),
+		"not hex":           encodeCommand("Q.ASK", "a firm", "01", "c=balance-read,t=regular,d=400"),
+		"units":             encodeCommand("Q.ASK", firm, "01", "c=balance-read,t=regular,d=400,units=nan"),
+		"verb":              encodeCommand("Q.ASK", firm, "01", "c=transfer-post,t=regular,d=400"),
+		"too few arguments": encodeCommand("Q.ASK", firm),
+		"no id":             encodeCommand("Q.ASK", firm, "", terms),
+		"long id":           encodeCommand("Q.ASK", firm, strings.Repeat("0", 65), terms),
+		"short firm":        encodeCommand("Q.ASK", "b4d65521", "01", terms),
+		"firm":              encodeCommand("Q.ASK", "0000000200000000", "01", terms),
+		"body":              encodeCommand("Q.ASK", firm, "01", terms, "BODY"),
+		"infinite deadline": encodeCommand("Q.ASK", firm, "01", "c=balance-read,t=regular,d=inf"),
+		"no units":          encodeCommand("Q.ASK", firm, "01", terms+",units=0"),
+		"too many units":    encodeCommand("Q.ASK", firm, "01", terms+",units=1.5"),
+		"no limiters":       encodeCommand("Q.ASK", firm, "01", terms+",spread=0"),
+		"too many limiters": encodeCommand("Q.ASK", firm, "01", terms+",spread=2"),
+		"negative first":    encodeCommand("Q.ASK", firm, "01", terms+",first=-1"),
+		"twice":             encodeCommand("Q.ASK", firm, "01", terms+",c=balance-read"),
+		"no key":            encodeCommand("Q.DO", firm, "01", "c=transfer-post,t=regular,d=400", "BODY"),
+		"unknown":           encodeCommand("FLUSHALL"),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := l.dial()
 			c.write(text)
 			assert.Regexp(t, "^-ERR ", c.readReply())
-			assert.Equal(t, "v", c.do(askArgs(fmt.Sprintf("%x", name))...), "the connection goes on")
+			assert.Equal(t, "v", c.do(askArgs(fmt.Sprintf("%x", name))...), "the connection must still work after an error")
 		})
 	}
 	for name, text := range map[string]string{
-		"no array":  "GET / HTTP/1.1\r\n",
-		"length":    "*1\r\n$x\r\n",
-		"oversized": "*1\r\n$65537\r\n",
-		"args":      "*65\r\n",
-		"nested":    "*1\r\n*1\r\n$1\r\na\r\n",
-		"no end":    "*1\r\n$1\r\naXX",
+		"no array":           "GET / HTTP/1.1\r\n",
+		"bad length":         "*1\r\n$x\r\n",
+		"oversized":          "*1\r\n$65537\r\n",
+		"too many arguments": "*65\r\n",
+		"nested":             "*1\r\n*1\r\n$1\r\na\r\n",
+		"no terminator":      "*1\r\n$1\r\naXX",
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -110,7 +110,7 @@
 	}
 }
 
-// A server takes a second request with an open one's id for a copy of it: it is the sender's error.
+// A request with the id of one that is still open is an error of the sender: a server would take it for a copy of the first.
 func TestIDOfOpenRequestIsRejected(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
@@ -125,10 +125,10 @@
 	assert.Regexp(t, "^-ERR ", second.do(askArgs("01")...))
 	close(release)
 	assert.Equal(t, "v", first.readReply())
-	assert.Equal(t, "v", second.do(askArgs("01")...), "it is open no longer")
+	assert.Equal(t, "v", second.do(askArgs("01")...), "the id may be used again once the first request is answered")
 }
 
-// Whoever says nothing, or half a command, or nothing that can be read behind what waits, is not kept.
+// Connections that send nothing, half a command, or unreadable bytes after a waiting command are closed.
 func TestConnectionsWithoutWholeCommandAreClosed(t *testing.T) {
 	t.Parallel()
 	s := newServer(t, "s-1", "hall-a", func(net.Conn, []string) {})
@@ -143,11 +143,11 @@
 	assert.Equal(t, "-ERR failed", noise.readReply())
 	assert.Equal(t, "-ERR Protocol error", noise.readReply())
 	noise.expectClosed()
-	await(t, s.disconnected, "the try's connection to close")
+	await(t, s.disconnected, "the connection of the try to close")
 }
 
-// A firm may send on its burst; beyond it the answer is a refusal with a time to come back, at once: no timer of
-// the request's own has to ring for it.
+// A firm may use up its burst. Beyond it requests are rejected at once, with a time to retry after, without waiting for a timer
+// of the request.
 func TestRequestsBeyondBurstAreRejected(t *testing.T) {
 	t.Parallel()
 	set := settings()
@@ -167,7 +167,7 @@
 	assert.Len(t, s.received(), 20)
 }
 
-// Of a firm that asks for more than its quota and for requests of both kinds, what is worth less does not take the last units.
+// A firm asks for more than its quota, with requests of both classes. Those of lower worth do not take the last units.
 func TestLastUnitsAreReservedForHigherWorth(t *testing.T) {
 	t.Parallel()
 	set := settings()
@@ -178,12 +178,12 @@
 	for k := range 50 {
 		c.do(askArgs(fmt.Sprintf("%02x", k))...)
 	}
-	require.Less(t, len(s.received()), 20, "units are left")
+	require.Less(t, len(s.received()), 20, "requests of lower worth must leave units")
 	assert.Equal(t, "v", c.do(doArgs("ff")...))
 }
 
-// Clients' times differ by what they took on the way here. That must not be taken for time waited before a retry,
-// which leaves none to be held for.
+// The deadlines that clients send differ by a few milliseconds of network delay. A shorter one must not be taken for a retry, from
+// whose deadline the wait before it is deducted: a retry is not held, since it has no time left for that.
 func TestNetworkDelayDoesNotMarkRetry(t *testing.T) {
 	t.Parallel()
 	set := settings()
@@ -195,7 +195,7 @@
 		c.write(encodeCommand(args...))
 	}
 	for range 4 {
-		assert.Equal(t, "v", c.readReply(), "held for a moment, then served")
+		assert.Equal(t, "v", c.readReply(), "the request must be held for a moment and then served")
 	}
 }
 
@@ -206,7 +206,7 @@
 	c.write(encodeCommand(askArgs("01")...))
 	require.Eventually(t, func() bool { return len(s.received()) == 1 }, testTimeout, time.Millisecond)
 	require.NoError(t, c.conn.Close())
-	await(t, s.disconnected, "the try's connection to close")
+	await(t, s.disconnected, "the connection of the try to close")
 }
 
 func TestPlannedRestartAnswersHeldRequests(t *testing.T) {
@@ -222,7 +222,7 @@
 	c.write(encodeCommand(askArgs("01")...))
 	require.Eventually(t, func() bool { return len(s.received()) == 1 }, testTimeout, time.Millisecond)
 	l.terminate()
-	require.Equal(t, "+PONG", l.dial().do("PING"), "new connections keep coming for a moment")
+	require.Equal(t, "+PONG", l.dial().do("PING"), "new connections are accepted for a moment")
 	idle.expectClosed()
 	require.Eventually(t, func() bool {
 		conn, err := net.Dial("tcp", l.addr)
@@ -230,14 +230,15 @@
 			_ = conn.Close()
 		}
 		return errors.Is(err, syscall.ECONNREFUSED)
-	}, testTimeout, 10*time.Millisecond, "it stops listening")
+	}, testTimeout, 10*time.Millisecond, "it does not stop listening")
 	close(release)
 	assert.Equal(t, "held", c.readReply())
 	c.expectClosed()
 	l.waitForCleanExit()
 }
 
-// A command that has come in part at a planned restart is not cut off: its connection is not idle.
+// A connection on which a part of a command has arrived is not idle, so a planned restart does not close it before the command is
+// complete and answered.
 func TestPlannedRestartWaitsForPartialCommand(t *testing.T) {
 	t.Parallel()
 	l := start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}})
@@ -253,7 +254,7 @@
 	await(t, l.exited, "the program's end")
 }
 
-// Values of 64 KiB pass whole in both directions, and a message without an end fills no memory.
+// Values of 64 KiB pass whole in both directions, and an endless command is rejected before it fills the memory.
 func TestLargeValues(t *testing.T) {
 	t.Parallel()
 	large := strings.Repeat("p", 64<<10)
@@ -269,7 +270,8 @@
 	assert.Regexp(t, "^-ERR ", c.readReply())
 }
 
-// Past its share of the descriptors the limiter gives up the connections that are idle longest, never busy ones.
+// When client connections exceed their share of the descriptors, the limiter closes those that have been idle longest, never
+// busy ones.
 func TestIdleClientsAreEvictedForNewOnes(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
@@ -279,7 +281,7 @@
 		}
 		replyValue("v")(conn, args)
 	})
-	l := start(t, fixture{servers: []*server{s}}) // its cap is 128
+	l := start(t, fixture{servers: []*server{s}}) // with at most 128 descriptors
 	busy := l.dial()
 	busy.write(encodeCommand(askArgs("01")...))
 	require.Eventually(t, func() bool { return len(s.received()) == 1 }, testTimeout, time.Millisecond)
@@ -293,7 +295,6 @@
 	assert.Equal(t, "v", busy.readReply())
 }
 
-// A client that writes and never reads loses its connection; everybody else is served meanwhile.
 // clientConnections counts the established connections at the limiter's address.
 func (l *limiter) clientConnections() int {
 	table, err := os.ReadFile("/proc/net/tcp")
@@ -301,6 +302,7 @@
 	return len(regexp.MustCompile(`: `+procNetTCPAddress(l.addr)+` [0-9A-F]{8}:[0-9A-F]{4} 01 `).FindAll(table, -1))
 }
 
+// A client that sends commands and never reads the replies loses its connection. All other clients are served meanwhile.
 func TestClientThatNeverReadsStallsNoOther(t *testing.T) {
 	t.Parallel()
 	large := strings.Repeat("p", 64<<10)
@@ -309,7 +311,7 @@
 	require.NoError(t, deaf.conn.(*net.TCPConn).SetReadBuffer(4<<10))
 	for k := range 400 {
 		if _, err := deaf.conn.Write([]byte(encodeCommand(askArgs(fmt.Sprintf("%04x", k))...))); err != nil {
-			break // the limiter has given it up already
+			break // the limiter has closed the connection already
 		}
 		if k%20 == 0 {
 			got := other.do(askArgs(fmt.Sprintf("%08x", k))...)
@@ -319,10 +321,10 @@
 	require.Equal(t, large, other.do(askArgs("ffffffff")...))
 	with := l.clientConnections()
 	assert.Eventually(t, func() bool { return l.clientConnections() < with }, testTimeout, 10*time.Millisecond,
-		"the connection is given up, not kept with all that waits for it")
+		"the connection must be closed and not kept with all the replies that wait for it")
 }
 
-// What a server never answers is answered before the platform kills the program, not lost.
+// Requests that a server never answers are answered as failed before the platform kills the process.
 func TestPlannedRestartFailsUnansweredRequests(t *testing.T) {
 	t.Parallel()
 	s := newServer(t, "s-1", "hall-a", func(net.Conn, []string) {})
@@ -333,8 +335,8 @@
 	l.waitForCleanExit()
 }
 
-// SIGHUP moves discovery and the counter while a request context is held, and a file that cannot be used changes
-// nothing. The environment still names the first address of discovery then.
+// SIGHUP moves discovery and the counter to new addresses while a request context is held, although the environment still names
+// the first address of discovery. An invalid file changes nothing.
 func TestSIGHUPReloadsConfiguration(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
@@ -344,7 +346,7 @@
 	})
 	b := newServer(t, "s-2", "hall-a", replyValue("b"))
 	set := settings()
-	set["balancers"] = 8 // the counter is asked before a request goes
+	set["balancers"] = 8 // so many that the counter is asked before a request is sent
 	set["tariffs"] = []object{plan("regular", 1000, 4000, 0), plan("full", 100, 4, 0)}
 	w := fixture{settings: set, servers: []*server{a}, counter: newCounter(t), registry: newRegistry(t)}
 	l := start(t, w)
@@ -360,26 +362,26 @@
 	}
 	a.state = "draining"
 	w.registry.sendList(2, true, a, b)
-	require.Eventually(t, func() bool { return c.do(askArgs("02")...) == "b" }, testTimeout, time.Millisecond, "the old discovery is heard")
+	require.Eventually(t, func() bool { return c.do(askArgs("02")...) == "b" }, testTimeout, time.Millisecond, "a list of the old discovery does not take effect")
 
 	l.reload(good, "read the configuration anew")
 	a.state, b.state = "ready", "gone"
 	next.registry.sendList(3, true, a)
 	close(release)
 	assert.Equal(t, "held", held.readReply())
-	require.Eventually(t, func() bool { return c.do(askArgs("03")...) == "held" }, testTimeout, time.Millisecond, "the new discovery is heard")
+	require.Eventually(t, func() bool { return c.do(askArgs("03")...) == "held" }, testTimeout, time.Millisecond, "a list of the new discovery does not take effect")
 	counted := askArgs("04")
-	counted[1] = "00000000b4d65522" // a firm is counted by what its first request says of it
+	counted[1] = "00000000b4d65522" // a new firm, since a firm is counted according to its first request
 	counted[3] = strings.Replace(strings.Replace(counted[3], "spread=1", "spread=8", 1), "regular", "full", 1)
 	require.Eventually(t, func() bool {
 		c.do(counted...)
 		calls, _ := next.counter.callsAndConns()
 		return calls > 0
-	}, testTimeout, time.Millisecond, "the new counter is asked")
+	}, testTimeout, time.Millisecond, "the new counter is not asked")
 }
 
-// A configuration read again at SIGHUP in which one value is absent, of another type, zero, negative or huge is refused with
-// one line or taken; either way each request has an answer, and the good file is as good as before afterwards.
+// SIGHUP with a configuration in which one value is absent, of another type, zero, negative or huge. The file is rejected with one
+// log line or accepted; either way each request gets an answer, and the valid file works afterwards as before.
 func TestReloadOfMutatedConfigurationIsTolerated(t *testing.T) {
 	t.Parallel()
 	set := settings()
@@ -393,7 +395,7 @@
 	read := func() int { return strings.Count(l.log.String(), refused) + strings.Count(l.log.String(), taken) }
 	mutants := 0
 	for what, raw := range fault.Mutants(good) {
-		if mutants++; mutants%3 > 0 { // a third is enough for a check of every day
+		if mutants++; mutants%3 > 0 { // a third of them keeps the test short enough for every run
 			continue
 		}
 		before := read()
@@ -420,15 +422,15 @@
 		config any
 		second any
 	}{
-		"no object":       {config: 7},
-		"no settings":     {config: object{"listen": reserveAddress(t)}},
-		"a setting short": {config: object{"listen": reserveAddress(t), "settings": set}},
-		"a fleet of none": {config: object{"listen": reserveAddress(t), "settings": none}},
-		"a million":       {config: object{"listen": reserveAddress(t), "settings": million}},
-		"no address":      {config: object{"settings": settings()}},
-		"seed":            {config: object{"listen": reserveAddress(t), "settings": settings(), "seed": "x"}},
-		"second front":    {config: good, second: object{"listne": reserveAddress(t)}},
-		"no cluster":      {config: good, second: object{"listen": reserveAddress(t), "others": object{"clusters": "none.json"}}},
+		"no object":                   {config: 7},
+		"no settings":                 {config: object{"listen": reserveAddress(t)}},
+		"a missing setting":           {config: object{"listen": reserveAddress(t), "settings": set}},
+		"a fleet of none":             {config: object{"listen": reserveAddress(t), "settings": none}},
+		"a fleet of a million":        {config: object{"listen": reserveAddress(t), "settings": million}},
+		"no address":                  {config: object{"settings": settings()}},
+		"invalid seed":                {config: object{"listen": reserveAddress(t), "settings": settings(), "seed": "x"}},
+		"unknown field of -ratelimit": {config: good, second: object{"listne": reserveAddress(t)}},
+		"no cluster file":             {config: good, second: object{"listen": reserveAddress(t), "others": object{"clusters": "none.json"}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -444,10 +446,10 @@
 	}
 }
 
-// A limiter on a tenth of a core takes ten times as long for its last answers: it waits for a server for less.
+// A limiter with a tenth of a core needs ten times as long for its last answers, so it gives a server less time.
 func TestSmallCPUShareShortensServerDeadline(t *testing.T) {
 	t.Parallel()
-	for cores, most := range map[float64]int{1: 5992, 0.1: 5974} { // of 6000 ms, of which the module keeps 6
+	for cores, most := range map[float64]int{1: 5992, 0.1: 5974} { // of 6000 ms, of which package logic reserves 6
 		s := newServer(t, "s-1", "hall-a", replyValue("v"))
 		require.Equal(t, "v", start(t, fixture{cores: cores, servers: []*server{s}}).dial().do(doArgs("01")...))
 		wait := regexp.MustCompile(`d=(\d+)`).FindStringSubmatch(s.received()[0][3])
--- a/cmd/bramblefall/ratelimit_test.go
+++ b/cmd/bramblefall/ratelimit_test.go
@@ -45,7 +45,8 @@
 	return &rlsv3.RateLimitRequest{Domain: "depots", Descriptors: all}
 }
 
-// second writes the file that switches the front on; others are the addresses of another service's endpoints.
+// rateLimitFile writes a -ratelimit file, which switches on the gRPC front, and returns its path. endpoints are the addresses of
+// an external rate limit service, if any.
 func rateLimitFile(t *testing.T, endpoints ...string) string {
 	file := object{"listen": reserveAddress(t), "domain": "depots"}
 	dir := t.TempDir()
@@ -58,7 +59,7 @@
 	return writeJSON(t, filepath.Join(dir, "ratelimit.json"), file)
 }
 
-// locality is endpoints of a zone, of which the first ones drain.
+// locality returns the endpoints of a zone, of which the first ones drain.
 func locality(t *testing.T, zone string, priority, draining int, addrs ...string) object {
 	all := []object{}
 	for k, addr := range addrs {
@@ -75,13 +76,13 @@
 	return object{"locality": object{"zone": zone}, "priority": priority, "lb_endpoints": all}
 }
 
-// assignment is the endpoints of a cluster.
+// assignment returns the endpoints of a cluster.
 func assignment(cluster string, localities ...object) object {
 	return object{"@type": "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment", "cluster_name": cluster,
 		"endpoints": localities}
 }
 
-// writeEndpoints names endpoints, of which the first so many drain.
+// writeEndpoints writes the endpoints of the cluster "limits"; the first ones drain.
 func writeEndpoints(t *testing.T, dir string, draining int, addrs ...string) {
 	writeAssignments(t, dir, assignment("limits", locality(t, "hall-a", 0, draining, addrs...)))
 }
@@ -103,7 +104,7 @@
 	return ctx
 }
 
-// others is a stand-in for a rate limit service of somebody else.
+// externalService is a stand-in for the rate limit service of another operator.
 type externalService struct {
 	rlsv3.UnimplementedRateLimitServiceServer
 	answer func(context.Context, *rlsv3.RateLimitRequest) (*rlsv3.RateLimitResponse, error)
@@ -133,7 +134,7 @@
 
 func (o *externalService) listen(t *testing.T) string { return o.listenOn(t, 1)[0] }
 
-// listenOn serves at so many addresses.
+// listenOn serves on n addresses and returns them.
 func (o *externalService) listenOn(t *testing.T, n int) (addrs []string) {
 	s := grpc.NewServer()
 	rlsv3.RegisterRateLimitServiceServer(s, o)
@@ -176,7 +177,7 @@
 	assert.Regexp(t, `^[1-9]\d*$`, answer.ResponseHeadersToAdd[0].Value)
 }
 
-// Several descriptors each count by themselves; the call is over limit if one of them is.
+// Each descriptor of a call is counted on its own. The call is over limit if one of them is.
 func TestSeveralDescriptors(t *testing.T) {
 	t.Parallel()
 	s := start(t, fixture{settings: settingsWithBurst(2), rateLimitFile: rateLimitFile(t)}).rateLimitClient()
@@ -192,7 +193,7 @@
 	assert.Equal(t, verdictOverLimit, answer.Statuses[1].Code)
 	answer, err = s.ShouldRateLimit(testContext(t), rateLimitRequest(firmDescriptor("a1")))
 	require.NoError(t, err)
-	assert.Equal(t, verdictOverLimit, answer.OverallCode, "a1 has taken its second unit, though the call was over limit")
+	assert.Equal(t, verdictOverLimit, answer.OverallCode, "a1 must have taken its second unit although the call was over limit")
 }
 
 func TestInvalidDescriptors(t *testing.T) {
@@ -208,7 +209,7 @@
 	huge.HitsAddend = 4e9
 	s := start(t, fixture{rateLimitFile: rateLimitFile(t)}).rateLimitClient()
 	for name, r := range map[string]*rlsv3.RateLimitRequest{
-		"none": rateLimitRequest(), "too many": rateLimitRequest(crowd...), "override": rateLimitRequest(limited), "given back": rateLimitRequest(given), "huge": huge,
+		"none": rateLimitRequest(), "too many": rateLimitRequest(crowd...), "override": rateLimitRequest(limited), "negative hits": rateLimitRequest(given), "huge": huge,
 		"domain": {Domain: "elsewhere", Descriptors: []*entriesv3.RateLimitDescriptor{firmDescriptor("a1")}},
 		"firm":   rateLimitRequest(descriptor("tier", "regular", "class", "balance-read")),
 		"tier":   rateLimitRequest(descriptor("firm", "a1", "tier", "gold", "class", "balance-read")),
@@ -228,8 +229,8 @@
 	assert.Equal(t, verdictOK, answer.OverallCode)
 }
 
-// With a service of others, its word is the verdict; the quota is held before it, and the platform's servers
-// never see such a call.
+// With an external service, that service gives the verdict on calls within the quota; calls beyond the quota are not sent to it.
+// The platform's servers never get such a call.
 func TestExternalServiceDecidesWithinQuota(t *testing.T) {
 	t.Parallel()
 	node := newServer(t, "s-1", "hall-a", replyValue("v"))
@@ -247,19 +248,19 @@
 		require.NoError(t, err)
 		assert.Equal(t, k != 2, answer.OverallCode == verdictOverLimit)
 	}
-	assert.Equal(t, 3, o.calls(), "beyond the quota nothing is sent on")
+	assert.Equal(t, 3, o.calls(), "calls beyond the quota must not be sent to the external service")
 	assert.Equal(t, "depots", o.received[0].Domain)
 	assert.Equal(t, firm, o.received[0].Descriptors[0].Entries[0].Value)
-	assert.Regexp(t, "^-BUSY", l.dial().do(askArgs("01")...), "the same firm's quota on the other path")
-	assert.Empty(t, node.received(), "groups never mix")
+	assert.Regexp(t, "^-BUSY", l.dial().do(askArgs("01")...), "the firm's quota must be used up on the RESP2 path, too")
+	assert.Empty(t, node.received(), "a gRPC call was sent to an exchange node")
 	args := askArgs("02")
 	args[1] = "00000000000000ff"
 	assert.Equal(t, "v", l.dial().do(args...))
-	assert.Equal(t, 3, o.calls(), "groups never mix")
+	assert.Equal(t, 3, o.calls(), "a RESP2 command was sent to the external service")
 }
 
-// A further try of a request takes no units: with one endpoint down the quota is as large as ever. A client's
-// own retry counts anew.
+// A further try of the same request takes no units, so the quota stays the same with one endpoint down. A retry by the client is
+// a new request and takes units.
 func TestRetriesTakeNoUnits(t *testing.T) {
 	t.Parallel()
 	fails := 0
@@ -281,8 +282,8 @@
 	assert.Equal(t, 12, o.calls())
 }
 
-// A proxy's short time-out is its own choice. It must not look like the rest of a longer wait, which marks a
-// client's late retry: such a one only gets what is left over.
+// A proxy chooses its timeout itself. A short one must not be taken for what is left of a longer deadline, which marks a client's
+// late retry: a late retry only gets capacity that others leave.
 func TestShortDeadlineIsNotTakenForRetry(t *testing.T) {
 	t.Parallel()
 	l := start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}, rateLimitFile: rateLimitFile(t)})
@@ -294,7 +295,7 @@
 	answer, err := s.ShouldRateLimit(ctx, rateLimitRequest(short))
 	require.NoError(t, err)
 	assert.Equal(t, verdictOK, answer.OverallCode)
-	args := doArgs("02") // nor may a caller's long wait make the platform's clients look late
+	args := doArgs("02") // nor may a gRPC caller's long timeout make requests of the platform's clients look like late retries
 	args[3] = strings.Replace(args[3], "d=6000", "d=2000", 1)
 	l = start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}, rateLimitFile: rateLimitFile(t)})
 	_, err = l.rateLimitClient().ShouldRateLimit(testContext(t), rateLimitRequest(short))
@@ -302,7 +303,8 @@
 	assert.Equal(t, "v", l.dial().do(args...))
 }
 
-// A service that answers in a millisecond has not gone silent after some tens: its tries are not taken back.
+// A service that usually answers within a millisecond is not taken for silent after some tens of milliseconds: its tries are not
+// cancelled and repeated.
 func TestPauseOfFastServiceDoesNotCancelTries(t *testing.T) {
 	t.Parallel()
 	o := &externalService{}
@@ -322,7 +324,7 @@
 	assert.Equal(t, 301, o.calls())
 }
 
-// The hard ceiling of a tier holds over both paths together.
+// The hard ceiling of a tier holds for RESP2 and gRPC together.
 func TestBothPathsShareOneCeiling(t *testing.T) {
 	t.Parallel()
 	l := start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}, rateLimitFile: rateLimitFile(t)})
@@ -344,7 +346,7 @@
 	}
 	single, mixed := sent("00000000000000c1", false), sent("00000000000000c2", true)
 	assert.Equal(t, single, mixed)
-	assert.LessOrEqual(t, mixed, 50, "the ceiling's store and its slack")
+	assert.LessOrEqual(t, mixed, 50, "the burst of the ceiling and its slack")
 	assert.Positive(t, mixed)
 }
 
@@ -377,10 +379,10 @@
 	}
 }
 
-// A caller that cancels ends the try that is out, and what the request held is free again.
+// A caller that cancels ends the try that is in flight, and what the request held is released.
 func TestCancelDuringCall(t *testing.T) {
 	t.Parallel()
-	left := make(chan time.Duration, 1) // of the time that the limiter meant to wait
+	left := make(chan time.Duration, 1) // time left until the deadline of the try when it ended
 	o := &externalService{answer: func(ctx context.Context, _ *rlsv3.RateLimitRequest) (*rlsv3.RateLimitResponse, error) {
 		<-ctx.Done()
 		until, _ := ctx.Deadline()
@@ -388,7 +390,7 @@
 		return nil, ctx.Err()
 	}}
 	set := settingsWithBurst(10)
-	set["tariffs"].([]object)[0]["concurrency"] = 1 // a request that stays behind would block the next
+	set["tariffs"].([]object)[0]["concurrency"] = 1 // a request that was not released would block the next
 	s := start(t, fixture{settings: set, rateLimitFile: rateLimitFile(t, o.listen(t))}).rateLimitClient()
 	ctx, cancel := context.WithCancel(context.Background())
 	failed := make(chan error, 1)
@@ -398,8 +400,8 @@
 	}()
 	require.Eventually(t, func() bool { return o.calls() == 1 }, testTimeout, time.Millisecond)
 	cancel()
-	assert.Equal(t, codes.Canceled, status.Code(await(t, failed, "the call's end")))
-	assert.Greater(t, await(t, left, "the try's end"), 2*time.Second, "of 6 s: it was ended, not given up")
+	assert.Equal(t, codes.Canceled, status.Code(await(t, failed, "the call to end")))
+	assert.Greater(t, await(t, left, "the try to end"), 2*time.Second, "time left of 6 s: the try must have been cancelled, not timed out")
 	o.mu.Lock()
 	o.answer = respondWith(verdictOK)
 	o.mu.Unlock()
@@ -408,11 +410,11 @@
 	assert.Equal(t, verdictOK, answer.OverallCode)
 }
 
-// The counter is silent past its limit with decisions pending on it: each still gets its verdict.
+// The counter does not answer within its time limit while decisions are pending on it. Each call still gets its verdict.
 func TestSilentCounterWithPendingDecisions(t *testing.T) {
 	t.Parallel()
 	set := settingsWithBurst(4)
-	set["balancers"] = 8 // a part of the burst holds no request: the counter is asked before one goes
+	set["balancers"] = 8 // a limiter's share of the burst is less than one request, so the counter is asked before one is sent
 	n := newCounter(t)
 	n.silent = true
 	s := start(t, fixture{settings: set, counter: n, rateLimitFile: rateLimitFile(t)}).rateLimitClient()
@@ -422,13 +424,13 @@
 			answer, err := s.ShouldRateLimit(testContext(t), rateLimitRequest(descriptor("firm", strconv.Itoa(k), "tier", "regular",
 				"class", "balance-read", "spread", "8")))
 			assert.NoError(t, err)
-			assert.Equal(t, verdictOK, answer.GetOverallCode(), "by what is known here, not late and refused")
+			assert.Equal(t, verdictOK, answer.GetOverallCode(), "the verdict must come from local knowledge, in time")
 		})
 	}
 	all.Wait()
 	calls, conns := n.callsAndConns()
 	assert.Positive(t, calls)
-	assert.Equal(t, 1, conns, "no decision waited until the silent connection was given up")
+	assert.Equal(t, 1, conns, "a decision waited until the silent connection was replaced")
 }
 
 func TestPlannedRestartAnswersCallsInFlight(t *testing.T) {
@@ -465,10 +467,11 @@
 	require.Eventually(t, func() bool { return ask() && b.calls() > 0 }, testTimeout, 10*time.Millisecond)
 	before := a.calls()
 	require.True(t, ask())
-	assert.Equal(t, before, a.calls(), "the removed endpoint gets nothing new")
+	assert.Equal(t, before, a.calls(), "the removed endpoint got a new call")
 }
 
-// Firms that send half their requests over each path, through two limiters, are held to the totals of one path.
+// Firms that send half of their requests over RESP2 and half over gRPC, through two limiters, get the same totals as over RESP2
+// alone.
 func TestMixedPathsShareOneQuota(t *testing.T) {
 	t.Parallel()
 	firms := map[string]int{"00000000000000a1": 150, "00000000000000a2": 300, "00000000000000a3": 700}
@@ -480,7 +483,7 @@
 	assert.InEpsilon(t, 400, single["00000000000000a3"], 0.02, "held to its quota")
 }
 
-// totals is how much each firm may send on through a fleet of two limiters, of what it asks there.
+// totals returns how many requests of each firm pass a fleet of two limiters, given how many it sends.
 func totals(t *testing.T, firms map[string]int, mixed bool) map[string]int {
 	node, n := newServer(t, "s-1", "hall-a", replyValue("v")), newCounter(t)
 	var clients []*client
