--- a/cmd/bramblefall/restart_test.go
+++ b/cmd/bramblefall/restart_test.go
@@ -17,7 +17,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// stopped does something while the limiter's process stands still, and for at least so long.
+// whileStopped stops the limiter's process, waits for the minimum time, calls do and lets the process continue.
 func (l *limiter) whileStopped(minimum time.Duration, do func()) {
 	require.NoError(l.t, l.cmd.Process.Signal(syscall.SIGSTOP))
 	time.Sleep(minimum)
@@ -25,24 +25,26 @@
 	require.NoError(l.t, l.cmd.Process.Signal(syscall.SIGCONT))
 }
 
+// waitForLog waits until the limiter's log contains text.
 func (l *limiter) waitForLog(text string) {
 	l.t.Helper()
 	require.Eventually(l.t, func() bool { return strings.Contains(l.log.String(), text) }, testTimeout, time.Millisecond)
 }
 
-// Whole requests stand in the listener's queue, on connections that the machine has accepted, when all of a planned
-// restart's waits are over: the process stood still.
+// The process is stopped during a planned restart until all waits of the restart are over. Whole requests are then in the
+// listener's queue, on connections that the kernel has accepted, and must be answered.
 func TestPlannedRestartAnswersAcceptQueue(t *testing.T) {
 	t.Parallel()
 	start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}}).checkQueuedRequestsAnswered()
 }
 
-// answersItsQueue ends the limiter and stops it while clients come whose requests stand in its queue when it goes on.
+// checkQueuedRequestsAnswered begins a planned restart, stops the process while clients connect and send requests, and checks that
+// these are answered from the accept queue when it continues.
 func (l *limiter) checkQueuedRequestsAnswered() {
 	l.t.Helper()
 	l.terminate()
 	l.waitForLog("msg=draining")
-	clients := make([]*client, 24) // its share of the descriptors is 32
+	clients := make([]*client, 24) // below the 32 descriptors for client connections
 	l.whileStopped(time.Second, func() {
 		for k := range clients {
 			clients[k] = l.dial()
@@ -55,13 +57,13 @@
 	l.waitForCleanExit()
 }
 
-// Clients go on sending on every connection that stays open. What becomes whole after the last answers is refused at
-// once: the limiter ends before any server could answer it.
+// Clients keep sending on every connection that stays open. A command that is complete only after the last answers of a planned
+// restart is rejected at once, since the limiter exits before a server could answer it.
 func TestPlannedRestartRejectsCommandsAfterLastAnswers(t *testing.T) {
 	t.Parallel()
 	began := make(chan struct{}, 10)
 	var servers []*server
-	for k := range 12 { // more than the first request can spoil
+	for k := range 12 { // more than the unanswered first request can affect
 		servers = append(servers, newServer(t, fmt.Sprintf("s-%d", k), "hall-a", func(conn net.Conn, args []string) {
 			if len(args[2]) > 2 {
 				replyValue("v")(conn, args)
@@ -76,10 +78,10 @@
 		require.Equal(t, "v", c.do(askArgs(fmt.Sprintf("%03x", k))...))
 	}
 	c.write(encodeCommand(doArgs("01")...))
-	await(t, began, "the request to begin")
+	await(t, began, "a server to get the request")
 	l.terminate()
 	l.waitForLog("msg=draining")
-	time.Sleep(2 * time.Second) // half a command is given up after 2.4 s; the last answers come after 3.4 s
+	time.Sleep(2 * time.Second) // a partial command is given up after 2.4 s, and the last answers are sent after 3.4 s
 	late := encodeCommand(askArgs("02")...)
 	c.write(late[:len(late)/2])
 	assert.Equal(t, "-ERR failed", c.readReply())
@@ -89,20 +91,20 @@
 	l.waitForCleanExit()
 }
 
-// SIGTERM goes before a configuration that is still being read, at the start or again. The file is a pipe, so the
-// limiter reads until the test writes.
+// SIGTERM takes precedence over a configuration that is still being read, at the start or at a reload. The file is a pipe, so
+// that the limiter's read blocks until the test writes.
 func TestPlannedRestartDuringConfigurationRead(t *testing.T) {
 	t.Parallel()
 	w := fixture{settings: settings(), servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}}
-	t.Run("again", func(t *testing.T) {
+	t.Run("reload", func(t *testing.T) {
 		t.Parallel()
 		l := start(t, w)
 		require.NoError(t, os.Remove(l.path))
 		require.NoError(t, syscall.Mkfifo(l.path, 0o600))
-		for range 8 { // more than are kept for later
+		for range 8 { // more signals than are queued
 			require.NoError(t, l.cmd.Process.Signal(syscall.SIGHUP))
 		}
-		pipe, err := os.OpenFile(l.path, os.O_WRONLY, 0) // waits for its reader
+		pipe, err := os.OpenFile(l.path, os.O_WRONLY, 0) // blocks until the limiter opens it for reading
 		require.NoError(t, err)
 		defer pipe.Close()
 		c := l.dial()
@@ -111,7 +113,7 @@
 		assert.Equal(t, "v", c.do(askArgs("01")...))
 		l.waitForCleanExit()
 	})
-	t.Run("at the start", func(t *testing.T) {
+	t.Run("start", func(t *testing.T) {
 		t.Parallel()
 		path := filepath.Join(t.TempDir(), "config.json")
 		require.NoError(t, syscall.Mkfifo(path, 0o600))
@@ -129,12 +131,12 @@
 	})
 }
 
-// What a planned restart may meet: each time the request that is held is answered, and the program ends with code 0.
+// Events that a planned restart may coincide with. In each case the held request is answered and the process exits with code 0.
 func TestPlannedRestartEdgeCases(t *testing.T) {
 	t.Parallel()
 	large := strings.Repeat("p", 64<<10)
 	for name, moment := range map[string]func(t *testing.T, l *limiter, release func()){
-		"told twice": func(_ *testing.T, l *limiter, release func()) {
+		"SIGTERM twice": func(_ *testing.T, l *limiter, release func()) {
 			l.terminate()
 			l.waitForLog("msg=draining")
 			l.terminate()
@@ -167,7 +169,7 @@
 			c := l.dial()
 			c.write(encodeCommand(askArgs("0a")...))
 			l.terminate()
-			require.NoError(t, c.conn.(*net.TCPConn).CloseWrite()) // it counts as gone: whether it has its answer is open
+			require.NoError(t, c.conn.(*net.TCPConn).CloseWrite()) // the client counts as gone, and may or may not get its answer
 			release()
 		},
 		"no descriptor is left": func(t *testing.T, l *limiter, release func()) {
@@ -176,7 +178,7 @@
 			require.NoError(t, err)
 			require.NoError(t, unix.Prlimit(pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: uint64(len(open)), Max: uint64(len(open))}, nil))
 			for range 20 {
-				_ = l.dial() // they wait in the queue, for as long as there is one
+				_ = l.dial() // these wait in the accept queue, which lasts as long as the listener
 			}
 			l.waitForLog("too many open files")
 			l.terminate()
@@ -207,7 +209,7 @@
 	}
 }
 
-// Discovery and the counter are away at a planned restart: nobody listens at their addresses.
+// Discovery and the counter are down at a planned restart: connections to their addresses are closed at once.
 func TestPlannedRestartWithoutDiscoveryAndCounter(t *testing.T) {
 	t.Parallel()
 	held := make(chan struct{})
@@ -215,7 +217,7 @@
 		<-held
 		replyValue("v")(conn, args)
 	})
-	away := serveConns(t, func(net.Conn) {}) // each connection ends at once
+	away := serveConns(t, func(net.Conn) {}) // closes each connection at once
 	l := start(t, fixture{servers: []*server{s}, counter: &quotaCounter{addr: away}, registry: &registry{addr: away}})
 	c := l.holdRequest(s)
 	l.terminate()
--- a/cmd/bramblefall/rolling_test.go
+++ b/cmd/bramblefall/rolling_test.go
@@ -24,19 +24,19 @@
 	rollingLimiters     = 12
 	restartedAtOnce     = 3
 	rollingClients      = 20
-	rollingStopDuration = 700 * time.Millisecond // over the waits of a planned restart up to the end of listening
-	hangDuration        = 12 * time.Second       // longer than any client waits
+	rollingStopDuration = 700 * time.Millisecond // longer than a planned restart keeps listening
+	hangDuration        = 12 * time.Second       // longer than the deadline of any client
 )
 
-// rolling is a fleet that is restarted while clients open new connections to it all the while.
+// rolling is a fleet that is restarted, some limiters at a time, while clients keep opening connections to it.
 type rolling struct {
 	*fleet
 	mu               sync.Mutex
-	started          []*standin.Limiter // with those that have ended
-	answered         map[string]bool    // by id: with a whole answer in time; false: its connection ended before
-	refused          int                // connections
-	closedOnReuse    int                // requests on a connection used before, which was closed meanwhile
-	closedUnanswered int                // new connections that were closed with no answer
+	started          []*standin.Limiter // every process that was started, including those that have exited
+	answered         map[string]bool    // by request id: whether the whole answer arrived before the connection ended
+	refused          int                // connections that were refused
+	closedOnReuse    int                // requests on a reused connection that was closed before the answer
+	closedUnanswered int                // new connections that were closed without an answer
 	served           int
 }
 
@@ -54,7 +54,7 @@
 	r.started = append(r.started, l)
 }
 
-// client asks limiters by chance, each over a new connection that it then uses again a few times.
+// runClient sends requests to random limiters until stop is closed, up to 20 requests over each new connection.
 func (r *rolling) runClient(rng *rand.Rand, stop <-chan struct{}) {
 	for {
 		select {
@@ -74,7 +74,7 @@
 		n, open := 0, true
 		for requests := 1 + rng.IntN(20); n < requests && open; n++ {
 			open = r.sendRequest(rng, conn, in)
-			time.Sleep(time.Duration(max(0, rng.IntN(40)-20)) * time.Millisecond) // half of the time it goes on at once
+			time.Sleep(time.Duration(max(0, rng.IntN(40)-20)) * time.Millisecond) // no pause half of the time
 		}
 		r.mu.Lock()
 		switch {
@@ -89,7 +89,7 @@
 	}
 }
 
-// one asks for one value and tells whether its whole answer came.
+// sendRequest sends one request and reports whether its whole answer arrived.
 func (r *rolling) sendRequest(rng *rand.Rand, conn net.Conn, in *bufio.Reader) bool {
 	id := fmt.Sprintf("%016x", r.ids.Add(1))
 	args := standin.Command(rng, id)
@@ -102,7 +102,7 @@
 	if err == nil && line[0] == '$' {
 		value := ""
 		if value, err = in.ReadString('\n'); err == nil && value != id+"\r\n" {
-			err = fmt.Errorf("the value %q for request %s, from %s at %s", value, id, conn.RemoteAddr(), conn.LocalAddr())
+			err = fmt.Errorf("got the value %q for request %s, want its id; from %s at %s", value, id, conn.RemoteAddr(), conn.LocalAddr())
 		}
 	}
 	r.mu.Lock()
@@ -124,12 +124,13 @@
 	return words
 }
 
-// traceOf tells which limiters had the addresses that a finding names, and which log the request as taken.
+// traceFinding describes which processes had the addresses that a finding names, and how many logged its request as accepted
+// (log message "taken").
 func (r *rolling) traceFinding(finding string) string {
 	trace, takers := "", 0
 	for life, l := range r.started {
 		if strings.Contains(finding, l.Addr+" ") {
-			trace += fmt.Sprintf("\n  %s was life %d's: %v", l.Addr, life, l.Cmd.ProcessState)
+			trace += fmt.Sprintf("\n  %s was the address of process %d: %v", l.Addr, life, l.Cmd.ProcessState)
 		}
 		for _, taken := range takenID.FindAllStringSubmatch(l.Log(), -1) {
 			if strings.Contains(finding, taken[1]) {
@@ -137,21 +138,21 @@
 			}
 		}
 	}
-	return trace + fmt.Sprintf("\n  %d of %d lives log the request as taken", takers, len(r.started))
+	return trace + fmt.Sprintf("\n  %d of %d processes logged the request as taken", takers, len(r.started))
 }
 
 var takenID = regexp.MustCompile(`msg=taken id=(\S+)`)
 
-// This test failed with values that none of its nodes makes. Its clients go on asking the address of a limiter that has ended
-// until the next one is there, and that address was a port of 127.0.0.1 which the kernel had given to another process meanwhile.
-// The traces had the address as an ended life's and the request as taken by 0 of 24 lives, and /proc named the other
-// process as the listener's owner. Each limiter now has an IP address that no other process listens on (internal/loopback);
-// docs/incidents has the figures.
+// A dozen limiters are restarted three at a time, and some of them are stopped in the middle of the planned restart, while clients
+// keep opening connections and reusing them at once, and two of eight nodes never answer. The limiters log which requests they
+// accept: each of these must get exactly one whole answer, and every process must exit with code 0.
 //
-// A dozen limiters are restarted a few at a time, some of which stand still over the steps of it, while clients open
-// connections all the while and use them again at once, and two nodes of eight never answer. The limiters log what they
-// take: each request that one has taken has its one whole answer, and every process ends with code 0.
-func TestRollingRestartUnderLoadAnswersAllAcceptedRequests(t *testing.T) { // by itself: it needs the machine, as others do
+// This test once failed with values that none of its nodes returns. Its clients keep sending to the address of a limiter that has
+// exited until its successor listens there. The address was a port of 127.0.0.1 that the kernel had given to another process
+// meanwhile: the address in the traces was that of an exited process, 0 of 24 processes had logged the request as accepted, and
+// /proc named the other process as the owner of the listener. Each limiter now has an IP address on which no other process
+// listens (internal/loopback); docs/incidents has the figures.
+func TestRollingRestartUnderLoadAnswersAllAcceptedRequests(t *testing.T) { // not in parallel: it needs the whole machine
 	r := &rolling{answered: map[string]bool{}}
 	r.fleet = startFleet(t, 8, func(f *fleet, _ int, _ object) { f.args = []string{"-log", "debug"} },
 		make([]func(int) standin.Trouble, rollingLimiters)...)
@@ -176,7 +177,7 @@
 			l := r.limiter(k)
 			require.NoError(t, l.Signal(syscall.SIGTERM))
 			group.Go(func() {
-				if k > first { // the others go through it undisturbed
+				if k > first { // the first one of each group is not stopped
 					time.Sleep(time.Duration(k-first) * 200 * time.Millisecond)
 					_ = l.Signal(syscall.SIGSTOP)
 					time.Sleep(rollingStopDuration)
@@ -201,16 +202,16 @@
 	for k, l := range r.started {
 		for _, m := range takenID.FindAllStringSubmatch(l.Log(), -1) {
 			if taken++; !r.answered[m[1]] {
-				lost = append(lost, fmt.Sprintf("%s by life %d", m[1], k))
+				lost = append(lost, fmt.Sprintf("%s by process %d", m[1], k))
 			}
 		}
 		if k < rollingLimiters {
 			assert.Zero(t, l.Cmd.ProcessState.ExitCode(), "limiter %d", k)
 		}
 	}
-	t.Logf("%d requests, %d taken, %d served, %d crossed a close; %d connections refused, %d closed without a word", len(r.answered), taken,
+	t.Logf("%d requests, %d taken, %d served, %d cut off by a close of a reused connection; %d connections refused, %d closed unanswered", len(r.answered), taken,
 		r.served, r.closedOnReuse, r.refused, r.closedUnanswered)
-	require.Empty(t, lost, "taken and not answered")
-	require.Greater(t, r.served, 1000, "this shows little")
-	require.LessOrEqual(t, r.closedUnanswered*200, len(r.answered), "new connections closed with no answer")
+	require.Empty(t, lost, "requests logged as taken that got no answer")
+	require.Greater(t, r.served, 1000, "too few requests were served to prove anything")
+	require.LessOrEqual(t, r.closedUnanswered*200, len(r.answered), "more than one new connection per 200 requests was closed without an answer")
 }
--- a/cmd/bramblefall/sites_test.go
+++ b/cmd/bramblefall/sites_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// site is what a file of deploy/sites says, as far as a limiter's settings follow from it. Ranges are drawn at their start.
+// site has the parts of a file of deploy/sites that determine a limiter's settings. Of a range, the first value is used.
 type site struct {
 	Net struct {
 		Zones []string
@@ -60,8 +60,10 @@
 	}
 }
 
+// effects maps the effect of a class in a site file to the semantics in the settings.
 var effects = map[string]string{"safe": "free", "keyed": "guarded", "unsafe": "single_shot"}
 
+// settings returns the settings of a single limiter at the site.
 func (s site) settings() object {
 	set := settings()
 	set["zones"] = s.Net.Zones
@@ -97,8 +99,8 @@
 	return set
 }
 
-// The deployments of deploy/sites run on the one build: each class is served under each plan, also with the largest request,
-// and a failed try is repeated only where the class allows it.
+// The same build serves both deployments of deploy/sites: each class is served under each plan, also with the largest request, and
+// a failed try is repeated only where the class allows it.
 func TestSiteDeploymentsAreServed(t *testing.T) {
 	t.Parallel()
 	files, err := filepath.Glob("../../deploy/sites/*.toml")
--- a/cmd/bramblefall/size_test.go
+++ b/cmd/bramblefall/size_test.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	listSize        = 1024 // limiters, servers or endpoints: no list of them may be cut before
-	drainingServers = 768  // of the servers, the first in the list: what is served came from beyond
-	sizeMemoryCapMB = 64   // MB
+	listSize        = 1024 // limiters, servers or endpoints; a list of so many must not be truncated
+	drainingServers = 768  // the first servers of the list drain, so that replies can only come from its end
+	sizeMemoryCapMB = 64
 )
 
 var peakMemory = regexp.MustCompile(`VmHWM:\s+(\d+) kB`)
 
-// fits looks at what the limiter's process holds.
+// checkResources checks the open descriptors and the peak memory of the limiter's process against their limits.
 func (l *limiter) checkResources(descriptors int) {
 	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", l.cmd.Process.Pid))
 	require.NoError(l.t, err)
@@ -35,15 +35,15 @@
 	assert.Less(l.t, kb>>10, sizeMemoryCapMB)
 }
 
-// fleetOf is the settings of a limiter of so many, the last of them.
+// lastOfFleetSettings returns the settings of the last limiter of a fleet of this size.
 func lastOfFleetSettings(limiters int) object {
 	set := settings()
 	set["balancers"], set["rank"] = limiters, limiters-1
-	set["tariffs"] = []object{plan("regular", 1e6, 4e6, 0)} // a limiter's part of it holds nobody up
+	set["tariffs"] = []object{plan("regular", 1e6, 4e6, 0)} // large enough that one limiter's share delays no request
 	return set
 }
 
-// serversOf is so many servers, which answer with their number; the first ones drain.
+// newNumberedServers starts n servers, which answer with their number. The first drainingServers of them drain.
 func newNumberedServers(t *testing.T, n int) (all []*server) {
 	for k := range n {
 		s := newServer(t, fmt.Sprintf("s-%04d", k), []string{"hall-a", "hall-b"}[k%2], replyValue(fmt.Sprintf("%04d", k)))
@@ -55,7 +55,7 @@
 	return all
 }
 
-// servesByTheWholeList looks at a limiter of so many, the last of them, with a list of servers.
+// checkWholeListServed checks that the last limiter of a fleet of this size uses the servers at the end of its list.
 func (l *limiter) checkWholeListServed(limiters int) {
 	c := l.dial()
 	for k := 0; k < 100; {
@@ -66,14 +66,15 @@
 			require.GreaterOrEqual(l.t, n, drainingServers)
 			k++
 		} else {
-			require.Regexp(l.t, "^-BUSY", text, "before the list has come, or where a server is tried first")
+			require.Regexp(l.t, "^-BUSY", text, "only before the list has arrived, or at the first try of a server")
 		}
 	}
 	l.checkResources(128)
 }
 
-// The largest fleet that the pages name: 900 limiters before 3,200 servers, from the list known at the start and from discovery's.
-func TestLargestFleet(t *testing.T) { // by itself, as the next
+// The largest fleet that the operators' pages name, 900 limiters in front of 3,200 servers, with the servers listed in the
+// configuration or by discovery.
+func TestLargestFleet(t *testing.T) { // not in parallel: it needs the whole machine
 	const limiters, servers = 900, 3200
 	set, all := lastOfFleetSettings(limiters), newNumberedServers(t, servers)
 	r := newRegistry(t)
@@ -91,9 +92,9 @@
 	}
 }
 
-// A list of 1,024 limiters and 1,024 servers is taken by every front and part, within a small cap on memory and on
-// descriptors, and a limiter that has it ends as any other.
-func TestListsOf1024(t *testing.T) { // by itself, for the same reason as the fleet that is restarted
+// Lists of 1,024 limiters, servers or endpoints are accepted wherever the program takes one, within a small cap on memory and
+// on descriptors, and the limiter still exits cleanly.
+func TestListsOf1024(t *testing.T) { // not in parallel: it needs the whole machine
 	set, all := lastOfFleetSettings(listSize), newNumberedServers(t, listSize)
 	for name, play := range map[string]func(t *testing.T) *limiter{
 		"known at the start": func(t *testing.T) *limiter {
@@ -115,13 +116,13 @@
 			require.NoError(t, err)
 			return l
 		},
-		"endpoints of a service of others": func(t *testing.T) *limiter {
+		"endpoints of an external service": func(t *testing.T) *limiter {
 			others, last := &externalService{answer: respondWith(verdictOK)}, &externalService{answer: respondWith(verdictOK)}
 			file := rateLimitFile(t, "127.0.0.1:1")
 			writeEndpoints(t, filepath.Dir(file), drainingServers, append(others.listenOn(t, listSize-1), last.listen(t))...)
 			l := start(t, fixture{rateLimitFile: file, memoryMB: sizeMemoryCapMB})
 			s, firm := l.rateLimitClient(), 0
-			require.Eventually(t, func() bool { // one of those that do not drain is asked, by chance
+			require.Eventually(t, func() bool { // calls go to random endpoints that do not drain
 				firm++
 				_, err := s.ShouldRateLimit(testContext(t), rateLimitRequest(firmDescriptor(fmt.Sprintf("%x", firm))))
 				return assert.NoError(t, err) && last.calls() > 0
--- a/cmd/bramblefall/soak_callers_test.go
+++ b/cmd/bramblefall/soak_callers_test.go
@@ -20,7 +20,8 @@
 	minCallTimeout  = 300 * time.Millisecond
 )
 
-// endpoint answers calls of the limiter's second group by chance: soon, with an error, or not at all while the nodes hang.
+// respondByChance answers calls of the limiter's external service at random: soon, with an error, or, while the nodes hang, not
+// at all.
 func (s *soak) respondByChance(ctx context.Context, _ *rlsv3.RateLimitRequest) (*rlsv3.RateLimitResponse, error) {
 	s.mu.Lock()
 	chance, hangs := s.rng.Float64(), s.nodesHang
@@ -36,7 +37,7 @@
 	return &rlsv3.RateLimitResponse{OverallCode: rlsv3.RateLimitResponse_OK}, nil
 }
 
-// caller makes one call after the other over one connection, as a proxy does, for as long as the limiter lives.
+// runCaller makes one gRPC call after the other over one connection, as a proxy does, until the limiter exits.
 func (s *soak) runCaller(rng *rand.Rand, addr string) {
 	conn, err := grpc.NewClient(addr, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if !assert.NoError(s.t, err) {
@@ -57,7 +58,8 @@
 	}
 }
 
-// called judges the end of a call: it has a verdict, its own time was over, or it never reached the limiter.
+// checkCallResult checks the result of a call: a verdict, an expired deadline, or a connection that never reached the limiter.
+// Anything else is a finding.
 func (s *soak) checkCallResult(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,6 +71,6 @@
 		s.timedOutCalls++
 	case code == codes.Unavailable && (strings.Contains(text, "connection refused") || strings.Contains(text, "server preface")):
 	default:
-		s.addFinding("a call ended without a verdict: %v", err)
+		s.addFinding("call failed with %v, want a verdict, an expired deadline or a refused connection", err)
 	}
 }
--- a/cmd/bramblefall/soak_test.go
+++ b/cmd/bramblefall/soak_test.go
@@ -21,68 +21,69 @@
 )
 
 const (
-	soakSeeds          = 6   // in CI; BRAMBLEFALL_SOAK names how many, BRAMBLEFALL_SEED the first
-	concurrentSoaks    = 6   // each has a limiter, some clients and four nodes
-	firstSoakSeed      = 900 // seed
-	crowdConnections   = 300 // idle connections
+	soakSeeds          = 6 // in CI; BRAMBLEFALL_SOAK sets another number, BRAMBLEFALL_SEED the first seed
+	concurrentSoaks    = 6 // each runs a limiter, some clients and four nodes
+	firstSoakSeed      = 900
+	crowdConnections   = 300
 	lateAnswerGrace    = 500 * time.Millisecond
-	schedulingSlack    = 100 * time.Millisecond // of a busy machine, beside what the terms allow
-	killSlack          = 700 * time.Millisecond
-	maxCountedDeadline = 3 * time.Second
+	schedulingSlack    = 100 * time.Millisecond // delays of a busy machine, on top of what the operators' terms allow
+	killSlack          = 700 * time.Millisecond // the platform kills this long after the longest deadline
+	maxCountedDeadline = 3 * time.Second        // but counts at most so much of the deadline
 )
 
-// soak is one limiter's life up to the kill at the earliest moment that the pages allow, with clients that go on until then.
+// soak runs one limiter until the earliest moment at which the operators' pages allow the platform to kill it, with clients that
+// keep sending until then.
 type soak struct {
 	*fleet
 	t         *testing.T
 	rng       *rand.Rand
 	seed      uint64
-	deadline  time.Duration // of the longer class
+	deadline  time.Duration // of both classes
 	semantics string        // of the second class
-	nodesHang bool          // under mu
+	nodesHang bool          // some nodes do not answer; guarded by mu
 	stop      chan struct{}
 
 	mu            sync.Mutex
 	requests      map[string]*trackedRequest
 	findings      []string
-	verdictCalls  int // of calls
-	timedOutCalls int // calls whose time was over
+	verdictCalls  int // gRPC calls that got a verdict
+	timedOutCalls int // gRPC calls whose deadline expired
 }
 
-// soaked is what is known of a request.
+// trackedRequest is what the test knows about a request.
 type trackedRequest struct {
 	sent       time.Time
 	timeout    time.Duration
-	closedAt   time.Time // by its client; zero: it stayed
+	closedAt   time.Time // when its client closed the connection; zero: it did not
 	answered   bool
-	ranIn      string // the hall where it may have run
+	ranIn      string // the hall where it may have run; "": none
 	ranAt      time.Time
-	repeatable bool // it is safe to repeat
+	repeatable bool // it may run more than once
 }
 
 func (s *soak) addFinding(format string, args ...any) {
 	s.findings = append(s.findings, fmt.Sprintf(format, args...))
 }
 
-// handle is a node: it checks what comes and answers by chance.
+// handleCommand plays a node: it checks each command against the rules for tries and answers at random.
 func (s *soak) handleCommand(n *standin.Node, args [][]byte) ([]byte, bool, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	id, now := string(args[2]), time.Now()
 	r := s.requests[id]
 	if r == nil {
-		s.addFinding("%s came to a node and was never sent", id)
+		s.addFinding("node got request %s, which no client sent", id)
 		return []byte("-ERR failed\r\n"), true, 0
 	}
 	if !r.closedAt.IsZero() && now.Sub(r.closedAt) > clientGoneGrace+schedulingSlack {
-		s.addFinding("%s began %v after its client had gone", id, now.Sub(r.closedAt))
+		s.addFinding("request %s began %v after its client had closed, want at most %v", id, now.Sub(r.closedAt), clientGoneGrace+schedulingSlack)
 	}
 	ms, _ := strconv.Atoi(deadlineField.FindStringSubmatch(string(args[3]))[1])
 	if over := time.Duration(ms)*time.Millisecond - (r.timeout - now.Sub(r.sent)); over > maxDeadlineExcess+schedulingSlack {
-		s.addFinding("%s was told a deadline %v over what its client had left", id, over)
+		s.addFinding("request %s was forwarded with a deadline %v longer than its client had left", id, over)
 	}
 	if r.ranIn != "" && !r.repeatable && (s.semantics == "single_shot" || r.ranIn != n.Hall) {
-		s.addFinding("%s (%s) may have run in %s and came to %s again", id, s.semantics, r.ranIn, n.Hall)
+		s.addFinding("request %s (%s) may have run in hall %s and was sent to hall %s again", id, s.semantics, r.ranIn, n.Hall)
 	}
 	chance := s.rng.Float64()
 	if chance < 0.06 {
@@ -100,7 +101,8 @@
 	return standin.Value(id), true, time.Duration(chance*30) * time.Millisecond
 }
 
-// request words one and notes it. A write that fails may still have been read.
+// newRequest returns the id and the encoded command of a new request and records it. It is recorded before it is sent, since a
+// failed write may still have reached the limiter.
 func (s *soak) newRequest(rng *rand.Rand) (id, text string) {
 	id = fmt.Sprintf("%016x", s.ids.Add(1))
 	args := standin.Command(rng, id)
@@ -112,14 +114,14 @@
 	return id, encodeCommand(toStrings(args)...)
 }
 
-// answer reads the answer to a request; an error: the connection has ended. Until is when those before it were due: it may wait
-// for them.
+// checkReply reads and checks the answer to a request. An error means that the connection has ended. until is when the requests
+// before it on the connection were due, which its answer may wait for; it is moved on to when this request is due, if later.
 func (s *soak) checkReply(in *bufio.Reader, id string, until *time.Time) error {
 	line, err := in.ReadString('\n')
 	if err == nil && line[0] == '$' {
 		var value string
 		if value, err = in.ReadString('\n'); err == nil && value != id+"\r\n" {
-			err = fmt.Errorf("served %q", value)
+			err = fmt.Errorf("got the value %q, want its id", value)
 		}
 	}
 	s.mu.Lock()
@@ -127,7 +129,7 @@
 	r := s.requests[id]
 	if err != nil {
 		if !errors.Is(err, io.EOF) && !errors.Is(err, syscall.ECONNRESET) {
-			s.addFinding("%s: %v", id, err)
+			s.addFinding("request %s: %v", id, err)
 		}
 		return err
 	}
@@ -136,15 +138,15 @@
 		*until = due
 	}
 	if late := time.Since(*until); late > lateAnswerGrace+schedulingSlack {
-		s.addFinding("%s was answered %v after its time", id, late)
+		s.addFinding("request %s was answered %v after its deadline", id, late)
 	}
 	if strings.HasPrefix(line, "-BUSY") && r.ranIn != "" && !r.repeatable && time.Since(r.ranAt) > schedulingSlack {
-		s.addFinding("%s may have run and was refused", id)
+		s.addFinding("request %s may have run and was rejected as if it had not", id)
 	}
 	return nil
 }
 
-// client keeps its connection for as long as the limiter does: some send many requests at once, some in pieces.
+// runClient sends requests until the soak stops, and connects again when a connection ends.
 func (s *soak) runClient(rng *rand.Rand, addr string) {
 	for {
 		select {
@@ -162,6 +164,8 @@
 	}
 }
 
+// useConn sends requests over one connection until it ends: one or many at once, sometimes in two pieces. A third of the clients
+// close the connection at some point without reading the answers.
 func (s *soak) useConn(rng *rand.Rand, conn net.Conn) {
 	in := bufio.NewReader(conn)
 	_ = conn.SetDeadline(time.Now().Add(testTimeout))
@@ -185,7 +189,7 @@
 			time.Sleep(time.Duration(rng.IntN(300)) * time.Millisecond)
 			all = all[at:]
 			s.mu.Lock()
-			for k, id := range ids { // a request's time counts from its last byte
+			for k, id := range ids { // the time of a request counts from its last byte
 				if ends[k] > at {
 					s.requests[id].sent = time.Now()
 				}
@@ -214,7 +218,8 @@
 	}
 }
 
-// signals are sent in a series, the last of them for the end; between some the process stands still for a moment.
+// sendSignals reloads and stops the process a few times at random, makes nodes hang, and ends the process with SIGTERM, after
+// which further signals may follow. told gets the time of SIGTERM.
 func (s *soak) sendSignals(l *standin.Limiter, told chan<- time.Time) {
 	send := func(signal syscall.Signal) { _ = l.Signal(signal) }
 	pause := func(most int) { time.Sleep(time.Duration(s.intN(most)) * time.Millisecond) }
@@ -246,7 +251,7 @@
 	return s.rng.IntN(most)
 }
 
-// crowd is idle clients that come again and again.
+// reconnectIdleCrowd opens many idle connections, over and over, until the soak stops.
 func (s *soak) reconnectIdleCrowd(addr string) {
 	for {
 		for range crowdConnections {
@@ -262,6 +267,7 @@
 	}
 }
 
+// run starts the limiter and its clients, ends it as sendSignals says, and checks the result.
 func (s *soak) run() {
 	calls := rateLimitFile(s.t, (&externalService{answer: s.respondByChance}).listenOn(s.t, 2)...)
 	s.fleet = startFleet(s.t, 4, func(f *fleet, _ int, config object) {
@@ -286,7 +292,7 @@
 	if crowded {
 		clients.Go(func() { s.reconnectIdleCrowd(l.Addr) })
 	}
-	time.Sleep(1100 * time.Millisecond) // no SIGHUP comes in the first second
+	time.Sleep(1100 * time.Millisecond) // SIGHUP is never sent in the first second
 	told := make(chan time.Time, 1)
 	clients.Go(func() { s.sendSignals(l, told) })
 	killAt := (<-told).Add(min(s.deadline, maxCountedDeadline) + killSlack)
@@ -294,7 +300,7 @@
 	case <-l.Ended:
 	case <-time.After(time.Until(killAt)):
 		s.mu.Lock()
-		s.addFinding("it stays until the kill")
+		s.addFinding("the limiter still runs when the platform may kill it")
 		s.mu.Unlock()
 		l.Kill()
 	}
@@ -303,7 +309,7 @@
 	s.checkResult(l)
 }
 
-// judge looks for what was taken and has no answer.
+// checkResult looks for accepted requests without an answer, and for a crash or an exit code other than 0.
 func (s *soak) checkResult(l *standin.Limiter) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -313,22 +319,22 @@
 		if taken++; r != nil && r.answered {
 			answered++
 		} else if r == nil || r.closedAt.IsZero() {
-			s.addFinding("%s was taken and has no answer; of its connection the log says:\n%s", m[1], connectionLog(l.Log(), m[1]))
+			s.addFinding("request %s was taken and got no answer; log lines of its connection:\n%s", m[1], connectionLog(l.Log(), m[1]))
 		}
 	}
 	if code := l.Cmd.ProcessState.ExitCode(); code != 0 {
-		s.addFinding("it ended with %d", code)
+		s.addFinding("the limiter exited with code %d, want 0", code)
 	}
 	if crash := l.Crashed(); crash != "" {
 		s.addFinding("%s", crash)
 	}
 	found, _ := s.world.Audit.Findings()
 	s.findings = append(s.findings, found...)
-	s.t.Logf("seed %d: %d sent, %d taken, %d answered; %d calls with a verdict, %d whose time was over; %d findings", s.seed, len(s.requests), taken, answered,
+	s.t.Logf("seed %d: %d sent, %d taken, %d answered; %d calls with a verdict, %d timed out; %d findings", s.seed, len(s.requests), taken, answered,
 		s.verdictCalls, s.timedOutCalls, len(s.findings))
 }
 
-// ofItsConnection is what the log says of the connection of a request, and of its tries.
+// connectionLog returns the log lines about the connection of a request, about its tries, and about the drain.
 func connectionLog(log, id string) string {
 	var context, conn, lines string
 	for line := range strings.Lines(log) {
@@ -346,8 +352,9 @@
 	return lines
 }
 
-// A limiter lives under clients that go on until the kill, reloads, moments in which it stands still, a planned restart with nodes
-// that hang, and sometimes a crowd: whatever it took has its answer, in time, and nothing leaves that must not.
+// A limiter runs under clients that keep sending until it may be killed, with reloads, stops, a planned restart while nodes hang,
+// and sometimes a crowd of idle connections. Each request that it accepts is answered in time, and no try is sent that the rules
+// forbid.
 func TestSoak(t *testing.T) {
 	first, seeds := firstSoakSeed, soakSeeds
 	if text := os.Getenv("BRAMBLEFALL_SOAK"); text != "" {
--- a/cmd/bramblefall/syscalls_test.go
+++ b/cmd/bramblefall/syscalls_test.go
@@ -22,15 +22,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// System calls of the real program that fail as Linux documents. The kernel asks the test about each call of some kinds
-// (seccomp's user notification, which takes no privilege) and the test lets it pass or names an error.
+// The tests of this file let system calls of the real program fail as Linux documents. For some system calls the kernel asks the
+// test about each call (seccomp's user notification, which needs no privilege), and the test lets the call proceed or names an
+// error.
 
-// failing says which calls fail: number is the call's, nth counts those on its first argument from 1. 0 lets it pass.
+// syscallErrorFunc decides which calls fail: number is that of the system call, nth counts the calls with the same number and
+// first argument, from 1. The call proceeds if the result is 0.
 type syscallErrorFunc func(number int32, argument uint64, nth int) syscall.Errno
 
 const (
-	filterEnv = "BRAMBLEFALL_TEST_FILTER" // set where this binary is to filter itself and become the program
-	filterFD  = 3                         // the descriptor on which it hands over the kernel's questions
+	filterEnv = "BRAMBLEFALL_TEST_FILTER" // set where the test binary has to install the filter and then execute the program
+	filterFD  = 3                         // the descriptor over which it sends the filter's notification descriptor to the test
 
 	notifyReceive      = 0xc0502100 // SECCOMP_IOCTL_NOTIF_RECV
 	notifySend         = 0xc0182101 // SECCOMP_IOCTL_NOTIF_SEND
@@ -38,8 +40,10 @@
 	filterWaitKillable = 1 << 5     // SECCOMP_FILTER_FLAG_WAIT_KILLABLE_RECV
 )
 
+// filteredSyscalls are the system calls that the kernel asks about; all others proceed.
 var filteredSyscalls = []uint32{unix.SYS_ACCEPT4, unix.SYS_CONNECT, unix.SYS_SOCKET, unix.SYS_FSYNC, unix.SYS_POLL, unix.SYS_READV}
 
+// notification is the kernel's struct seccomp_notif.
 type notification struct {
 	ID    uint64
 	PID   uint32
@@ -50,6 +54,7 @@
 	Args  [6]uint64
 }
 
+// notificationAnswer is the kernel's struct seccomp_notif_resp.
 type notificationAnswer struct {
 	ID    uint64
 	Value int64
@@ -57,7 +62,8 @@
 	Flags uint32
 }
 
-// becomeFiltered installs the filter, hands its descriptor over and becomes the program that the arguments name.
+// execFiltered installs the filter, sends its notification descriptor to the test and executes the program that the arguments
+// name. It returns only on failure.
 func execFiltered() error {
 	runtime.LockOSThread()
 	program := []unix.SockFilter{{Code: unix.BPF_LD | unix.BPF_W | unix.BPF_ABS}}
@@ -82,7 +88,8 @@
 	return syscall.Exec(os.Args[1], os.Args[1:], os.Environ())
 }
 
-// filter makes a command's process one whose calls are asked about, until the test ends.
+// filterSyscalls changes a command so that its process runs under the filter, and answers the kernel until the process or the
+// test ends.
 func filterSyscalls(t *testing.T, cmd *exec.Cmd, errnoFor syscallErrorFunc) {
 	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	require.NoError(t, err)
@@ -111,7 +118,7 @@
 	}()
 }
 
-// answerNotifications decides about each call until the process is over.
+// answerNotifications answers the kernel about each filtered call until the process ends.
 func answerNotifications(fd int, errnoFor syscallErrorFunc) {
 	defer unix.Close(fd)
 	type callSite struct {
@@ -126,7 +133,7 @@
 		}
 		var n notification
 		if _, _, errno := unix.Syscall(unix.SYS_IOCTL, uintptr(fd), notifyReceive, uintptr(unsafe.Pointer(&n))); errno != 0 {
-			continue // the call was interrupted, and comes again
+			continue // the call was interrupted, and is notified again if it is repeated
 		}
 		key := callSite{n.Nr, n.Args[0]}
 		a := notificationAnswer{ID: n.ID, Flags: notifyContinue}
@@ -139,12 +146,13 @@
 	}
 }
 
-// Errors that accept(2) hands out for a moment: of the process or the system, and of the connection that is taken.
+// transientAcceptErrors are errors that accept(2) may return temporarily: those of the process or the system, and those of the
+// connection that is accepted.
 var transientAcceptErrors = []syscall.Errno{syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 	syscall.EPROTO, syscall.ENETDOWN, syscall.EHOSTUNREACH, syscall.ENETUNREACH}
 
-// An accept that fails, once or several times in a row, ends no listener: neither that of clients, nor of gRPC callers, nor of
-// operators. Who waits meanwhile is answered soon.
+// An accept that fails, once or several times in a row, stops no listener: neither that of clients, nor that of gRPC callers, nor
+// that of operators. A client that waits meanwhile is answered within a second.
 func TestAcceptErrorsStopNoListener(t *testing.T) {
 	t.Parallel()
 	for _, errno := range transientAcceptErrors {
@@ -175,8 +183,8 @@
 	}
 }
 
-// A socket or connect that fails for a moment for want of something on this machine keeps no request from its server, and
-// blames none.
+// A socket or connect call that fails temporarily because the limiter's own machine is short of something keeps no request from
+// its server, and ejects no server.
 func TestConnectErrorsEjectNoServer(t *testing.T) {
 	t.Parallel()
 	for name, where := range map[string]struct {
@@ -205,7 +213,7 @@
 				return where.errno
 			}}
 			w.settings = settings()
-			w.settings["balancers"] = 6 // more than four: one failure leaves a server out
+			w.settings["balancers"] = 6 // in a fleet of more than four, one failure ejects a server
 			l := start(t, w)
 			for round := range 3 {
 				mu.Lock()
@@ -221,7 +229,7 @@
 	}
 }
 
-// A process whose first system calls fail for a moment starts all the same.
+// A process starts although its first socket calls fail temporarily.
 func TestSocketErrorsAtStartAreTolerated(t *testing.T) {
 	t.Parallel()
 	for _, errno := range []syscall.Errno{syscall.ENOBUFS, syscall.ENFILE, syscall.ENOMEM} {
@@ -238,7 +246,7 @@
 					if number != unix.SYS_SOCKET {
 						return 0
 					}
-					if sockets++; sockets%3 == 0 { // every third comes about
+					if sockets++; sockets%3 == 0 { // every third call succeeds
 						return 0
 					}
 					return errno
@@ -248,8 +256,8 @@
 	}
 }
 
-// A question to the kernel that a signal interrupts is asked again: whether a client has gone, and whether a connection waits at
-// the end of a planned restart.
+// A poll that a signal interrupts (EINTR) is repeated: the poll that checks whether a client has gone, and the one that checks at
+// the end of a planned restart whether a connection waits to be accepted.
 func TestInterruptedPollsAreRetried(t *testing.T) {
 	t.Parallel()
 	interrupted := func() syscallErrorFunc {
@@ -261,7 +269,7 @@
 			return 0
 		}
 	}
-	t.Run("has the client gone", func(t *testing.T) {
+	t.Run("client gone", func(t *testing.T) {
 		t.Parallel()
 		s := newServer(t, "s-1", "hall-a", replyValue("v"))
 		l := start(t, fixture{servers: []*server{s}, syscallErrors: interrupted()})
@@ -275,27 +283,27 @@
 		})
 		assert.Equal(t, "v", l.dial().do(askArgs("ff")...))
 		time.Sleep(200 * time.Millisecond)
-		assert.Len(t, s.received(), 1, "requests that nobody waits for")
+		assert.Len(t, s.received(), 1, "requests were sent although their clients had gone")
 	})
-	t.Run("does a connection wait", func(t *testing.T) {
+	t.Run("connection waiting", func(t *testing.T) {
 		t.Parallel()
 		start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}, syscallErrors: interrupted()}).checkQueuedRequestsAnswered()
 	})
 }
 
-// A connection to a server that breaks with an error other than a reset, once its request is written, may have run it: such a
-// request of a class that must never run twice has failed, is not refused and not sent again. A client's connection that breaks
-// so has gone.
+// A connection to a server breaks after its request was written, with a reset or another error. The server may have run the
+// request, so a request of a class that must never run twice is reported as failed, neither rejected nor sent again. A client's
+// connection that breaks in this way counts as gone.
 func TestBrokenConnectionMayHaveExecutedRequest(t *testing.T) {
 	t.Parallel()
 	for _, errno := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.ECONNRESET} {
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
 			t.Parallel()
 			var mu sync.Mutex
-			var fds []uint64 // that were read from: the client's first, then the server's
+			var fds []uint64 // descriptors that were read: the client's first, then the server's
 			s := newServer(t, "s-1", "hall-a", func(conn net.Conn, args []string) {
 				if args[2] == "01" {
-					_, _ = io.WriteString(conn, "*3\r\n") // the beginning of an answer
+					_, _ = io.WriteString(conn, "*3\r\n") // the beginning of a reply
 				} else {
 					replyValue("v")(conn, args)
 				}
@@ -325,8 +333,8 @@
 	}
 }
 
-// Dials that fail for half a second at the start let nobody in by an old list: discovery is asked again at once, in a fleet of any
-// size.
+// Dials to discovery fail for half a second at the start. No client is served by the old list: discovery is asked again at once,
+// in a fleet of any size.
 func TestFailedDialsAtStartDoNotDelayList(t *testing.T) {
 	t.Parallel()
 	w, left, line := drainedServerFixture(t)
--- a/cmd/bramblefall/terms_test.go
+++ b/cmd/bramblefall/terms_test.go
@@ -22,13 +22,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Terms of the operators' pages at their limits, where no other file has them.
+// The tests of this file check terms of the operators' pages at their limits, as far as no other file does.
 
-const maxDeadlineExcess = 150 * time.Millisecond // that a told deadline may be over what the client has left
+const maxDeadlineExcess = 150 * time.Millisecond // by which a forwarded deadline may exceed what the client has left
 
 var deadlineField = regexp.MustCompile(`\bd=([0-9]+)`)
 
-// told is the deadline that a command tells its server.
+// sentDeadline returns the deadline in a command that was sent to a server.
 func sentDeadline(t *testing.T, args []string) time.Duration {
 	require.Len(t, args, 5, "%q", args)
 	found := deadlineField.FindStringSubmatch(args[3])
@@ -38,8 +38,8 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// A connection that comes up late takes from what the client has left: the deadline that is told then is no longer than that,
-// at the first attempt and at a retry.
+// A connection to a server that is established late uses up part of the time that the client has left. The deadline that is
+// forwarded then is no longer than what is left, at the first attempt and at a retry.
 func TestForwardedDeadlineIsTimeLeft(t *testing.T) {
 	t.Parallel()
 	for name, again := range map[string]bool{"first attempt": false, "retry": true} {
@@ -53,7 +53,7 @@
 				d.fillBacklog()
 			}
 			sent := time.Now()
-			c.write(encodeCommand(doArgs("01")...)) // of a class that is given all of its time at the first attempt
+			c.write(encodeCommand(doArgs("01")...)) // of a class whose first attempt may use all of its time
 			if again {
 				first := d.accept()
 				require.NotNil(t, readCommand(first))
@@ -62,16 +62,17 @@
 				require.NoError(t, err)
 			}
 			d.waitForPendingDial()
-			_ = d.accept() // the one that filled the queue: the kernel asks again about a second after it had asked first
+			_ = d.accept() // the connection that filled the queue; the kernel repeats a SYN about a second after the first
 			late := d.accept()
 			left := 6*time.Second - time.Since(sent)
-			require.Less(t, left, 5500*time.Millisecond, "the connection came up too early for this test")
+			require.Less(t, left, 5500*time.Millisecond, "the connection was established too early for this test")
 			assert.LessOrEqual(t, sentDeadline(t, readCommand(late)), left+maxDeadlineExcess)
 		})
 	}
 }
 
-// A client that sends without a pause, in pieces that each end in the middle of a command, is none that stops in the middle.
+// A client that keeps sending, in pieces that each end in the middle of a command, is not taken for one that has stopped in the
+// middle of a command.
 func TestSteadyPartialCommandsAreNotStalled(t *testing.T) {
 	t.Parallel()
 	c := start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}}).dial()
@@ -85,7 +86,8 @@
 	}
 }
 
-// What a limiter has taken on a connection is answered before it ends the connection, whatever else its client does.
+// The commands that a limiter has accepted on a connection are answered before it closes the connection, whatever else the client
+// does.
 func TestClosedConnectionLosesNoAcceptedRequest(t *testing.T) {
 	t.Parallel()
 	large := strings.Repeat("p", 60<<10)
@@ -100,12 +102,12 @@
 			time.Sleep(1500 * time.Millisecond)
 			return 80
 		},
-		"errors to the limit, and a request behind them": func(t *testing.T, c *client, release func()) int {
+		"errors up to the limit, then a request": func(t *testing.T, c *client, release func()) int {
 			c.write(strings.Repeat(encodeCommand("NONSENSE"), 64) + encodeCommand(askArgs("01")...))
 			release()
 			return 65
 		},
-		"more commands than wait and are refused": func(t *testing.T, c *client, release func()) int {
+		"more commands than may wait or be rejected": func(t *testing.T, c *client, release func()) int {
 			var all strings.Builder
 			for n := range 10000 {
 				all.WriteString(encodeCommand(askArgs(fmt.Sprintf("%04x", n))...))
@@ -115,7 +117,7 @@
 			release()
 			return 1024
 		},
-		"all that a client sends ahead": func(t *testing.T, c *client, release func()) int {
+		"40000 pipelined commands": func(t *testing.T, c *client, release func()) int {
 			const all = 40000
 			var ahead strings.Builder
 			for n := range all {
@@ -142,14 +144,15 @@
 			set["tariffs"].([]object)[0]["perSecond"], set["tariffs"].([]object)[0]["depth"] = 1e5, 1e5
 			c := start(t, fixture{settings: set, servers: []*server{s}}).dial()
 			for range play(t, c, func() { close(held) }) {
-				_ = c.readReply() // fails the test where the connection has ended
+				_ = c.readReply() // fails the test if the connection has ended
 			}
 		})
 	}
 }
 
-// Bytes that cannot be read end a connection behind all that is due on it, also where so many commands wait that further ones are
-// refused. They were counted as one more of these: the client got a refusal for nothing, and its error only 2.4 s later.
+// Unreadable bytes close a connection after everything due on it is answered, also where so many commands wait that further ones
+// are rejected. The bytes used to be counted as one more rejected command: the client got a rejection that belonged to no command,
+// and the protocol error only 2.4 s later.
 func TestUnreadableCommandBehindFullPipelineClosesConnection(t *testing.T) {
 	t.Parallel()
 	const waiting, refused = 1024, 76
@@ -166,7 +169,7 @@
 		all.WriteString(encodeCommand(askArgs(fmt.Sprintf("%04x", n))...))
 	}
 	c.write(all.String())
-	time.Sleep(300 * time.Millisecond) // they wait by now
+	time.Sleep(300 * time.Millisecond) // until the commands wait
 	c.write("noise\r\n")
 	time.Sleep(300 * time.Millisecond)
 	close(held)
@@ -180,7 +183,8 @@
 	c.expectClosed()
 }
 
-// A new connection for which there is no room is shut unread: its client is sure that its request was not taken.
+// A new connection for which there is no room is closed unread, with a reset, so that its client knows that its request was not
+// accepted.
 func TestConnectionWithoutRoomIsClosedUnread(t *testing.T) {
 	t.Parallel()
 	held := make(chan struct{})
@@ -202,12 +206,12 @@
 	})
 	for n, c := range late {
 		_, err := c.in.ReadByte()
-		assert.ErrorIs(t, err, syscall.ECONNRESET, "connection %d: a close over bytes that were read ends in order", n)
+		assert.ErrorIs(t, err, syscall.ECONNRESET, "connection %d: an orderly close instead of a reset means that its bytes were read", n)
 	}
 }
 
-// Callers of the gRPC front hear as late of a planned restart as clients do: for a moment their new connections are taken and
-// their calls answered.
+// gRPC callers learn of a planned restart as late as RESP2 clients do. For a moment their new connections are accepted and their
+// calls answered.
 func TestPlannedRestartAcceptsLateCallers(t *testing.T) {
 	t.Parallel()
 	l := start(t, fixture{rateLimitFile: rateLimitFile(t), servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}})
@@ -225,21 +229,22 @@
 	l.waitForCleanExit()
 }
 
-// lateEndpoint is an endpoint whose connections are of use only when ready is closed: HTTP/2 begins with its settings.
+// delayedEndpoint is an endpoint of an external service that delays its HTTP/2 settings, without which a connection is not ready.
 type delayedEndpoint struct {
 	addr  string
-	calls atomic.Int64 // that have begun
+	calls atomic.Int64 // calls whose headers have arrived
 	conns atomic.Int64
 }
 
 const (
-	http2PrefaceBytes     = 24 // bytes
-	http2FrameHeaderBytes = 9  // of a frame
-	http2HeadersFrame     = 1  // the kind of frame that begins a call
+	http2PrefaceBytes     = 24 // the client's connection preface
+	http2FrameHeaderBytes = 9
+	http2HeadersFrame     = 1 // the type of the frame that begins a call
 	http2EmptySettings    = "\x00\x00\x00\x04\x00\x00\x00\x00\x00"
 )
 
-// newLateEndpoint calls begins before each connection is of use, and begun when a call has begun; that may end the connection.
+// newDelayedEndpoint calls beforeUse before each connection is ready, with its number from 1, and onCall when a call has begun;
+// onCall may close the connection.
 func newDelayedEndpoint(t *testing.T, beforeUse func(nth int64), onCall func(conn net.Conn)) *delayedEndpoint {
 	e := &delayedEndpoint{}
 	e.addr = serveConns(t, func(conn net.Conn) {
@@ -264,16 +269,16 @@
 	return e
 }
 
-// An endpoint of others that its file says to drain gets nothing new after the grace: no call that is made then, and none that has
-// waited for a connection. Nor does a repeat of a keyed class after its window.
+// An endpoint of an external service that drains according to its file gets nothing new after the drain grace: no call that is
+// made then, and none that has waited for a connection. A retry of a keyed class is not sent after the key's window.
 func TestNoCallIsSentTooLate(t *testing.T) {
 	t.Parallel()
-	const grace = 550 * time.Millisecond // 500, and 50 that every limit on sockets is longer
+	const grace = 550 * time.Millisecond // 500 ms of drainGrace, and 50 ms by which every time limit on sockets is longer
 	keyed := func() *rlsv3.RateLimitRequest {
 		return rateLimitRequest(descriptor("firm", "1", "tier", "regular", "class", "transfer-post", "spread", "1", "first", "0"))
 	}
-	t.Run("a repeat after its window", testNoRetryAfterKeyWindow)
-	t.Run("waits for a connection", func(t *testing.T) {
+	t.Run("retry after the key window", testNoRetryAfterKeyWindow)
+	t.Run("call that waits for a connection", func(t *testing.T) {
 		t.Parallel()
 		left := newDelayedEndpoint(t, func(int64) { time.Sleep(grace + 200*time.Millisecond) }, func(net.Conn) {})
 		other := &externalService{answer: respondWith(verdictOK)}
@@ -290,7 +295,7 @@
 		time.Sleep(2 * grace)
 		assert.Zero(t, left.calls.Load())
 	})
-	t.Run("is made then", func(t *testing.T) {
+	t.Run("call made after the grace", func(t *testing.T) {
 		t.Parallel()
 		a, b := &externalService{answer: respondWith(verdictOK)}, &externalService{answer: respondWith(verdictOK)}
 		first, then := a.listen(t), b.listen(t)
@@ -324,7 +329,7 @@
 	})
 }
 
-// aRepeatAfterItsWindow has a connection that is of use only after the window.
+// testNoRetryAfterKeyWindow has a retry wait for a connection that is ready only after the key's window.
 func testNoRetryAfterKeyWindow(t *testing.T) {
 	t.Parallel()
 	const window = 500 * time.Millisecond
@@ -338,11 +343,11 @@
 	_, err := s.ShouldRateLimit(testContext(t), rateLimitRequest(descriptor("firm", "1", "tier", "regular", "class", "transfer-post", "spread", "1", "first", "0")))
 	require.Error(t, err)
 	time.Sleep(2 * window)
-	assert.EqualValues(t, 1, e.calls.Load(), "a repeat that no server drops any more")
+	assert.EqualValues(t, 1, e.calls.Load(), "calls sent: a retry left after the window, when no server drops duplicates any more")
 }
 
-// After SIGHUP what discovery has to tell counts 4 s later, in a fleet of any size, also where its new address refuses the first
-// asks, and where the file names the old address.
+// A list that discovery has takes effect 4 s after SIGHUP at the latest, in a fleet of any size, also where its address does not
+// answer the first requests, and whether the file names a new address or the old one.
 func TestDiscoveryListIsInEffectSoonAfterReload(t *testing.T) {
 	t.Parallel()
 	const counts, refusing, grace = 4 * time.Second, 3500 * time.Millisecond, 550 * time.Millisecond
@@ -351,7 +356,7 @@
 			t.Run(fmt.Sprintf("same address %v/%d", same, n), func(t *testing.T) {
 				t.Parallel()
 				w, left, line := drainedServerFixture(t)
-				var opens atomic.Int64 // when the agent answers, in nanoseconds from its start; it refuses before
+				var opens atomic.Int64 // when the agent begins to answer, in nanoseconds since began
 				began := time.Now()
 				refuses := func(list string) *registry {
 					return newAgent(t, func(_ int, conn net.Conn) {
@@ -362,7 +367,7 @@
 					})
 				}
 				w.settings = settings()
-				w.settings["balancers"] = 80 // from so many on asks are furthest apart
+				w.settings["balancers"] = 80 // in fleets of this size and more, requests to discovery are furthest apart
 				w.registry = refuses(line)
 				opens.Store(int64(time.Hour))
 				l := start(t, w)
@@ -371,7 +376,7 @@
 				}
 				raw, err := json.Marshal(w.config(t))
 				require.NoError(t, err)
-				time.Sleep(time.Duration(n) * 500 * time.Millisecond) // some asks of the old address lie behind
+				time.Sleep(time.Duration(n) * 500 * time.Millisecond) // so that some requests to the old address have failed before
 				told := time.Now()
 				opens.Store(int64(time.Since(began) + refusing))
 				l.reload(raw, "read the configuration anew")
@@ -381,14 +386,14 @@
 					l.dial().write(encodeCommand(askArgs(fmt.Sprintf("late%d", k))...))
 				}
 				time.Sleep(500 * time.Millisecond)
-				assert.Len(t, left.received(), before, "sent to a server that drains")
+				assert.Len(t, left.received(), before, "requests were sent to a server that drains")
 			})
 		}
 	}
 }
 
-// A client that sends ahead, and on while its last answers wait for it to read, gets all of them: the connection ends behind them
-// and not over them.
+// A client pipelines commands, then QUIT, and keeps sending while the replies wait for it to read. It gets all of them: the
+// connection is closed after the replies, and unread input does not reset it before they are delivered.
 func TestCloseDeliversAllAnswers(t *testing.T) {
 	t.Parallel()
 	const asked = 10
@@ -411,7 +416,7 @@
 	require.Equal(t, "+OK", c.readReply())
 }
 
-// A caller cancels while the process stands still, with its call unread before it: nothing of the call leaves.
+// A caller cancels while the process is stopped and its call is still unread. The call is not sent to the external service.
 func TestNothingSentForCallerCancelledWhileProcessStopped(t *testing.T) {
 	t.Parallel()
 	o := &externalService{answer: respondWith(verdictOK)}
@@ -437,10 +442,11 @@
 	}
 }
 
-// More requests than the pool has connections for: none is refused for that while there is time, and none blames a server.
+// There are more requests than the pool has connections. None is rejected for that while it has time left, and no server is
+// ejected.
 func TestFullPoolRejectsNoRequest(t *testing.T) {
 	t.Parallel()
-	const requests = 60 // 32 connections to servers fit in 128 descriptors, and four servers bear 48 attempts at first
+	const requests = 60 // 128 descriptors allow 32 connections to servers, and four servers are allowed 48 attempts at first
 	var servers []*server
 	for n := range 4 {
 		servers = append(servers, newServer(t, fmt.Sprintf("s-%d", n), "hall-a", func(conn net.Conn, args []string) {
@@ -461,11 +467,12 @@
 	assert.NotContains(t, l.log.String(), "left out")
 }
 
-// A client that sends its next request the moment it has an answer keeps no connection open over a planned restart: it ends right
-// behind an answer, soon after the limiter stops to keep connections, and no request that was read goes without one.
+// A client that sends its next request as soon as it has an answer does not keep its connection open through a planned restart. The
+// connection is closed right after an answer, soon after the limiter stops keeping connections open, and each request that was
+// read is answered.
 func TestPlannedRestartClosesContinuouslySendingClients(t *testing.T) {
 	t.Parallel()
-	const clients, soon = 8, 1500 * time.Millisecond // they stop to be kept 0.45 s after SIGTERM
+	const clients, soon = 8, 1500 * time.Millisecond // connections are no longer kept open 0.45 s after SIGTERM
 	l := start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}})
 	var told atomic.Int64
 	began := time.Now()
@@ -496,7 +503,7 @@
 	l.waitForCleanExit()
 }
 
-// Clients that never read what they were answered keep no room for good: after some seconds they make room for others.
+// Clients that never read their replies are disconnected after some seconds, which makes room for others.
 func TestClientsThatDoNotReadAreEvicted(t *testing.T) {
 	t.Parallel()
 	const room = 32 // clients, of 128 descriptors
@@ -508,7 +515,7 @@
 		c.write(encodeCommand(askArgs(fmt.Sprintf("%02x", n))...))
 		require.Equal(t, byte('$'), firstByte(c), "client %d", n)
 	}
-	time.Sleep(5500 * time.Millisecond) // an answer that nobody has read by then is given up
+	time.Sleep(5500 * time.Millisecond) // replies that are still unread by then are given up
 	require.Eventually(t, func() bool {
 		c := l.dial()
 		_, _ = io.WriteString(c.conn, encodeCommand("PING"))
@@ -517,7 +524,7 @@
 	}, testTimeout/4, 50*time.Millisecond)
 }
 
-// first is the first byte of an answer of which the rest is not read.
+// firstByte reads the first byte of a reply, and leaves the rest unread.
 func firstByte(c *client) byte {
 	b, err := c.in.ReadByte()
 	require.NoError(c.t, err)
--- a/cmd/bramblefall/upstream_test.go
+++ b/cmd/bramblefall/upstream_test.go
@@ -14,24 +14,25 @@
 	"bramblefall/internal/loopback"
 )
 
+// resetConn closes a connection with a reset instead of an orderly close.
 func resetConn(conn net.Conn, _ []string) {
 	_ = conn.(*net.TCPConn).SetLinger(0)
 	_ = conn.Close()
 }
 
-// What each end of a try allows: a keyed request whose first try may have run goes only to the servers of the
-// same hall, one that never ran goes anywhere.
+// The outcome of a try decides where the request may be retried: a keyed request whose first try may have run goes only to servers
+// of the same hall, and one that certainly did not run goes to any server.
 func TestRetryScopeFollowsOutcome(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		first     func(net.Conn, []string)
 		down      bool   // the first server's address refuses connections
-		elsewhere string // the answer if the second server stands in the other hall
+		elsewhere string // the client's answer if the second server stands in another hall
 	}{
-		"turned away":         {first: replyRaw("-BUSY\r\n"), elsewhere: "v"},
-		"turned away, load":   {first: replyRaw("-BUSY inflight=7,queue=2,util=0.61\r\n"), elsewhere: "v"},
-		"turned away, spoilt": {first: replyRaw("-BUSYBODY\r\n"), elsewhere: "-ERR failed"},
-		"turned away, noise":  {first: replyRaw("-BUSY \x00\xff\r\n"), elsewhere: "-ERR failed"},
+		"busy":                {first: replyRaw("-BUSY\r\n"), elsewhere: "v"},
+		"busy with load":      {first: replyRaw("-BUSY inflight=7,queue=2,util=0.61\r\n"), elsewhere: "v"},
+		"busy misspelt":       {first: replyRaw("-BUSYBODY\r\n"), elsewhere: "-ERR failed"},
+		"busy with noise":     {first: replyRaw("-BUSY \x00\xff\r\n"), elsewhere: "-ERR failed"},
 		"refused connection":  {down: true, elsewhere: "v"},
 		"error":               {first: replyRaw("-ERR failed\r\n"), elsewhere: "-ERR failed"},
 		"reset":               {first: resetConn, elsewhere: "-ERR failed"},
@@ -44,7 +45,7 @@
 		"a value alone":       {first: replyRaw("$5\r\nstale\r\n"), elsewhere: "-ERR failed"},
 		"too few parts":       {first: replyRaw("*1\r\n$5\r\nstale\r\n"), elsewhere: "-ERR failed"},
 	} {
-		for zone, want := range map[string]string{"hall-x": "v", "hall-y": c.elsewhere} { // unknown to the settings
+		for zone, want := range map[string]string{"hall-x": "v", "hall-y": c.elsewhere} { // the settings know neither hall
 			t.Run(name+" "+zone, func(t *testing.T) {
 				t.Parallel()
 				first, second := newServer(t, "s-1", "hall-x", c.first), newServer(t, "s-2", zone, replyValue("v"))
@@ -57,20 +58,21 @@
 					second.state = "ready"
 				} else {
 					first.reply = func(conn net.Conn, args []string) {
-						first.state, second.state = "draining", "ready" // what follows can only go to the second
+						first.state, second.state = "draining", "ready" // a retry can only go to the second server
 						r.sendList(2, false, first, second)
-						time.Sleep(200 * time.Millisecond) // the watch's news go ahead of this answer
+						time.Sleep(200 * time.Millisecond) // so that the new list arrives before this reply
 						c.first(conn, args)
 					}
 				}
 				cl := start(t, fixture{servers: []*server{first, second}, registry: r}).dial()
 				assert.Equal(t, want, cl.do(doArgs("01")...))
-				assert.LessOrEqual(t, len(first.received()), 1, "a try is never sent twice")
+				assert.LessOrEqual(t, len(first.received()), 1, "a try was sent twice")
 			})
 		}
 	}
 }
 
+// refusingAddress returns an address that refuses connections.
 func refusingAddress(t *testing.T) string {
 	l, err := loopback.Listen()
 	require.NoError(t, err)
@@ -78,7 +80,7 @@
 	return l.Addr().String()
 }
 
-// A server that has sent garbage has failed that call alone.
+// A garbage reply fails only the call that it belongs to, and its connection is not used again.
 func TestGarbageReplyFailsOnlyThatCall(t *testing.T) {
 	t.Parallel()
 	n := 0
@@ -90,13 +92,13 @@
 		replyValue("v")(conn, args)
 	})
 	c := start(t, fixture{servers: []*server{s}}).dial()
-	assert.Equal(t, "v", c.do(askArgs("01")...), "a further try is harmless here")
-	time.Sleep(50 * time.Millisecond) // a connection rests after an answer
+	assert.Equal(t, "v", c.do(askArgs("01")...), "the class allows a further try")
+	time.Sleep(50 * time.Millisecond) // a connection is not reused right after a reply
 	assert.Equal(t, "v", c.do(askArgs("02")...))
-	assert.Equal(t, 2, s.connections(), "nothing more is read from the connection that brought garbage")
+	assert.Equal(t, 2, s.connections(), "the connection that brought garbage must not be used again")
 }
 
-// What a server sends beyond its answer belongs to nobody: the next client on that connection must not get it.
+// Bytes that a server sends after its reply belong to no request: the next request on that connection must not get them.
 func TestBytesAfterReplyAreDiscarded(t *testing.T) {
 	t.Parallel()
 	s := newServer(t, "s-1", "hall-a", func(conn net.Conn, args []string) {
@@ -108,7 +110,7 @@
 	}
 }
 
-// The same when they come a moment later, and the next command has gone out meanwhile.
+// Bytes after a reply may also arrive a moment later, when the next command has already been sent. No request must get them.
 func TestLateBytesAfterReplyAreDiscarded(t *testing.T) {
 	t.Parallel()
 	sent := make(chan struct{})
@@ -130,13 +132,14 @@
 		c.write(encodeCommand(askArgs("02")...))
 		sent <- struct{}{}
 		require.Equal(t, "02", c.readReply())
-		if seen.Sub(wrote) < 10*time.Millisecond { // else the machine was too busy for the two to come close
+		if seen.Sub(wrote) < 10*time.Millisecond { // otherwise the machine was too busy for the reply and the next command to come close together
 			close++
 		}
 	}
 }
 
-// A write must not cross the server's close of an idle connection: past a part of the limit a new one is made.
+// A command must not be written to an idle connection that the server is about to close. Once a connection has been idle for a part
+// of the server's limit, a new one is opened instead.
 func TestOldIdleConnectionIsNotReused(t *testing.T) {
 	t.Parallel()
 	set := settings()
@@ -149,7 +152,7 @@
 	assert.Equal(t, 2, s.connCount)
 }
 
-// A client's wait ends with one answer though the server stays silent, and the try's connection is closed.
+// A client gets its answer at its deadline although the server stays silent, and the connection of the try is closed.
 func TestUnansweredTryEndsAtDeadline(t *testing.T) {
 	t.Parallel()
 	s := newServer(t, "s-1", "hall-a", func(net.Conn, []string) {})
@@ -157,7 +160,7 @@
 	args := doArgs("01")
 	args[3] = strings.Replace(args[3], "d=6000", "d=300", 1)
 	assert.Equal(t, "-ERR failed", c.do(args...))
-	await(t, s.disconnected, "the try's connection to close")
+	await(t, s.disconnected, "the connection of the try to close")
 }
 
 func TestDrainingServerGetsNothingNew(t *testing.T) {
@@ -166,7 +169,7 @@
 	r := newRegistry(t)
 	c := start(t, fixture{servers: []*server{a}, registry: r}).dial()
 	require.Equal(t, "a", c.do(askArgs("01")...))
-	r.sendLine(0, "") // as long as nothing changes
+	r.sendLine(0, "") // an empty line, as discovery sends while nothing changes
 	a.state = "draining"
 	r.sendList(2, false, a, b)
 	require.Eventually(t, func() bool { return c.do(askArgs("02")...) == "b" }, testTimeout, time.Millisecond)
@@ -175,13 +178,13 @@
 	}
 	a.state = "gone"
 	r.sendList(3, false, a)
-	r.sendLine(0, "garbage") // it ends this watch alone; the next brings the changes
+	r.sendLine(0, "garbage") // ends only this watch; the next one gets the changes
 	a.state, b.state = "ready", "gone"
 	r.sendList(4, true, a)
 	require.Eventually(t, func() bool { return c.do(askArgs("ff")...) == "a" }, testTimeout, time.Millisecond)
 }
 
-// An answer without a number, with or without an end, ends its connection: the calls go on over the next one.
+// A reply of the counter without a number, with or without a line end, closes its connection. The calls continue over a new one.
 func TestInvalidCounterReplyClosesConnection(t *testing.T) {
 	t.Parallel()
 	for name, spoil := range map[string]string{"noise": "\x00\xff\x10\r\n", "no number": "ok many\r\n", "nan": "ok nan\r\n",
@@ -189,7 +192,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			set := settings()
-			set["balancers"] = 8 // the counter is asked before a request goes
+			set["balancers"] = 8 // so many that the counter is asked before a request is sent
 			set["tariffs"] = []object{plan("regular", 100, 4, 0)}
 			n := newCounter(t)
 			n.corruptReply = spoil
@@ -198,7 +201,7 @@
 			args[3] = strings.Replace(args[3], "spread=1", "spread=8", 1)
 			require.Eventually(t, func() bool {
 				c.do(args...)
-				calls, _ := n.callsAndConns() // those that were answered
+				calls, _ := n.callsAndConns() // calls with a valid reply
 				return calls > 0
 			}, testTimeout, time.Millisecond)
 			assert.Zero(t, n.staleCallCount())
@@ -206,8 +209,8 @@
 	}
 }
 
-// A sum that no request waits for may come later than the settings' 30 ms: a firm that comes through this limiter
-// alone is given most of its quota here, not this limiter's half of it.
+// A total from the counter that no request waits for may arrive later than the 30 ms of the settings, and is still used: a firm
+// that sends only through this limiter gets most of its quota here, not only this limiter's half of it.
 func TestLateCounterTotalIsUsed(t *testing.T) {
 	t.Parallel()
 	set := settings()
@@ -226,18 +229,19 @@
 			}
 			time.Sleep(time.Millisecond)
 		}
-		return served > 65 && served < 100 // at first the store's 100
+		return served > 65 && served < 100 // the first second also uses up the burst of 100 units
 	}, testTimeout, time.Millisecond)
 }
 
-// The counter is called off the path: silence, refusals and garbage of it hold no request up and end nothing.
+// Calls to the counter are not on the path of a request: a counter that is silent, rejects calls or sends garbage delays no
+// request and closes no client connection.
 func TestCounterFailuresDelayNoRequest(t *testing.T) {
 	t.Parallel()
 	for name, reply := range map[string]string{"silent": "", "busy": "busy", "error": "error", "garbage": "ok many"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			set := settings()
-			set["balancers"] = 8 // the counter is asked before a request goes
+			set["balancers"] = 8 // so many that the counter is asked before a request is sent
 			set["tariffs"] = []object{plan("regular", 100, 4, 0)}
 			n := newCounter(t)
 			n.silent, n.reply = true, reply
--- a/cmd/bramblefall/wallclock_test.go
+++ b/cmd/bramblefall/wallclock_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// wallClock is the wall clock of the processes of a test: all machines read one clock, and it may step.
+// wallClock is the wall clock of the processes of a test, as if all machines read one clock. It may step.
 type wallClock struct {
 	t       *testing.T
 	path    string
@@ -33,6 +33,7 @@
 	return c
 }
 
+// step moves the clock, also for processes that run already.
 func (c *wallClock) step(by time.Duration) {
 	c.offset += by
 	file, err := os.OpenFile(c.path, os.O_RDWR|os.O_CREATE, 0o600)
@@ -44,13 +45,14 @@
 
 func (c *wallClock) now() time.Time { return time.Now().Add(c.offset) }
 
+// environment returns the environment variables of a process that reads this clock.
 func (c *wallClock) environment() []string {
 	return append(os.Environ(), "LD_PRELOAD="+c.library, "BRAMBLEFALL_TEST_WALLCLOCK="+c.path)
 }
 
-var clockSteps = map[string]time.Duration{"an hour on": time.Hour, "an hour back": -time.Hour, "seconds on": 7 * time.Second, "seconds back": -7 * time.Second}
+var clockSteps = map[string]time.Duration{"an hour forward": time.Hour, "an hour back": -time.Hour, "seconds forward": 7 * time.Second, "seconds back": -7 * time.Second}
 
-// busyServer answers after some milliseconds, so that several requests are out at a time.
+// newSlowServer starts a server that answers after some milliseconds, so that several requests are in flight at a time.
 func newSlowServer(t *testing.T, id string) *server {
 	return newServer(t, id, "hall-a", func(conn net.Conn, args []string) {
 		time.Sleep(5 * time.Millisecond)
@@ -58,8 +60,8 @@
 	})
 }
 
-// A server that starts after a step of the wall clock is as cold as any, and warm when its time is over: what discovery tells
-// of its start is the clock's word after the step.
+// A server that starts after a step of the wall clock is cold like any other and warm when its cold period is over: discovery
+// reports its start by the clock after the step.
 func TestWallClockStepKeepsColdStart(t *testing.T) {
 	t.Parallel()
 	const cold, requests, atOnce = 4 * time.Second, 400, 8
@@ -95,20 +97,20 @@
 			entry[0]["started_ms"] = clock.now().UnixMilli()
 			r.sendLine(3, marshalList(t, object{"version": 3, "full": false, "servers": entry}))
 			time.Sleep(50 * time.Millisecond)
-			assert.Less(t, share("cold"), 0.35, "a cold server that is taken for a warm one")
-			require.Less(t, time.Since(began), cold/2, "the machine was too busy for this test")
+			assert.Less(t, share("cold"), 0.35, "share of a cold server, too high if it is taken for a warm one")
+			require.Less(t, time.Since(began), cold/2, "the machine is too slow for this test: the cold server must be measured within half of its cold period")
 			time.Sleep(time.Until(began.Add(cold + 500*time.Millisecond)))
-			assert.Greater(t, share("warm"), 0.4, "a warm server that is taken for a cold one")
+			assert.Greater(t, share("warm"), 0.4, "share of a warm server, too low if it is taken for a cold one")
 		})
 	}
 }
 
-// Limiters that ran through a step of the wall clock and others that started after it count a firm under one name.
+// Limiters that were running during a step of the wall clock and limiters that started after it count a firm under the same name.
 func TestWallClockStepKeepsOneCounterNamePerFirm(t *testing.T) {
 	t.Parallel()
-	const both = 2 << 17 // a sum in which two limiters have told their forecasts
-	for name, by := range map[string]time.Duration{"an hour on": time.Hour, "an hour back": -time.Hour, "minutes on": 2 * time.Minute,
-		"minutes back": -2 * time.Minute} { // the stand-in forgets no name: of a step by seconds both would find the other's
+	const both = 2 << 17 // a total of at least this contains the forecasts of two limiters
+	for name, by := range map[string]time.Duration{"an hour forward": time.Hour, "an hour back": -time.Hour, "minutes forward": 2 * time.Minute,
+		"minutes back": -2 * time.Minute} { // not seconds: the stand-in never drops a name, so after a step by seconds each limiter would find the other's
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			clock, counter := newWallClock(t), newCounter(t)
@@ -145,14 +147,14 @@
 	}
 }
 
-// two is a request of a firm that comes through two limiters.
+// twoLimiterArgs is askArgs for a firm that sends through two limiters.
 func twoLimiterArgs(id string) []string {
 	args := askArgs(id)
 	args[3] = strings.Replace(args[3], "spread=1", "spread=2", 1)
 	return args
 }
 
-// largest is the largest total of a name.
+// largestTotal returns the largest total of any name.
 func (c *quotaCounter) largestTotal() (most float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -162,7 +164,7 @@
 	return most
 }
 
-// A plan comes into force at its instant by the wall clock, also where that is reached by a step.
+// A plan takes effect at its instant by the wall clock, also where a step of the clock jumps over the instant.
 func TestWallClockStepActivatesPlan(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -180,5 +182,5 @@
 	require.Eventually(t, func() bool { return strings.Contains(list(), "in force") && !strings.Contains(list(), "to come") }, testTimeout, 50*time.Millisecond)
 	clock.step(-time.Hour)
 	time.Sleep(100 * time.Millisecond)
-	require.NotContains(t, list(), "to come", "what has come into force stays so")
+	require.NotContains(t, list(), "to come", "a plan that took effect must stay in effect after a step back")
 }
