--- a/cmd/bramblefall/counters_test.go
+++ b/cmd/bramblefall/counters_test.go
@@ -58,14 +58,14 @@
 	t.Parallel()
 	dir := t.TempDir()
 	c := newCounter(t)
-	for name, x := range map[string]struct{ list, says string }{
+	for name, x := range map[string]struct{ list, want string }{
 		"empty":       {"", "c.star:1: counters: minItems: got 0, want 1"},
 		"twice":       {fmt.Sprintf("counter(address = %q), counter(address = %q)", c.addr, c.addr), "c.star:1: counters[1].address: "},
 		"bad address": {`counter(address = "nowhere")`, `c.star:1: counters[0].address: "nowhere" is not like`},
 	} {
 		file := writeScript(t, filepath.Join(dir, "c.star"), "bramblefall(counters = ["+x.list+"])\n")
-		_, said := runCLI(t, 2, "check", file)
-		require.Contains(t, said, x.says, name)
+		_, stderr := runCLI(t, 2, "check", file)
+		require.Contains(t, stderr, x.want, name)
 	}
 	out, _ := runCLI(t, 0, "check", writeScript(t, filepath.Join(dir, "c.star"), countersScript("", c)))
 	require.Regexp(t, `counter +`+c.addr, out)
@@ -91,7 +91,7 @@
 		l.reloadOperatorFile(files[k], countersScript("", list...), configReloaded)
 	}
 	id := 0
-	drive := func(done func() bool) {
+	sendUntil := func(done func() bool) {
 		t.Helper()
 		var clients []*client
 		for _, l := range limiters {
@@ -106,22 +106,22 @@
 			return done()
 		}, testTimeout, time.Millisecond)
 	}
-	drive(func() bool {
+	sendUntil(func() bool {
 		a, _ := list[1].callsAndConns()
 		b, _ := list[2].callsAndConns()
 		return a > 5 && b > 5
 	})
-	elsewhere := newCounter(t)
+	replacement := newCounter(t)
 	for k, l := range limiters {
-		l.reloadOperatorFile(files[k], countersScript("", first, list[1], elsewhere), configReloaded)
+		l.reloadOperatorFile(files[k], countersScript("", first, list[1], replacement), configReloaded)
 	}
-	drive(func() bool { n, _ := elsewhere.callsAndConns(); return n > 5 })
+	sendUntil(func() bool { n, _ := replacement.callsAndConns(); return n > 5 })
 	for k, l := range limiters {
 		l.reloadOperatorFile(files[k], "bramblefall()\n", configReloaded)
 	}
 	before, _ := first.callsAndConns()
-	drive(func() bool { n, _ := first.callsAndConns(); return n > before+5 })
-	for _, c := range append(list, elsewhere) {
+	sendUntil(func() bool { n, _ := first.callsAndConns(); return n > before+5 })
+	for _, c := range append(list, replacement) {
 		_, conns := c.callsAndConns()
 		assert.LessOrEqual(t, conns, 6, "one connection for each of three limiters, and one more each if the first was closed while idle")
 	}
@@ -160,7 +160,7 @@
 // ask after it. One of them is killed during the change and restarted.
 func TestUsedQuotaStaysUsedWhenCountersChange(t *testing.T) {
 	t.Parallel()
-	for name, hurt := range map[string]func(c *quotaCounter){
+	for name, disturb := range map[string]func(c *quotaCounter){
 		"healthy": func(*quotaCounter) {},
 		"slow":    func(c *quotaCounter) { c.mu.Lock(); defer c.mu.Unlock(); c.replyDelay = 29 * time.Millisecond },
 		"closed":  func(c *quotaCounter) { c.mu.Lock(); defer c.mu.Unlock(); c.closeConns = true },
@@ -174,7 +174,7 @@
 			for k, l := range limiters {
 				l.reloadOperatorFile(files[k], countersScript("", second), configReloaded)
 			}
-			hurt(first)
+			disturb(first)
 			more := limiters[1].useQuota(movedFirms, "b")
 			require.NoError(t, limiters[2].cmd.Process.Kill())
 			<-limiters[2].exited
@@ -209,7 +209,7 @@
 	first, second := newCounter(t), newCounter(t)
 	limiters, files, _ := startMovedLimiters(t, first)
 	used := limiters[0].useQuota(movedFirms, "a")
-	heard := limiters[1].useQuota(movedFirms, "b")
+	informed := limiters[1].useQuota(movedFirms, "b")
 	for k, l := range limiters {
 		l.reloadOperatorFile(files[k], countersScript("", second), configReloaded)
 	}
@@ -217,8 +217,8 @@
 	clear(first.totals)
 	first.mu.Unlock()
 	more := limiters[1].useQuota(movedFirms, "c")
-	t.Logf("%d served by the first limiter, %d by the one that read the totals, %d after the change", used, heard, more)
-	require.LessOrEqual(t, used+heard+more, maxMovedServed)
+	t.Logf("%d served by the first limiter, %d by the one that read the totals, %d after the change", used, informed, more)
+	require.LessOrEqual(t, used+informed+more, maxMovedServed)
 }
 
 // A list that changes every second grants no quota twice, whichever limiter asks after each change.
--- a/cmd/bramblefall/crossing_test.go
+++ b/cmd/bramblefall/crossing_test.go
@@ -38,7 +38,7 @@
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = syscall.Close(fd) })
-	host := netip.MustParseAddrPort(reserveAddress(t)).Addr()
+	host := netip.MustParseAddrPort(reservedAddress(t)).Addr()
 	require.NoError(t, syscall.Bind(fd, &syscall.SockaddrInet4{Addr: host.As4()}))
 	require.NoError(t, syscall.Listen(fd, 0))
 	at, err := syscall.Getsockname(fd)
@@ -135,29 +135,29 @@
 // up long before the deadline of the try.
 func TestSlowReplyIsKeptWhileItProgresses(t *testing.T) {
 	t.Parallel()
-	for name, whole := range map[string]bool{"keeps moving": true, "stops": false} {
+	for name, complete := range map[string]bool{"keeps sending": true, "stops": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			text := strings.Repeat("v", 8000)
 			answer := fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(text), text)
-			var gap atomic.Int64 // longest pause within the last reply, in nanoseconds
+			var longestPause atomic.Int64 // within the last reply, in nanoseconds
 			s := newServer(t, "s-1", "hall-a", func(conn net.Conn, _ []string) {
-				gap.Store(0)
-				for k := 0; k < len(answer) && (whole || k < 4000); k += 400 {
+				longestPause.Store(0)
+				for k := 0; k < len(answer) && (complete || k < 4000); k += 400 {
 					before := time.Now()
 					_, _ = conn.Write([]byte(answer[k:min(k+400, len(answer))]))
 					time.Sleep(20 * time.Millisecond)
-					gap.Store(max(gap.Load(), int64(time.Since(before))))
+					longestPause.Store(max(longestPause.Load(), int64(time.Since(before))))
 				}
 			})
 			l := start(t, fixture{servers: []*server{s}})
 			for try := 0; ; try++ {
 				got := l.dial().do(doArgs(fmt.Sprint("id", try))...)
-				if !whole {
+				if !complete {
 					assert.Equal(t, "-ERR failed", got)
 					return
 				}
-				if time.Duration(gap.Load()) < 100*time.Millisecond || try == 20 { // otherwise the machine was too busy to send without long pauses
+				if time.Duration(longestPause.Load()) < 100*time.Millisecond || try == 20 { // otherwise the machine was too busy to send without long pauses
 					assert.Equal(t, text, got)
 					return
 				}
@@ -170,24 +170,24 @@
 // reply, in order, and the commands that were accepted are served.
 func TestPipelineBeyondLimitAnswersEveryCommand(t *testing.T) {
 	t.Parallel()
-	const all = 3000
-	open := make(chan struct{})
+	const commands = 3000
+	release := make(chan struct{})
 	s := newServer(t, "s-1", "hall-a", func(conn net.Conn, args []string) {
-		<-open
+		<-release
 		replyValue("v"+args[2])(conn, args)
 	})
 	set := settings()
 	set["tariffs"].([]object)[0]["perSecond"], set["tariffs"].([]object)[0]["depth"] = 1e5, 1e5
 	c := start(t, fixture{settings: set, servers: []*server{s}}).dial()
 	var text strings.Builder
-	for n := range all {
+	for n := range commands {
 		text.WriteString(encodeCommand(askArgs(fmt.Sprintf("id%d", n))...))
 	}
 	c.write(text.String())
 	require.Eventually(t, func() bool { return len(s.received()) > 0 }, testTimeout, time.Millisecond)
-	close(open)
+	close(release)
 	served := 0
-	for n := range all {
+	for n := range commands {
 		switch got := c.readReply(); {
 		case strings.HasPrefix(got, "-BUSY"): // rejected by package logic, or in its turn because too many commands waited
 		default:
@@ -224,9 +224,9 @@
 // it drains and another server is ready.
 func drainedServerFixture(t *testing.T) (w fixture, draining *server, line string) {
 	draining = newServer(t, "s-1", "hall-a", replyValue("old"))
-	now := serverEntries([]*server{draining, newServer(t, "s-2", "hall-a", replyValue("new"))})
-	now[0]["state"] = "draining"
-	raw, err := json.Marshal(object{"version": 7, "full": true, "servers": now})
+	list := serverEntries([]*server{draining, newServer(t, "s-2", "hall-a", replyValue("new"))})
+	list[0]["state"] = "draining"
+	raw, err := json.Marshal(object{"version": 7, "full": true, "servers": list})
 	require.NoError(t, err)
 	return fixture{servers: []*server{draining}}, draining, string(raw)
 }
@@ -235,14 +235,14 @@
 // served according to the old list in the configuration.
 func TestStartWaitsForDiscoveryBeforeServing(t *testing.T) {
 	t.Parallel()
-	w, left, line := drainedServerFixture(t)
+	w, draining, line := drainedServerFixture(t)
 	w.registry = newAgent(t, func(_ int, conn net.Conn) {
 		time.Sleep(200 * time.Millisecond)
 		_, _ = conn.Write([]byte(chunkedHeader + chunk(line)))
 		waitForClose(conn)
 	})
 	assert.Equal(t, "new", start(t, w).dial().do(askArgs("01")...))
-	assert.Empty(t, left.received())
+	assert.Empty(t, draining.received())
 }
 
 // An agent that stays silent because discovery is down does not delay the start for long; the old list is used meanwhile.
@@ -284,7 +284,7 @@
 // Nothing of the request is sent once the connection to the server is established.
 func TestNothingSentForClientGoneDuringDial(t *testing.T) {
 	t.Parallel()
-	for name, again := range map[string]bool{"first try": false, "between two tries": true} {
+	for name, retry := range map[string]bool{"first try": false, "between two tries": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			set := settings()
@@ -292,11 +292,11 @@
 			d := newGatedListener(t)
 			l := start(t, fixture{settings: set, servers: []*server{{id: "s-1", zone: "hall-a", state: "ready", addr: d.addr}}})
 			c := l.dial()
-			if !again {
+			if !retry {
 				d.fillBacklog()
 			}
 			c.write(encodeCommand(askArgs("01")...))
-			if again {
+			if retry {
 				first := d.accept()
 				require.NotNil(t, readCommand(first))
 				d.fillBacklog()
@@ -410,10 +410,10 @@
 	last := l.dial()
 	require.Equal(t, "+PONG", last.do("PING"))
 	time.Sleep(clientGoneGrace) // requests that were already being sent have arrived by now
-	sent := len(s.received())
+	before := len(s.received())
 	require.Equal(t, "v", last.do(askArgs("last")...))
 	seen := s.received()
-	assert.Equal(t, 1, len(seen)-sent, "only the last client's request may be sent, got %v", seen[sent:])
+	assert.Equal(t, 1, len(seen)-before, "only the last client's request may be sent, got %v", seen[before:])
 }
 
 // A list takes effect when its last byte has arrived, in whatever form the HTTP response is sent: without a length, with one, in
@@ -421,21 +421,21 @@
 func TestListIsCompleteInAnyTransferForm(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
-		head   string
-		chunks bool
-		indent bool
-		slowly bool
+		head       string
+		chunks     bool
+		indent     bool
+		byteByByte bool
 	}{
 		"chunks":         {head: chunkedHeader, chunks: true},
 		"indented":       {head: chunkedHeader, chunks: true, indent: true},
-		"byte by byte":   {head: chunkedHeader, chunks: true, slowly: true},
+		"byte by byte":   {head: chunkedHeader, chunks: true, byteByByte: true},
 		"no length":      {head: "HTTP/1.1 200 OK\r\n\r\n"},
 		"no length, 1.0": {head: "HTTP/1.0 200 OK\r\n\r\n", indent: true},
 		"a length":       {head: "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w, left, line := drainedServerFixture(t)
+			w, draining, line := drainedServerFixture(t)
 			if c.indent {
 				var b bytes.Buffer
 				require.NoError(t, json.Indent(&b, []byte(line), "", "  "))
@@ -450,28 +450,28 @@
 			} else {
 				text = c.head + text
 			}
-			taken := make(chan struct{})
+			used := make(chan struct{})
 			w.registry = newAgent(t, func(n int, conn net.Conn) {
 				if n > 0 {
 					waitForClose(conn) // only the first request gets a list
 					return
 				}
 				for k := range len(text) {
-					if _, err := conn.Write([]byte(text[k : k+1])); !c.slowly || err != nil {
+					if _, err := conn.Write([]byte(text[k : k+1])); !c.byteByByte || err != nil {
 						_, _ = conn.Write([]byte(text[k+1:]))
 						break
 					}
 				}
-				<-taken
+				<-used
 				resetConn(conn, nil)
 			})
 			l := start(t, w)
 			cl := l.dial()
 			assert.Equal(t, "new", cl.do(askArgs("01")...))
-			close(taken)
+			close(used)
 			require.Eventually(t, func() bool { return strings.Contains(l.log.String(), "the watch of discovery ended") }, testTimeout, time.Millisecond)
 			assert.Equal(t, "new", cl.do(askArgs("02")...))
-			assert.Empty(t, left.received())
+			assert.Empty(t, draining.received())
 		})
 	}
 }
@@ -479,17 +479,17 @@
 // SIGTERM while a new process waits for its agent's first list: no connection was accepted, and the process exits with code 0.
 func TestTerminateBeforeClientsAreAccepted(t *testing.T) {
 	t.Parallel()
-	asked := make(chan struct{})
+	requested := make(chan struct{})
 	w := fixture{settings: settings(), registry: newAgent(t, func(n int, conn net.Conn) {
 		if n == 0 {
-			close(asked)
+			close(requested)
 		}
 		waitForClose(conn)
 	})}
 	cmd := exec.Command(binary, "-config", writeJSON(t, filepath.Join(t.TempDir(), "config.json"), w.config(t)))
 	require.NoError(t, cmd.Start())
 	defer func() { _ = cmd.Process.Kill() }()
-	await(t, asked, "the first request to the agent")
+	await(t, requested, "the first request to the agent")
 	require.NoError(t, cmd.Process.Signal(syscall.SIGTERM))
 	require.NoError(t, cmd.Wait())
 }
@@ -520,26 +520,26 @@
 // are served again.
 func TestDescriptorShortageEjectsNoServer(t *testing.T) {
 	t.Parallel()
-	limit := func(l *limiter, n uint64) {
-		var was unix.Rlimit
-		require.NoError(t, unix.Prlimit(l.cmd.Process.Pid, unix.RLIMIT_NOFILE, nil, &was))
-		require.NoError(t, unix.Prlimit(l.cmd.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: n, Max: was.Max}, nil))
+	setDescriptorLimit := func(l *limiter, n uint64) {
+		var current unix.Rlimit
+		require.NoError(t, unix.Prlimit(l.cmd.Process.Pid, unix.RLIMIT_NOFILE, nil, &current))
+		require.NoError(t, unix.Prlimit(l.cmd.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: n, Max: current.Max}, nil))
 	}
 	t.Run("kernel limit", func(t *testing.T) {
 		t.Parallel()
 		l := start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v")), newServer(t, "s-2", "hall-a", replyValue("v"))}})
 		c := l.dial()
 		require.Equal(t, "+PONG", c.do("PING"))
-		limit(l, 3) // lower than the descriptors in use: no new one can be opened
+		setDescriptorLimit(l, 3) // lower than the descriptors in use: no new one can be opened
 		assert.Regexp(t, "^-BUSY", c.do(doArgs("01")...))
 		l.waitForLog("no descriptor left")
-		limit(l, 128)
+		setDescriptorLimit(l, 128)
 		assert.Equal(t, "v", c.do(doArgs("02")...))
 		assert.NotContains(t, l.log.String(), "left out")
 	})
 	t.Run("own count", func(t *testing.T) {
 		t.Parallel()
-		const most = 32 // connections to servers, of 128 descriptors
+		const maxServerConns = 32 // connections to servers, of 128 descriptors
 		release := make(chan struct{})
 		slow := func(conn net.Conn, args []string) {
 			<-release
@@ -552,13 +552,13 @@
 		l := start(t, w)
 		c := l.dial()
 		var text strings.Builder
-		for k := range 2 * most {
+		for k := range 2 * maxServerConns {
 			text.WriteString(encodeCommand(doArgs(fmt.Sprint("id", k))...))
 		}
 		c.write(text.String())
 		l.waitForLog("no descriptor left")
 		close(release)
-		for range 2 * most {
+		for range 2 * maxServerConns {
 			require.Regexp(t, "^(v|-BUSY)", c.readReply())
 		}
 		assert.NotContains(t, l.log.String(), "left out")
@@ -609,20 +609,20 @@
 func TestFirstLineOfIndentedListAcceptsNoClients(t *testing.T) {
 	t.Parallel()
 	for range 10 { // a limiter accepts clients after a second at the latest, so a run in which the machine stalled proves nothing
-		w, left, line := drainedServerFixture(t)
+		w, draining, line := drainedServerFixture(t)
 		w.settings = settings()
 		w.settings["rules"].(object)["drainGrace"] = 2.0 // the pause in the list below is shorter than the limiter tolerates
 		var b bytes.Buffer
 		require.NoError(t, json.Indent(&b, []byte(line), "", "  "))
 		first, rest, _ := strings.Cut(b.String(), "\n")
-		serving, whole := make(chan struct{}), make(chan struct{})
+		serving, listSent := make(chan struct{}), make(chan struct{})
 		w.registry = newAgent(t, func(n int, conn net.Conn) {
 			if n == 0 {
 				_, _ = conn.Write([]byte(chunkedHeader + chunk(first)))
 				select {
-				case <-serving: // it accepts clients too soon: whole stays open
+				case <-serving: // it accepts clients too soon, and listSent stays open
 				case <-time.After(300 * time.Millisecond):
-					close(whole)
+					close(listSent)
 				}
 				_, _ = conn.Write([]byte(chunk(rest)))
 			}
@@ -634,12 +634,12 @@
 			continue
 		}
 		select {
-		case <-whole:
+		case <-listSent:
 		default:
 			require.Fail(t, "clients were accepted after the first line of the list")
 		}
 		assert.Equal(t, "new", l.dial().do(askArgs("01")...))
-		assert.Empty(t, left.received())
+		assert.Empty(t, draining.received())
 		return
 	}
 	require.Fail(t, "the list arrived too late in each of 10 runs")
--- a/cmd/bramblefall/disk_test.go
+++ b/cmd/bramblefall/disk_test.go
@@ -25,27 +25,27 @@
 			dir := t.TempDir()
 			socket, state := filepath.Join(dir, "admin.sock"), filepath.Join(dir, "state")
 			require.NoError(t, os.Mkdir(state, 0o700))
-			half := filepath.Join(state, "plans.state.new-123")
-			require.NoError(t, os.WriteFile(half, []byte("half"), 0o600))
-			var broken atomic.Bool
+			partial := filepath.Join(state, "plans.state.new-123")
+			require.NoError(t, os.WriteFile(partial, []byte("half"), 0o600))
+			var failing atomic.Bool
 			w := fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))},
 				operatorFile: writeScript(t, filepath.Join(dir, "operator.star"), fmt.Sprintf("bramblefall(admin = admin(socket = %q), state_dir = %q)\n", socket, state)),
 				syscallErrors: func(number int32, _ uint64, _ int) syscall.Errno {
-					if number == unix.SYS_FSYNC && broken.Load() {
+					if number == unix.SYS_FSYNC && failing.Load() {
 						return errno
 					}
 					return 0
 				}}
 			l := start(t, w)
-			assert.NoFileExists(t, half)
-			apply := func(want, number int) string {
-				_, said := runCLI(t, want, "plans", "apply", writeScript(t, filepath.Join(dir, fmt.Sprint(number, ".star")), planScript(number, "", "rate = 100, burst = 50")), "--socket", socket)
-				return said
+			assert.NoFileExists(t, partial)
+			apply := func(wantCode, number int) string {
+				_, stderr := runCLI(t, wantCode, "plans", "apply", writeScript(t, filepath.Join(dir, fmt.Sprint(number, ".star")), planScript(number, "", "rate = 100, burst = 50")), "--socket", socket)
+				return stderr
 			}
-			broken.Store(true)
+			failing.Store(true)
 			require.Contains(t, apply(2, 1), "not kept")
 			time.Sleep(300 * time.Millisecond)
-			broken.Store(false)
+			failing.Store(false)
 			require.Eventually(t, func() bool {
 				_, err := os.Stat(filepath.Join(state, "plans.state"))
 				return err == nil
@@ -56,9 +56,9 @@
 			start(t, w)
 			out, _ := runCLI(t, 0, "plans", "list", "--socket", socket)
 			require.Regexp(t, `1 +in force.*n1`, out)
-			left, err := filepath.Glob(filepath.Join(state, "*"))
+			files, err := filepath.Glob(filepath.Join(state, "*"))
 			require.NoError(t, err)
-			assert.Len(t, left, 1, "%q", left)
+			assert.Len(t, files, 1, "%q", files)
 		})
 	}
 }
--- a/cmd/bramblefall/drain_test.go
+++ b/cmd/bramblefall/drain_test.go
@@ -56,7 +56,7 @@
 		s := settings()
 		s["balancers"], s["rank"] = len(troubles), k
 		s["rules"].(object)["drainGrace"] = drainGraceSeconds
-		config := object{"name": fmt.Sprintf("n%d", k), "listen": reserveAddress(t),
+		config := object{"name": fmt.Sprintf("n%d", k), "listen": reservedAddress(t),
 			"seed": fmt.Sprintf("%x", k+1), "limits": object{"cores": 1.0, "memory_mb": 192, "sockets": 256},
 			"settings": s, "known": d.Known(k), "discovery": agent}
 		if customize != nil {
@@ -122,13 +122,13 @@
 // server that it was told drains or is gone, nor to one that no list has named to it.
 func TestDrainingIsHonouredWhileListsBreakOff(t *testing.T) {
 	t.Parallel()
-	every := func(answer int) standin.Trouble { // every second answer stalls; a second request made meanwhile gets the rest
+	stallEverySecond := func(answer int) standin.Trouble { // every second answer stalls; a second request made meanwhile gets the rest
 		if answer%2 == 0 {
 			return standin.Mute
 		}
 		return standin.Fine
 	}
-	most := func(bad standin.Trouble) func(int) standin.Trouble { // eight bad answers in a row, then a good one
+	mostly := func(bad standin.Trouble) func(int) standin.Trouble { // eight bad answers in a row, then a good one
 		return func(answer int) standin.Trouble {
 			if answer%9 == 8 {
 				return standin.Fine
@@ -136,36 +136,36 @@
 			return bad
 		}
 	}
-	f := startFleet(t, 48, nil, most(standin.Cut), most(standin.Short), every, nil)
+	f := startFleet(t, 48, nil, mostly(standin.Cut), mostly(standin.Short), stallEverySecond, nil)
 	stop := make(chan struct{})
-	var asking sync.WaitGroup
+	var senders sync.WaitGroup
 	var served [4]atomic.Int64
 	errs := make(chan error, 8)
 	for k, l := range f.limiters {
 		for range 2 {
-			asking.Go(func() { errs <- f.sendRequests(l, stop, 0, askArgs("")[3], &served[k]) })
+			senders.Go(func() { errs <- f.sendRequests(l, stop, 0, askArgs("")[3], &served[k]) })
 		}
 	}
-	var renewing sync.WaitGroup
+	var restarts sync.WaitGroup
 	for k, began := 0, time.Now(); time.Since(began) < drainTestDuration; k++ {
 		n := f.world.Nodes[k%len(f.world.Nodes)]
 		f.world.Tell(n, "draining", time.Time{})
 		if time.Since(began) < drainTestDuration-restartDelay {
-			renewing.Go(func() {
+			restarts.Go(func() {
 				time.Sleep(restartDelay)
 				f.world.Renew(n, time.Now())
 			})
 		}
 		time.Sleep(drainInterval)
 	}
-	renewing.Wait()
+	restarts.Wait()
 	close(stop)
-	asking.Wait()
+	senders.Wait()
 	for range 8 {
 		require.NoError(t, <-errs)
 	}
-	found, times := f.world.Audit.Findings()
-	require.Zero(t, times, strings.Join(found, "\n"))
+	findings, count := f.world.Audit.Findings()
+	require.Zero(t, count, strings.Join(findings, "\n"))
 	for k := range served {
 		require.Positive(t, served[k].Load(), "limiter %d", k)
 	}
--- a/cmd/bramblefall/endpoints_test.go
+++ b/cmd/bramblefall/endpoints_test.go
@@ -19,29 +19,29 @@
 // and no new call goes there.
 func TestRemovedEndpointAnswersCallsInFlight(t *testing.T) {
 	t.Parallel()
-	for name, rest := range map[string]func(t *testing.T, leaves, stays string) object{
-		"it drains": func(t *testing.T, leaves, stays string) object {
-			return assignment("limits", locality(t, "hall-a", 0, 1, leaves, stays))
+	for name, assignmentAfter := range map[string]func(t *testing.T, leaving, remaining string) object{
+		"it drains": func(t *testing.T, leaving, remaining string) object {
+			return assignment("limits", locality(t, "hall-a", 0, 1, leaving, remaining))
 		},
-		"it is no longer named": func(t *testing.T, _, stays string) object {
-			return assignment("limits", locality(t, "hall-a", 0, 0, stays))
+		"it is no longer named": func(t *testing.T, _, remaining string) object {
+			return assignment("limits", locality(t, "hall-a", 0, 0, remaining))
 		},
-		"its zone is removed": func(t *testing.T, _, stays string) object {
-			return assignment("limits", locality(t, "hall-b", 0, 0, stays))
+		"its zone is removed": func(t *testing.T, _, remaining string) object {
+			return assignment("limits", locality(t, "hall-b", 0, 0, remaining))
 		},
-		"another priority takes over": func(t *testing.T, leaves, stays string) object {
-			return assignment("limits", locality(t, "hall-a", 0, 1, leaves), locality(t, "hall-a", 1, 0, stays))
+		"another priority takes over": func(t *testing.T, leaving, remaining string) object {
+			return assignment("limits", locality(t, "hall-a", 0, 1, leaving), locality(t, "hall-a", 1, 0, remaining))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			held := make(chan struct{})
-			leaves := &externalService{answer: func(context.Context, *rlsv3.RateLimitRequest) (*rlsv3.RateLimitResponse, error) {
-				<-held
+			release := make(chan struct{})
+			leaving := &externalService{answer: func(context.Context, *rlsv3.RateLimitRequest) (*rlsv3.RateLimitResponse, error) {
+				<-release
 				return respondWith(verdictOK)(nil, nil)
 			}}
-			stays := &externalService{answer: respondWith(rlsv3.RateLimitResponse_OVER_LIMIT)}
-			addr := leaves.listen(t)
+			remaining := &externalService{answer: respondWith(rlsv3.RateLimitResponse_OVER_LIMIT)}
+			addr := leaving.listen(t)
 			file := rateLimitFile(t, addr)
 			l := start(t, fixture{rateLimitFile: file})
 			s := l.rateLimitClient()
@@ -51,17 +51,17 @@
 				assert.NoError(t, err)
 				verdicts <- answer.GetOverallCode()
 			}()
-			require.Eventually(t, func() bool { return leaves.calls() == 1 }, testTimeout, time.Millisecond)
-			writeAssignments(t, filepath.Dir(file), rest(t, addr, stays.listen(t)))
+			require.Eventually(t, func() bool { return leaving.calls() == 1 }, testTimeout, time.Millisecond)
+			writeAssignments(t, filepath.Dir(file), assignmentAfter(t, addr, remaining.listen(t)))
 			time.Sleep(endpointDrainWait) // the files are in effect by then
 			for firm := range 5 {
 				_, err := s.ShouldRateLimit(testContext(t), rateLimitRequest(firmDescriptor(fmt.Sprintf("b%d", firm))))
 				require.NoError(t, err)
 			}
-			close(held)
+			close(release)
 			assert.Equal(t, verdictOK, <-verdicts, "the verdict must come from the endpoint that had the call")
-			assert.Equal(t, 1, leaves.calls())
-			assert.Equal(t, 5, stays.calls())
+			assert.Equal(t, 1, leaving.calls())
+			assert.Equal(t, 5, remaining.calls())
 		})
 	}
 }
@@ -70,32 +70,32 @@
 func TestEndpointInTwoClustersFollowsOurCluster(t *testing.T) {
 	t.Parallel()
 	a, b := &externalService{answer: respondWith(verdictOK)}, &externalService{answer: respondWith(verdictOK)}
-	first, then := a.listen(t), b.listen(t)
+	first, other := a.listen(t), b.listen(t)
 	file := rateLimitFile(t, first)
 	dir := filepath.Dir(file)
 	s := start(t, fixture{rateLimitFile: file}).rateLimitClient()
-	asks := func(n int) {
+	sendCalls := func(n int) {
 		for firm := range n {
 			_, err := s.ShouldRateLimit(testContext(t), rateLimitRequest(firmDescriptor(fmt.Sprintf("%x", 1+firm))))
 			require.NoError(t, err)
 		}
 	}
 	ours := assignment("limits", locality(t, "hall-a", 0, 0, first))
-	for name, other := range map[string]object{
+	for name, otherCluster := range map[string]object{
 		"drains in the other":    assignment("audit", locality(t, "hall-a", 0, 1, first)),
-		"missing from the other": assignment("audit", locality(t, "hall-a", 0, 0, then)),
+		"missing from the other": assignment("audit", locality(t, "hall-a", 0, 0, other)),
 		"other cluster empty":    assignment("audit"),
 	} {
 		before := a.calls()
-		writeAssignments(t, dir, other, ours)
+		writeAssignments(t, dir, otherCluster, ours)
 		time.Sleep(endpointDrainWait)
-		asks(5)
+		sendCalls(5)
 		require.Equal(t, before+5, a.calls(), name)
 	}
-	writeAssignments(t, dir, assignment("audit", locality(t, "hall-a", 0, 0, first)), assignment("limits", locality(t, "hall-a", 0, 1, first, then)))
+	writeAssignments(t, dir, assignment("audit", locality(t, "hall-a", 0, 0, first)), assignment("limits", locality(t, "hall-a", 0, 1, first, other)))
 	time.Sleep(endpointDrainWait)
 	before := a.calls()
-	asks(5)
+	sendCalls(5)
 	require.Equal(t, before, a.calls(), "an endpoint that drains in our cluster got calls because it is ready in the other")
 	require.Equal(t, 5, b.calls())
 }
--- a/cmd/bramblefall/fault_test.go
+++ b/cmd/bramblefall/fault_test.go
@@ -63,8 +63,8 @@
 	set := settings()
 	set["caps"].(object)["connIdle"] = connIdleSeconds
 	dir := t.TempDir()
-	second := writeJSON(t, filepath.Join(dir, "ratelimit.json"), object{"listen": reserveAddress(t)})
-	l, err := standin.Start(binary, dir, object{"name": "n0", "listen": reserveAddress(t), "seed": "8c1f30d27a5be964",
+	second := writeJSON(t, filepath.Join(dir, "ratelimit.json"), object{"listen": reservedAddress(t)})
+	l, err := standin.Start(binary, dir, object{"name": "n0", "listen": reservedAddress(t), "seed": "8c1f30d27a5be964",
 		"limits": object{"cores": 4.0, "memory_mb": 1024, "sockets": 1024}, "settings": set, "known": d.List(),
 		"counter": c.Addr, "discovery": d.Addr}, "-ratelimit", second)
 	require.NoError(t, err)
@@ -119,11 +119,11 @@
 	began := time.Now()
 	for left := int(scripts); left > 0; seed++ {
 		p := fault.Draw(seed, min(left, scriptsPerPlan))
-		tally, broke := playFaultPlan(t, binary, p)
-		if broke != "" {
-			fails := func(smaller fault.Plan) bool { _, again := playFaultPlan(t, binary, smaller); return again != "" }
+		tally, failure := playFaultPlan(t, binary, p)
+		if failure != "" {
+			fails := func(smaller fault.Plan) bool { _, failure := playFaultPlan(t, binary, smaller); return failure != "" }
 			p = fault.Shrink(p, 30, fails)
-			t.Fatalf("seed %d: %.4000s\nsmallest plan found, %d scripts: %.4000s", seed, broke, len(p.Scripts), fmt.Sprint(p.Scripts))
+			t.Fatalf("seed %d: %.4000s\nsmallest plan found, %d scripts: %.4000s", seed, failure, len(p.Scripts), fmt.Sprint(p.Scripts))
 		}
 		require.Positive(t, tally.Served)
 		left -= tally.Connections
--- a/cmd/bramblefall/heldup_test.go
+++ b/cmd/bramblefall/heldup_test.go
@@ -68,16 +68,16 @@
 			}
 		})
 	}
-	most := 0
-	l.runIntermittently(rand.New(rand.NewPCG(1, 1)), intermittentDuration, func() { most = max(most, l.descriptors()) })
+	peak := 0
+	l.runIntermittently(rand.New(rand.NewPCG(1, 1)), intermittentDuration, func() { peak = max(peak, l.descriptors()) })
 	close(stop)
 	flood.Wait()
-	t.Logf("at most %d descriptors of %d, %d requests", most, floodDescriptorLimit, ids.Load())
-	require.LessOrEqual(t, most, floodDescriptorLimit)
-	require.Greater(t, most, clientConnectionLimit, "the flood took too few descriptors to prove anything")
+	t.Logf("at most %d descriptors of %d, %d requests", peak, floodDescriptorLimit, ids.Load())
+	require.LessOrEqual(t, peak, floodDescriptorLimit)
+	require.Greater(t, peak, clientConnectionLimit, "the flood took too few descriptors to prove anything")
 	require.NoError(t, l.cmd.Process.Signal(syscall.SIGCONT))
-	asked := 0
-	require.Eventually(t, func() bool { asked++; return l.servesNewClient(fmt.Sprint("after-", asked)) }, testTimeout, 10*time.Millisecond, "the limiter does not serve a new client after the flood")
+	attempts := 0
+	require.Eventually(t, func() bool { attempts++; return l.servesNewClient(fmt.Sprint("after-", attempts)) }, testTimeout, 10*time.Millisecond, "the limiter does not serve a new client after the flood")
 }
 
 // A write that the kernel cannot take at once is finished by netpoll's poller, which closes the connection on any error but
--- a/cmd/bramblefall/helper_test.go
+++ b/cmd/bramblefall/helper_test.go
@@ -194,7 +194,7 @@
 	out, err := l.cmd.StderrPipe()
 	require.NoError(t, err)
 	require.NoError(t, l.cmd.Start())
-	up := make(chan struct{})
+	serving := make(chan struct{})
 	go func() {
 		lines := bufio.NewScanner(out)
 		for lines.Scan() {
@@ -205,7 +205,7 @@
 			}
 			if _, at, ok := strings.Cut(line, "msg=serving name=n0 listen="); ok {
 				l.addr = at
-				close(up)
+				close(serving)
 			}
 		}
 		_ = l.cmd.Wait()
@@ -217,7 +217,7 @@
 		require.NotContains(t, l.log.String(), "panic")
 		require.NotContains(t, l.log.String(), "DATA RACE") // reported when the tests run with GOFLAGS=-race
 	})
-	await(t, up, "the limiter to log that it serves")
+	await(t, serving, "the limiter to log that it serves")
 	return l
 }
 
@@ -390,9 +390,9 @@
 	return s.connCount
 }
 
-// reserveAddress returns an address to listen on that no other process on the machine is given, even after its listener has
+// reservedAddress returns an address to listen on that no other process on the machine is given, even after its listener has
 // closed.
-func reserveAddress(t *testing.T) string {
+func reservedAddress(t *testing.T) string {
 	t.Helper()
 	address, err := loopback.AnyPort()
 	require.NoError(t, err)
@@ -407,7 +407,7 @@
 	if address, ok := limiterAddresses.Load(t); ok {
 		return address.(string)
 	}
-	address := reserveAddress(t)
+	address := reservedAddress(t)
 	limiterAddresses.Store(t, address)
 	t.Cleanup(func() { limiterAddresses.Delete(t) })
 	return address
--- a/cmd/bramblefall/idle_test.go
+++ b/cmd/bramblefall/idle_test.go
@@ -82,45 +82,45 @@
 // and the servers of the new list.
 func TestIdleClientsFillDescriptorsWhileDiscoveryIsDown(t *testing.T) {
 	t.Parallel()
-	for name, away := range map[string]func(conn net.Conn, back <-chan struct{}){
+	for name, outage := range map[string]func(conn net.Conn, recovered <-chan struct{}){
 		"down":   func(net.Conn, <-chan struct{}) {},
-		"silent": func(conn net.Conn, back <-chan struct{}) { waitUntilBackOrClosed(conn, back) },
-		"slow": func(conn net.Conn, back <-chan struct{}) {
+		"silent": func(conn net.Conn, recovered <-chan struct{}) { waitUntilRecoveredOrClosed(conn, recovered) },
+		"slow": func(conn net.Conn, recovered <-chan struct{}) {
 			for _, b := range []byte(chunkedHeader + strings.Repeat(" ", 1000)) {
 				if _, err := conn.Write([]byte{b}); err != nil {
 					return
 				}
 				select {
-				case <-back:
+				case <-recovered:
 					return
 				case <-time.After(100 * time.Millisecond):
 				}
 			}
 		},
-		"half a line": func(conn net.Conn, back <-chan struct{}) {
+		"half a line": func(conn net.Conn, recovered <-chan struct{}) {
 			_, _ = io.WriteString(conn, chunkedHeader+`20`+"\r\n"+`{"version":7,"full":true,"serv`)
-			waitUntilBackOrClosed(conn, back)
+			waitUntilRecoveredOrClosed(conn, recovered)
 		},
 	} {
-		for word, text := range map[string]string{"nothing sent": "", "after a command": encodeCommand("PING"), "after half a command": encodeCommand(askArgs("half")...)[:30]} {
-			t.Run(name+", "+word, func(t *testing.T) { // not in parallel: each keeps 300 clients connected
-				back := make(chan struct{})
-				w, left, line := drainedServerFixture(t)
+		for variant, text := range map[string]string{"nothing sent": "", "after a command": encodeCommand("PING"), "after half a command": encodeCommand(askArgs("half")...)[:30]} {
+			t.Run(name+", "+variant, func(t *testing.T) { // not in parallel: each keeps 300 clients connected
+				recovered := make(chan struct{})
+				w, draining, line := drainedServerFixture(t)
 				w.settings = settings()
 				w.enforceRlimit = true
 				w.registry = newAgent(t, func(_ int, conn net.Conn) {
 					select {
-					case <-back:
+					case <-recovered:
 						_, _ = conn.Write([]byte(chunkedHeader + chunk(line)))
 						waitForClose(conn)
 					default:
-						away(conn, back)
+						outage(conn, recovered)
 					}
 				})
 				var calls atomic.Int64
 				w.counter = &quotaCounter{addr: serveConns(t, func(conn net.Conn) {
 					select {
-					case <-back:
+					case <-recovered:
 					default:
 						return
 					}
@@ -142,13 +142,13 @@
 				t.Logf("ready %v after the start, at most %v allowed", time.Since(began), maxTimeToReady)
 				assert.Less(t, time.Since(began), maxTimeToReady)
 				assert.Equal(t, "old", l.askUntilAccepted(func(n int) []string { return askArgs(fmt.Sprint("a", n)) }))
-				require.NotEmpty(t, left.received())
-				close(back)
+				require.NotEmpty(t, draining.received())
+				close(recovered)
 				for k, since := 0, time.Now(); l.askUntilAccepted(func(n int) []string { return askArgs(fmt.Sprint("b", k, "-", n)) }) != "new"; k++ {
 					require.Less(t, time.Since(since), testTimeout, "requests still do not go to the server of the new list")
 				}
 				require.Eventually(t, func() bool { return calls.Load() > 0 }, testTimeout, 10*time.Millisecond, "the counter is not connected again")
-				if word == "after half a command" { // these reconnect all the time, so at this very moment some may have been evicted
+				if variant == "after half a command" { // these reconnect all the time, so at this very moment some may have been evicted
 					require.Eventually(t, full, testTimeout, time.Millisecond, "the idle clients must still hold the descriptors")
 				} else {
 					assert.True(t, full(), "the idle clients must still hold the descriptors")
@@ -160,12 +160,12 @@
 	}
 }
 
-// waitUntilBackOrClosed waits until discovery is to answer again or the limiter closes the connection.
-func waitUntilBackOrClosed(conn net.Conn, back <-chan struct{}) {
+// waitUntilRecoveredOrClosed waits until discovery is to answer again or the limiter closes the connection.
+func waitUntilRecoveredOrClosed(conn net.Conn, recovered <-chan struct{}) {
 	closed := make(chan struct{})
 	go func() { waitForClose(conn); close(closed) }()
 	select {
-	case <-back:
+	case <-recovered:
 	case <-closed:
 	}
 }
--- a/cmd/bramblefall/links_test.go
+++ b/cmd/bramblefall/links_test.go
@@ -38,18 +38,18 @@
 		links = append(links, l)
 		return l.Addr
 	}
-	dress := func(f *fleet, k int, config object) {
+	customize := func(f *fleet, k int, config object) {
 		if k == 0 {
 			_, err := f.world.AddCounter()
 			require.NoError(t, err)
 		}
 		set := config["settings"].(object)
-		bounded := plan("full", 15, 15, 0)
-		bounded["hardRate"], bounded["hardBurst"], bounded["hardSlack"] = ceilingRate, ceilingBurst, ceilingBurst/10
-		set["tariffs"] = []object{plan("regular", 1000, 4000, 0), bounded}
+		ceilingPlan := plan("full", 15, 15, 0)
+		ceilingPlan["hardRate"], ceilingPlan["hardBurst"], ceilingPlan["hardSlack"] = ceilingRate, ceilingBurst, ceilingBurst/10
+		set["tariffs"] = []object{plan("regular", 1000, 4000, 0), ceilingPlan}
 		config["counter"], config["discovery"] = link(f.world.Counter.Addr), link(config["discovery"].(string))
 	}
-	f := startFleet(t, 6, dress, make([]func(int) standin.Trouble, linkedLimiterCount)...)
+	f := startFleet(t, 6, customize, make([]func(int) standin.Trouble, linkedLimiterCount)...)
 	for _, n := range f.world.Nodes {
 		n.Handle = func(_ *standin.Node, args [][]byte) ([]byte, bool, time.Duration) {
 			if strings.Contains(string(args[3]), "t=full") {
@@ -58,17 +58,17 @@
 			return standin.Value(string(args[2])), true, time.Millisecond
 		}
 	}
-	words := fmt.Sprintf("c=balance-read,t=full,d=1000,units=1,spread=%d,first=0", linkedLimiterCount)
+	fields := fmt.Sprintf("c=balance-read,t=full,d=1000,units=1,spread=%d,first=0", linkedLimiterCount)
 	stop := make(chan struct{})
-	var asking sync.WaitGroup
+	var senders sync.WaitGroup
 	var served [linkedLimiterCount]atomic.Int64
 	errs := make([]error, linkedLimiterCount)
 	for k, l := range f.limiters {
-		asking.Go(func() { errs[k] = f.sendRequests(l, stop, requestInterval, words, &served[k]) })
+		senders.Go(func() { errs[k] = f.sendRequests(l, stop, requestInterval, fields, &served[k]) })
 	}
-	var playing sync.WaitGroup
+	var impairments sync.WaitGroup
 	for k, l := range links {
-		playing.Go(func() { l.Play(standin.DrawPhases(100*seed+uint64(k), impairmentDuration)) })
+		impairments.Go(func() { l.Play(standin.DrawPhases(100*seed+uint64(k), impairmentDuration)) })
 	}
 	const stopped, killed = 1, 2
 	time.Sleep(impairmentDuration / 4)
@@ -77,10 +77,10 @@
 	require.NoError(t, f.limiters[stopped].Signal(syscall.SIGCONT))
 	f.limiters[killed].Kill()
 	f.limiters[killed] = f.start(t, killed)
-	asking.Go(func() {
-		errs[killed] = f.sendRequests(f.limiters[killed], stop, requestInterval, words, &served[killed])
+	senders.Go(func() {
+		errs[killed] = f.sendRequests(f.limiters[killed], stop, requestInterval, fields, &served[killed])
 	})
-	playing.Wait()
+	impairments.Wait()
 
 	var before [linkedLimiterCount]int64
 	for k := range f.limiters {
@@ -91,15 +91,15 @@
 		require.Empty(t, l.Crashed())
 	}
 	close(stop)
-	asking.Wait()
+	senders.Wait()
 	for k, err := range errs {
 		if k != killed {
 			require.NoError(t, err, "limiter %d", k)
 		}
 		require.Positive(t, served[k].Load(), "limiter %d", k)
 	}
-	low, sends := ceiling.Lowest()
-	t.Logf("%d sends, units left under the ceiling at least %.1f", sends, low)
+	lowest, sends := ceiling.Lowest()
+	t.Logf("%d sends, units left under the ceiling at least %.1f", sends, lowest)
 	require.Greater(t, sends, int(impairmentDuration.Seconds()*ceilingRate/10), "too few sends to prove anything")
-	require.GreaterOrEqual(t, low, -ceilingBurst/10)
+	require.GreaterOrEqual(t, lowest, -ceilingBurst/10)
 }
--- a/cmd/bramblefall/lists_test.go
+++ b/cmd/bramblefall/lists_test.go
@@ -19,23 +19,23 @@
 	for range 5 {
 		w, _, line := drainedServerFixture(t)
 		w.settings = settings()
-		half, stopped, whole := make(chan struct{}), make(chan struct{}), make(chan struct{})
+		halfSent, stopped, allSent := make(chan struct{}), make(chan struct{}), make(chan struct{})
 		w.registry = newAgent(t, func(n int, conn net.Conn) {
 			if n == 0 {
 				_, _ = conn.Write([]byte(chunkedHeader + chunk("") + fmt.Sprintf("28\r\n%s\r\n", line[:0x28])))
-				close(half)
+				close(halfSent)
 				<-stopped
 				_, _ = conn.Write([]byte(chunk(line[0x28:])))
-				close(whole)
+				close(allSent)
 			}
 			waitForClose(conn)
 		})
 		l := start(t, w)
-		await(t, half, "half of the list")
+		await(t, halfSent, "half of the list")
 		require.NoError(t, l.cmd.Process.Signal(syscall.SIGSTOP))
 		time.Sleep(300 * time.Millisecond) // more than twice as long as a list may pause
 		close(stopped)
-		await(t, whole, "the rest of the list")
+		await(t, allSent, "the rest of the list")
 		require.NoError(t, l.cmd.Process.Signal(syscall.SIGCONT))
 		require.Eventually(t, func() bool {
 			return l.dial().do(askArgs("01")...) == "new" || strings.Contains(l.log.String(), "discovery says nothing more")
@@ -51,7 +51,7 @@
 // names an address, the connections to it are closed and nothing is sent there.
 func TestConnectionsToRemovedAddressAreClosed(t *testing.T) {
 	t.Parallel()
-	for name, drop := range map[string]func(r *registry, former, other *server){
+	for name, removeAddress := range map[string]func(r *registry, former, other *server){
 		"full list without the server": func(r *registry, _, other *server) { r.sendList(2, true, other) },
 		"update that marks it gone": func(r *registry, former, other *server) {
 			former.state = "gone"
@@ -69,13 +69,13 @@
 			set["caps"].(object)["connIdle"] = 60.0 // no connection is closed for being idle during the test
 			c := start(t, fixture{settings: set, servers: []*server{former}, registry: r}).dial()
 			require.Equal(t, "former", c.do(askArgs("01")...))
-			drop(r, former, other)
+			removeAddress(r, former, other)
 			await(t, former.disconnected, "the end of the connection to the former address")
-			came := len(former.received())
+			before := len(former.received())
 			for k := range 50 {
 				require.Equal(t, "other", c.do(askArgs(fmt.Sprintf("%04x", k))...))
 			}
-			require.Len(t, former.received(), came)
+			require.Len(t, former.received(), before)
 		})
 	}
 }
--- a/cmd/bramblefall/memory_test.go
+++ b/cmd/bramblefall/memory_test.go
@@ -49,9 +49,9 @@
 // Many commands of the largest size are in flight while servers do not answer. The memory that they take stays under the cap.
 func TestBytesInFlightAreBoundedByMemoryCap(t *testing.T) {
 	t.Parallel()
-	mute := newServer(t, "s-1", "hall-a", func(net.Conn, []string) {})
+	silent := newServer(t, "s-1", "hall-a", func(net.Conn, []string) {})
 	const clients, each, limit = 16, 64, 64 // 16 * 64 commands of 64 KB are 64 MB, as much as the cap
-	l := start(t, fixture{memoryMB: limit, servers: []*server{mute}})
+	l := start(t, fixture{memoryMB: limit, servers: []*server{silent}})
 	large := strings.Repeat("p", 64<<10)
 	var flood sync.WaitGroup
 	for n := range clients {
--- a/cmd/bramblefall/moments_test.go
+++ b/cmd/bramblefall/moments_test.go
@@ -19,7 +19,7 @@
 // used while the limiter drains, and nothing new goes to a server that the new discovery lists as draining.
 func TestReloadAroundPlannedRestart(t *testing.T) {
 	t.Parallel()
-	for name, tell := range map[string]func(l *limiter){
+	for name, sendSignals := range map[string]func(l *limiter){
 		"SIGTERM right after SIGHUP": func(l *limiter) {
 			require.NoError(l.t, l.cmd.Process.Signal(syscall.SIGHUP))
 			l.terminate()
@@ -44,19 +44,19 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			release := make(chan struct{})
-			left := newServer(t, "s-1", "hall-a", func(conn net.Conn, args []string) {
+			old := newServer(t, "s-1", "hall-a", func(conn net.Conn, args []string) {
 				<-release
 				replyValue("old")(conn, args)
 			})
-			fresh := newServer(t, "s-2", "hall-a", replyValue("new"))
-			now := serverEntries([]*server{left, fresh})
-			now[0]["state"] = "draining"
-			line, err := json.Marshal(object{"version": 7, "full": true, "servers": now})
+			replacement := newServer(t, "s-2", "hall-a", replyValue("new"))
+			list := serverEntries([]*server{old, replacement})
+			list[0]["state"] = "draining"
+			line, err := json.Marshal(object{"version": 7, "full": true, "servers": list})
 			require.NoError(t, err)
-			w := fixture{settings: settings(), servers: []*server{left}, counter: newCounter(t), registry: newRegistry(t)}
-			w.registry.sendList(2, true, left)
+			w := fixture{settings: settings(), servers: []*server{old}, counter: newCounter(t), registry: newRegistry(t)}
+			w.registry.sendList(2, true, old)
 			l := start(t, w)
-			held, open := l.holdRequest(left), l.dial()
+			held, open := l.holdRequest(old), l.dial()
 			require.Equal(t, "+PONG", open.do("PING"))
 			next := w
 			next.counter, next.registry = newCounter(t), newAgent(t, func(_ int, conn net.Conn) {
@@ -66,7 +66,7 @@
 			raw, err := json.Marshal(next.config(t))
 			require.NoError(t, err)
 			require.NoError(t, os.WriteFile(l.path, raw, 0o600))
-			tell(l)
+			sendSignals(l)
 			l.waitForLog("msg=draining")
 			l.waitForLog("read the configuration anew")
 			require.Eventually(t, func() bool { _, conns := next.counter.callsAndConns(); return conns > 0 }, testTimeout, time.Millisecond)
@@ -74,7 +74,7 @@
 			assert.Equal(t, "old", held.readReply())
 			held.expectClosed()
 			l.waitForCleanExit()
-			assert.Len(t, left.received(), 1)
+			assert.Len(t, old.received(), 1)
 			assert.NotContains(t, l.log.String(), "cut off")
 		})
 	}
@@ -84,16 +84,16 @@
 // one answer: requests that may be repeated are served by another server, and those that may have run are reported as failed.
 func TestServerThatDiesRightAfterAccept(t *testing.T) {
 	t.Parallel()
-	for name, read := range map[string]bool{"unread": false, "after the command": true} {
+	for name, readsFirst := range map[string]bool{"unread": false, "after the command": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			dies := &server{id: "s-1", zone: "hall-a", state: "ready", addr: serveConns(t, func(conn net.Conn) {
-				if read {
+			resetting := &server{id: "s-1", zone: "hall-a", state: "ready", addr: serveConns(t, func(conn net.Conn) {
+				if readsFirst {
 					_ = readCommand(conn)
 				}
 				resetConn(conn, nil)
 			})}
-			w := fixture{servers: []*server{dies, newServer(t, "s-2", "hall-a", replyValue("v"))}}
+			w := fixture{servers: []*server{resetting, newServer(t, "s-2", "hall-a", replyValue("v"))}}
 			l := start(t, w)
 			for k := range 40 {
 				require.Equal(t, "v", l.dial().do(askArgs(fmt.Sprint("a", k))...))
@@ -109,9 +109,9 @@
 	l := start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", func(conn net.Conn, args []string) {
 		replyValue("v"+args[2])(conn, args)
 	})}})
-	whole := len(encodeCommand(doArgs("a000")...) + encodeCommand(askArgs("b000")...))
+	length := len(encodeCommand(doArgs("a000")...) + encodeCommand(askArgs("b000")...))
 	c := l.dial()
-	for cut := 1; cut < whole; cut += 3 {
+	for cut := 1; cut < length; cut += 3 {
 		first, second := fmt.Sprintf("a%03d", cut), fmt.Sprintf("b%03d", cut)
 		text := encodeCommand(doArgs(first)...) + encodeCommand(askArgs(second)...)
 		c.write(text[:cut])
@@ -130,12 +130,12 @@
 // and the servers are used again once they answer.
 func TestRequestsToSilentServersAreAnswered(t *testing.T) {
 	t.Parallel()
-	silent := make(chan struct{})
+	answering := make(chan struct{})
 	w := fixture{maxDescriptors: 400}
 	for k := range 4 {
 		w.servers = append(w.servers, newServer(t, fmt.Sprint("s-", k), "hall-a", func(conn net.Conn, args []string) {
 			select {
-			case <-silent:
+			case <-answering:
 				replyValue("v")(conn, args)
 			default: // no answer, ever
 			}
@@ -146,9 +146,9 @@
 	for k := range 50 {
 		c := l.dial()
 		clients = append(clients, c)
-		for n, words := range [][]string{askArgs(fmt.Sprint("a", k)), doArgs(fmt.Sprint("p", k)), askArgs(fmt.Sprint("b", k))} {
-			words[3] = strings.NewReplacer("d=4000", fmt.Sprint("d=", 500+200*n), "d=6000", "d=900").Replace(words[3])
-			c.write(encodeCommand(words...))
+		for n, args := range [][]string{askArgs(fmt.Sprint("a", k)), doArgs(fmt.Sprint("p", k)), askArgs(fmt.Sprint("b", k))} {
+			args[3] = strings.NewReplacer("d=4000", fmt.Sprint("d=", 500+200*n), "d=6000", "d=900").Replace(args[3])
+			c.write(encodeCommand(args...))
 		}
 	}
 	for _, c := range clients {
@@ -156,7 +156,7 @@
 			require.Regexp(t, "^-(BUSY|ERR failed)", c.readReply())
 		}
 	}
-	close(silent)
+	close(answering)
 	c := clients[0]
 	served, k := "", 0
 	for began := time.Now(); served != "v"; k++ {
--- a/cmd/bramblefall/plans_test.go
+++ b/cmd/bramblefall/plans_test.go
@@ -87,15 +87,15 @@
 	require.Regexp(t, `2 +to come +2099`, out)
 	out, _ = runCLI(t, 0, "plans", "show", "--socket", socket)
 	require.Regexp(t, `regular +100 +50`, out)
-	_, said := runCLI(t, 2, "plans", "apply", writeScript(t, filepath.Join(dir, "3.star"), planScript(1, "", "rate = 7, burst = 50")), "--socket", socket)
-	require.Contains(t, said, "number: 1 is another version's already")
-	_, said = runCLI(t, 2, "plans", "apply", writeScript(t, filepath.Join(dir, "4.star"), `bramblefall(plans = [plan(number = 9, tiers = [tier(name = "full", rate = 5, burst = 10)])])`), "--socket", socket)
-	require.Contains(t, said, "tiers[regular]: removed while 1 firms use it")
-	_, said = runCLI(t, 2, "plans", "apply", writeScript(t, filepath.Join(dir, "5.star"), planScript(10, `effective = time("2020-01-01T00:00:00Z"),`, "rate = 7, burst = 50")), "--socket", socket)
-	require.Contains(t, said, "in the past")
+	_, stderr := runCLI(t, 2, "plans", "apply", writeScript(t, filepath.Join(dir, "3.star"), planScript(1, "", "rate = 7, burst = 50")), "--socket", socket)
+	require.Contains(t, stderr, "number: 1 is another version's already")
+	_, stderr = runCLI(t, 2, "plans", "apply", writeScript(t, filepath.Join(dir, "4.star"), `bramblefall(plans = [plan(number = 9, tiers = [tier(name = "full", rate = 5, burst = 10)])])`), "--socket", socket)
+	require.Contains(t, stderr, "tiers[regular]: removed while 1 firms use it")
+	_, stderr = runCLI(t, 2, "plans", "apply", writeScript(t, filepath.Join(dir, "5.star"), planScript(10, `effective = time("2020-01-01T00:00:00Z"),`, "rate = 7, burst = 50")), "--socket", socket)
+	require.Contains(t, stderr, "in the past")
 	runCLI(t, 0, "reserve", "grant", "--id", "coffee", "--firm", firm, "--units", "40", "--start", "2026-01-01T00:00:00Z", "--end", "2099-01-01T00:00:00Z", "--socket", socket)
-	_, said = runCLI(t, 2, "reserve", "grant", "--id", "coffee", "--firm", firm, "--units", "41", "--end", "2099-01-01T00:00:00Z", "--socket", socket)
-	require.Contains(t, said, "granted with other content")
+	_, stderr = runCLI(t, 2, "reserve", "grant", "--id", "coffee", "--firm", firm, "--units", "41", "--end", "2099-01-01T00:00:00Z", "--socket", socket)
+	require.Contains(t, stderr, "granted with other content")
 	runCLI(t, 1, "plans", "list", "--socket", filepath.Join(dir, "none.sock"))
 	runCLI(t, 2, "plans", "list", "--no-such-flag")
 
@@ -116,7 +116,7 @@
 }
 
 func TestDamagedStateFileIsSetAsideAndLogged(t *testing.T) {
-	for name, spoil := range map[string]func([]byte) []byte{
+	for name, damage := range map[string]func([]byte) []byte{
 		"a flipped bit": func(b []byte) []byte { b[len(b)/2] ^= 4; return b },
 		"cut":           func(b []byte) []byte { return b[:len(b)-7] },
 		"empty":         func([]byte) []byte { return nil },
@@ -130,8 +130,8 @@
 		path := filepath.Join(dir, "state", "plans.state")
 		raw, err := os.ReadFile(path)
 		require.NoError(t, err, name)
-		bad := spoil(raw)
-		require.NoError(t, os.WriteFile(path, bad, 0o600))
+		damaged := damage(raw)
+		require.NoError(t, os.WriteFile(path, damaged, 0o600))
 		l, socket, _ = startWithAdmin(t, dir, "")
 		require.Contains(t, l.log.String(), "set aside as plans.state.damaged-", name)
 		out, _ := runCLI(t, 0, "plans", "list", "--socket", socket)
@@ -141,13 +141,13 @@
 		require.Len(t, aside, 1, name)
 		kept, err := os.ReadFile(aside[0])
 		require.NoError(t, err)
-		require.Equal(t, len(bad), len(kept), name)
+		require.Equal(t, len(damaged), len(kept), name)
 	}
 }
 
 func TestForbiddenScriptFailsWithOneLine(t *testing.T) {
 	dir := t.TempDir()
-	for text, says := range map[string]string{
+	for text, want := range map[string]string{
 		"x = [0] * 1000000000\nbramblefall()\n":                                                    "memory",
 		"x = 'ab' * 500000000\ny = x + x\nbramblefall()\n":                                         "memory",
 		"def f():\n  for i in range(1 << 50): pass\nf()\n":                                         "bad.star:2: takes more than",
@@ -155,10 +155,10 @@
 		"bramblefall(plans = [plan(number = 1, tiers = [tier(name = 'a', rate = -4)])])":           "plans[0].tiers[0].rate",
 	} {
 		bad := writeScript(t, filepath.Join(dir, "bad.star"), text)
-		_, said := runCLI(t, 2, "check", bad)
-		require.Contains(t, said, says)
-		_, said = runCLI(t, 2, "-config", "../../docs/example-config.json", "-operator", bad)
-		require.Contains(t, said, says)
+		_, stderr := runCLI(t, 2, "check", bad)
+		require.Contains(t, stderr, want)
+		_, stderr = runCLI(t, 2, "-config", "../../docs/example-config.json", "-operator", bad)
+		require.Contains(t, stderr, want)
 	}
 	runCLI(t, 0, "check", "../../deploy/bramblefall.star")
 	runCLI(t, 1, "check", filepath.Join(dir, "none.star"))
@@ -256,8 +256,8 @@
 	out, _ := runCLI(t, 0, "plans", "list", "--socket", socket)
 	require.Contains(t, out, "in force")
 	require.Equal(t, "v", l.dial().do(askArgs("r1")...))
-	_, said := runCLI(t, 1, "-config", l.path, "-operator", filepath.Join(dir, "operator.star"))
-	require.Contains(t, said, "another process serves it")
+	_, stderr := runCLI(t, 1, "-config", l.path, "-operator", filepath.Join(dir, "operator.star"))
+	require.Contains(t, stderr, "another process serves it")
 }
 
 // Without an operators' file the limiter listens for clients only and starts no other process.
--- a/cmd/bramblefall/platform_test.go
+++ b/cmd/bramblefall/platform_test.go
@@ -307,10 +307,10 @@
 	t.Parallel()
 	large := strings.Repeat("p", 64<<10)
 	l := start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue(large))}})
-	deaf, other := l.dial(), l.dial()
-	require.NoError(t, deaf.conn.(*net.TCPConn).SetReadBuffer(4<<10))
+	nonReading, other := l.dial(), l.dial()
+	require.NoError(t, nonReading.conn.(*net.TCPConn).SetReadBuffer(4<<10))
 	for k := range 400 {
-		if _, err := deaf.conn.Write([]byte(encodeCommand(askArgs(fmt.Sprintf("%04x", k))...))); err != nil {
+		if _, err := nonReading.conn.Write([]byte(encodeCommand(askArgs(fmt.Sprintf("%04x", k))...))); err != nil {
 			break // the limiter has closed the connection already
 		}
 		if k%20 == 0 {
@@ -319,8 +319,8 @@
 		}
 	}
 	require.Equal(t, large, other.do(askArgs("ffffffff")...))
-	with := l.clientConnections()
-	assert.Eventually(t, func() bool { return l.clientConnections() < with }, testTimeout, 10*time.Millisecond,
+	established := l.clientConnections()
+	assert.Eventually(t, func() bool { return l.clientConnections() < established }, testTimeout, 10*time.Millisecond,
 		"the connection must be closed and not kept with all the replies that wait for it")
 }
 
@@ -392,16 +392,16 @@
 	good, err := json.Marshal(w.config(t))
 	require.NoError(t, err)
 	c, refused, taken := l.dial(), "the old one is kept", "read the configuration anew"
-	read := func() int { return strings.Count(l.log.String(), refused) + strings.Count(l.log.String(), taken) }
+	handled := func() int { return strings.Count(l.log.String(), refused) + strings.Count(l.log.String(), taken) }
 	mutants := 0
 	for what, raw := range fault.Mutants(good) {
 		if mutants++; mutants%3 > 0 { // a third of them keeps the test short enough for every run
 			continue
 		}
-		before := read()
+		before := handled()
 		require.NoError(t, os.WriteFile(l.path, raw, 0o600))
 		require.NoError(t, l.cmd.Process.Signal(syscall.SIGHUP))
-		require.Eventually(t, func() bool { return read() > before }, testTimeout, time.Millisecond, what)
+		require.Eventually(t, func() bool { return handled() > before }, testTimeout, time.Millisecond, what)
 		require.NotEmpty(t, c.do(askArgs(fmt.Sprintf("%08x", mutants))...), what)
 	}
 	require.Greater(t, mutants, 600)
@@ -417,20 +417,20 @@
 	delete(set, "rules")
 	none, million := settings(), settings()
 	none["balancers"], million["balancers"] = 0, 1000000
-	good := object{"listen": reserveAddress(t), "settings": settings()}
+	good := object{"listen": reservedAddress(t), "settings": settings()}
 	for name, c := range map[string]struct {
 		config any
 		second any
 	}{
 		"no object":                   {config: 7},
-		"no settings":                 {config: object{"listen": reserveAddress(t)}},
-		"a missing setting":           {config: object{"listen": reserveAddress(t), "settings": set}},
-		"a fleet of none":             {config: object{"listen": reserveAddress(t), "settings": none}},
-		"a fleet of a million":        {config: object{"listen": reserveAddress(t), "settings": million}},
+		"no settings":                 {config: object{"listen": reservedAddress(t)}},
+		"a missing setting":           {config: object{"listen": reservedAddress(t), "settings": set}},
+		"a fleet of none":             {config: object{"listen": reservedAddress(t), "settings": none}},
+		"a fleet of a million":        {config: object{"listen": reservedAddress(t), "settings": million}},
 		"no address":                  {config: object{"settings": settings()}},
-		"invalid seed":                {config: object{"listen": reserveAddress(t), "settings": settings(), "seed": "x"}},
-		"unknown field of -ratelimit": {config: good, second: object{"listne": reserveAddress(t)}},
-		"no cluster file":             {config: good, second: object{"listen": reserveAddress(t), "others": object{"clusters": "none.json"}}},
+		"invalid seed":                {config: object{"listen": reservedAddress(t), "settings": settings(), "seed": "x"}},
+		"unknown field of -ratelimit": {config: good, second: object{"listne": reservedAddress(t)}},
+		"no cluster file":             {config: good, second: object{"listen": reservedAddress(t), "others": object{"clusters": "none.json"}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -449,12 +449,12 @@
 // A limiter with a tenth of a core needs ten times as long for its last answers, so it gives a server less time.
 func TestSmallCPUShareShortensServerDeadline(t *testing.T) {
 	t.Parallel()
-	for cores, most := range map[float64]int{1: 5992, 0.1: 5974} { // of 6000 ms, of which package logic reserves 6
+	for cores, maxMS := range map[float64]int{1: 5992, 0.1: 5974} { // of 6000 ms, of which package logic reserves 6
 		s := newServer(t, "s-1", "hall-a", replyValue("v"))
 		require.Equal(t, "v", start(t, fixture{cores: cores, servers: []*server{s}}).dial().do(doArgs("01")...))
-		wait := regexp.MustCompile(`d=(\d+)`).FindStringSubmatch(s.received()[0][3])
-		ms, err := strconv.Atoi(wait[1])
+		field := regexp.MustCompile(`d=(\d+)`).FindStringSubmatch(s.received()[0][3])
+		ms, err := strconv.Atoi(field[1])
 		require.NoError(t, err)
-		assert.LessOrEqual(t, ms, most)
+		assert.LessOrEqual(t, ms, maxMS)
 	}
 }
--- a/cmd/bramblefall/ratelimit_test.go
+++ b/cmd/bramblefall/ratelimit_test.go
@@ -48,7 +48,7 @@
 // rateLimitFile writes a -ratelimit file, which switches on the gRPC front, and returns its path. endpoints are the addresses of
 // an external rate limit service, if any.
 func rateLimitFile(t *testing.T, endpoints ...string) string {
-	file := object{"listen": reserveAddress(t), "domain": "depots"}
+	file := object{"listen": reservedAddress(t), "domain": "depots"}
 	dir := t.TempDir()
 	if len(endpoints) > 0 {
 		file["others"] = object{"cluster": "limits", "clusters": "cds.json", "endpoints": "eds.json"}
@@ -198,18 +198,18 @@
 
 func TestInvalidDescriptors(t *testing.T) {
 	t.Parallel()
-	limited, given := firmDescriptor("a1"), firmDescriptor("a1")
+	limited, negative := firmDescriptor("a1"), firmDescriptor("a1")
 	limited.Limit = &entriesv3.RateLimitDescriptor_RateLimitOverride{RequestsPerUnit: 1}
-	given.IsNegativeHits = true
-	crowd := make([]*entriesv3.RateLimitDescriptor, 17)
-	for k := range crowd {
-		crowd[k] = firmDescriptor("a1")
+	negative.IsNegativeHits = true
+	many := make([]*entriesv3.RateLimitDescriptor, 17)
+	for k := range many {
+		many[k] = firmDescriptor("a1")
 	}
 	huge := rateLimitRequest(firmDescriptor("a1"))
 	huge.HitsAddend = 4e9
 	s := start(t, fixture{rateLimitFile: rateLimitFile(t)}).rateLimitClient()
 	for name, r := range map[string]*rlsv3.RateLimitRequest{
-		"none": rateLimitRequest(), "too many": rateLimitRequest(crowd...), "override": rateLimitRequest(limited), "negative hits": rateLimitRequest(given), "huge": huge,
+		"none": rateLimitRequest(), "too many": rateLimitRequest(many...), "override": rateLimitRequest(limited), "negative hits": rateLimitRequest(negative), "huge": huge,
 		"domain": {Domain: "elsewhere", Descriptors: []*entriesv3.RateLimitDescriptor{firmDescriptor("a1")}},
 		"firm":   rateLimitRequest(descriptor("tier", "regular", "class", "balance-read")),
 		"tier":   rateLimitRequest(descriptor("firm", "a1", "tier", "gold", "class", "balance-read")),
@@ -382,11 +382,11 @@
 // A caller that cancels ends the try that is in flight, and what the request held is released.
 func TestCancelDuringCall(t *testing.T) {
 	t.Parallel()
-	left := make(chan time.Duration, 1) // time left until the deadline of the try when it ended
+	timeLeft := make(chan time.Duration, 1) // time left until the deadline of the try when it ended
 	o := &externalService{answer: func(ctx context.Context, _ *rlsv3.RateLimitRequest) (*rlsv3.RateLimitResponse, error) {
 		<-ctx.Done()
 		until, _ := ctx.Deadline()
-		left <- time.Until(until)
+		timeLeft <- time.Until(until)
 		return nil, ctx.Err()
 	}}
 	set := settingsWithBurst(10)
@@ -401,7 +401,7 @@
 	require.Eventually(t, func() bool { return o.calls() == 1 }, testTimeout, time.Millisecond)
 	cancel()
 	assert.Equal(t, codes.Canceled, status.Code(await(t, failed, "the call to end")))
-	assert.Greater(t, await(t, left, "the try to end"), 2*time.Second, "time left of 6 s: the try must have been cancelled, not timed out")
+	assert.Greater(t, await(t, timeLeft, "the try to end"), 2*time.Second, "time left of 6 s: the try must have been cancelled, not timed out")
 	o.mu.Lock()
 	o.answer = respondWith(verdictOK)
 	o.mu.Unlock()
--- a/cmd/bramblefall/restart_test.go
+++ b/cmd/bramblefall/restart_test.go
@@ -135,7 +135,7 @@
 func TestPlannedRestartEdgeCases(t *testing.T) {
 	t.Parallel()
 	large := strings.Repeat("p", 64<<10)
-	for name, moment := range map[string]func(t *testing.T, l *limiter, release func()){
+	for name, event := range map[string]func(t *testing.T, l *limiter, release func()){
 		"SIGTERM twice": func(_ *testing.T, l *limiter, release func()) {
 			l.terminate()
 			l.waitForLog("msg=draining")
@@ -157,10 +157,10 @@
 			c.expectClosed()
 		},
 		"a client that does not read": func(t *testing.T, l *limiter, release func()) {
-			deaf := l.dial()
-			require.NoError(t, deaf.conn.(*net.TCPConn).SetReadBuffer(4<<10))
+			nonReading := l.dial()
+			require.NoError(t, nonReading.conn.(*net.TCPConn).SetReadBuffer(4<<10))
 			for k := range 100 {
-				deaf.write(encodeCommand(askArgs(fmt.Sprintf("%08x", k))...))
+				nonReading.write(encodeCommand(askArgs(fmt.Sprintf("%08x", k))...))
 			}
 			l.terminate()
 			release()
@@ -201,7 +201,7 @@
 			})
 			l := start(t, fixture{servers: []*server{s}})
 			c := l.holdRequest(s)
-			moment(t, l, func() { close(held) })
+			event(t, l, func() { close(held) })
 			assert.Equal(t, "v", c.readReply())
 			c.expectClosed()
 			l.waitForCleanExit()
@@ -217,8 +217,8 @@
 		<-held
 		replyValue("v")(conn, args)
 	})
-	away := serveConns(t, func(net.Conn) {}) // closes each connection at once
-	l := start(t, fixture{servers: []*server{s}, counter: &quotaCounter{addr: away}, registry: &registry{addr: away}})
+	downAddress := serveConns(t, func(net.Conn) {}) // closes each connection at once
+	l := start(t, fixture{servers: []*server{s}, counter: &quotaCounter{addr: downAddress}, registry: &registry{addr: downAddress}})
 	c := l.holdRequest(s)
 	l.terminate()
 	l.waitForLog("msg=draining")
--- a/cmd/bramblefall/rolling_test.go
+++ b/cmd/bramblefall/rolling_test.go
@@ -127,18 +127,18 @@
 // traceFinding describes which processes had the addresses that a finding names, and how many logged its request as accepted
 // (log message "taken").
 func (r *rolling) traceFinding(finding string) string {
-	trace, takers := "", 0
-	for life, l := range r.started {
+	trace, accepted := "", 0
+	for process, l := range r.started {
 		if strings.Contains(finding, l.Addr+" ") {
-			trace += fmt.Sprintf("\n  %s was the address of process %d: %v", l.Addr, life, l.Cmd.ProcessState)
+			trace += fmt.Sprintf("\n  %s was the address of process %d: %v", l.Addr, process, l.Cmd.ProcessState)
 		}
 		for _, taken := range takenID.FindAllStringSubmatch(l.Log(), -1) {
 			if strings.Contains(finding, taken[1]) {
-				takers++
+				accepted++
 			}
 		}
 	}
-	return trace + fmt.Sprintf("\n  %d of %d processes logged the request as taken", takers, len(r.started))
+	return trace + fmt.Sprintf("\n  %d of %d processes logged the request as taken", accepted, len(r.started))
 }
 
 var takenID = regexp.MustCompile(`msg=taken id=(\S+)`)
@@ -166,9 +166,9 @@
 		}
 	}
 	stop := make(chan struct{})
-	var asking sync.WaitGroup
+	var clients sync.WaitGroup
 	for k := range rollingClients {
-		asking.Go(func() { r.runClient(rand.New(rand.NewPCG(1, uint64(k))), stop) })
+		clients.Go(func() { r.runClient(rand.New(rand.NewPCG(1, uint64(k))), stop) })
 	}
 	time.Sleep(time.Second)
 	for first := 0; first < rollingLimiters; first += restartedAtOnce {
@@ -192,17 +192,17 @@
 		}
 	}
 	close(stop)
-	asking.Wait()
-	found, times := r.world.Audit.Findings()
-	for k := range found {
-		found[k] += r.traceFinding(found[k])
+	clients.Wait()
+	findings, count := r.world.Audit.Findings()
+	for k := range findings {
+		findings[k] += r.traceFinding(findings[k])
 	}
-	require.Zero(t, times, strings.Join(found, "\n"))
-	taken, lost := 0, []string(nil)
+	require.Zero(t, count, strings.Join(findings, "\n"))
+	taken, unanswered := 0, []string(nil)
 	for k, l := range r.started {
 		for _, m := range takenID.FindAllStringSubmatch(l.Log(), -1) {
 			if taken++; !r.answered[m[1]] {
-				lost = append(lost, fmt.Sprintf("%s by process %d", m[1], k))
+				unanswered = append(unanswered, fmt.Sprintf("%s by process %d", m[1], k))
 			}
 		}
 		if k < rollingLimiters {
@@ -211,7 +211,7 @@
 	}
 	t.Logf("%d requests, %d taken, %d served, %d cut off by a close of a reused connection; %d connections refused, %d closed unanswered", len(r.answered), taken,
 		r.served, r.closedOnReuse, r.refused, r.closedUnanswered)
-	require.Empty(t, lost, "requests logged as taken that got no answer")
+	require.Empty(t, unanswered, "requests logged as taken that got no answer")
 	require.Greater(t, r.served, 1000, "too few requests were served to prove anything")
 	require.LessOrEqual(t, r.closedUnanswered*200, len(r.answered), "more than one new connection per 200 requests was closed without an answer")
 }
--- a/cmd/bramblefall/size_test.go
+++ b/cmd/bramblefall/size_test.go
@@ -96,7 +96,7 @@
 // on descriptors, and the limiter still exits cleanly.
 func TestListsOf1024(t *testing.T) { // not in parallel: it needs the whole machine
 	set, all := lastOfFleetSettings(listSize), newNumberedServers(t, listSize)
-	for name, play := range map[string]func(t *testing.T) *limiter{
+	for name, startLimiter := range map[string]func(t *testing.T) *limiter{
 		"known at the start": func(t *testing.T) *limiter {
 			l := start(t, fixture{settings: set, servers: all, memoryMB: sizeMemoryCapMB})
 			l.checkWholeListServed(listSize)
@@ -132,7 +132,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := play(t)
+			l := startLimiter(t)
 			l.terminate()
 			l.waitForCleanExit()
 		})
--- a/cmd/bramblefall/soak_callers_test.go
+++ b/cmd/bramblefall/soak_callers_test.go
@@ -31,7 +31,7 @@
 		<-ctx.Done()
 		return nil, ctx.Err()
 	case chance < 0.4:
-		return nil, status.Error(codes.Internal, "by chance")
+		return nil, status.Error(codes.Internal, "random failure")
 	}
 	time.Sleep(time.Duration(chance*30) * time.Millisecond)
 	return &rlsv3.RateLimitResponse{OverallCode: rlsv3.RateLimitResponse_OK}, nil
--- a/cmd/bramblefall/soak_test.go
+++ b/cmd/bramblefall/soak_test.go
@@ -219,8 +219,8 @@
 }
 
 // sendSignals reloads and stops the process a few times at random, makes nodes hang, and ends the process with SIGTERM, after
-// which further signals may follow. told gets the time of SIGTERM.
-func (s *soak) sendSignals(l *standin.Limiter, told chan<- time.Time) {
+// which further signals may follow. terminated gets the time of SIGTERM.
+func (s *soak) sendSignals(l *standin.Limiter, terminated chan<- time.Time) {
 	send := func(signal syscall.Signal) { _ = l.Signal(signal) }
 	pause := func(most int) { time.Sleep(time.Duration(s.intN(most)) * time.Millisecond) }
 	for range s.intN(4) {
@@ -237,7 +237,7 @@
 	s.nodesHang = s.rng.IntN(3) > 0
 	s.mu.Unlock()
 	pause(100)
-	told <- time.Now()
+	terminated <- time.Now()
 	send(syscall.SIGTERM)
 	for range s.intN(3) {
 		pause(500)
@@ -293,9 +293,9 @@
 		clients.Go(func() { s.reconnectIdleCrowd(l.Addr) })
 	}
 	time.Sleep(1100 * time.Millisecond) // SIGHUP is never sent in the first second
-	told := make(chan time.Time, 1)
-	clients.Go(func() { s.sendSignals(l, told) })
-	killAt := (<-told).Add(min(s.deadline, maxCountedDeadline) + killSlack)
+	terminated := make(chan time.Time, 1)
+	clients.Go(func() { s.sendSignals(l, terminated) })
+	killAt := (<-terminated).Add(min(s.deadline, maxCountedDeadline) + killSlack)
 	select {
 	case <-l.Ended:
 	case <-time.After(time.Until(killAt)):
@@ -367,13 +367,13 @@
 		first, err = strconv.Atoi(text)
 		require.NoError(t, err)
 	}
-	places := make(chan struct{}, concurrentSoaks)
+	slots := make(chan struct{}, concurrentSoaks)
 	t.Run("seeds", func(t *testing.T) {
 		for seed := first; seed < first+seeds; seed++ {
 			t.Run(strconv.Itoa(seed), func(t *testing.T) {
 				t.Parallel()
-				places <- struct{}{}
-				defer func() { <-places }()
+				slots <- struct{}{}
+				defer func() { <-slots }()
 				rng := rand.New(rand.NewPCG(uint64(seed), 1))
 				s := &soak{t: t, rng: rng, seed: uint64(seed), deadline: time.Duration(1+rng.IntN(6)) * time.Second,
 					semantics: []string{"guarded", "single_shot"}[rng.IntN(2)], stop: make(chan struct{}), requests: map[string]*trackedRequest{}}
--- a/cmd/bramblefall/syscalls_test.go
+++ b/cmd/bramblefall/syscalls_test.go
@@ -187,7 +187,7 @@
 // its server, and ejects no server.
 func TestConnectErrorsEjectNoServer(t *testing.T) {
 	t.Parallel()
-	for name, where := range map[string]struct {
+	for name, failure := range map[string]struct {
 		number int32
 		errno  syscall.Errno
 	}{
@@ -202,22 +202,22 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var mu sync.Mutex
-			left := 0
+			failuresLeft := 0
 			w := fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}, syscallErrors: func(number int32, _ uint64, _ int) syscall.Errno {
 				mu.Lock()
 				defer mu.Unlock()
-				if number != where.number || left == 0 {
+				if number != failure.number || failuresLeft == 0 {
 					return 0
 				}
-				left--
-				return where.errno
+				failuresLeft--
+				return failure.errno
 			}}
 			w.settings = settings()
 			w.settings["balancers"] = 6 // in a fleet of more than four, one failure ejects a server
 			l := start(t, w)
 			for round := range 3 {
 				mu.Lock()
-				left = 2
+				failuresLeft = 2
 				mu.Unlock()
 				post := doArgs(fmt.Sprintf("0%d", round))
 				post[3] = strings.Replace(post[3], "spread=1", "spread=2", 1)
@@ -337,7 +337,7 @@
 // in a fleet of any size.
 func TestFailedDialsAtStartDoNotDelayList(t *testing.T) {
 	t.Parallel()
-	w, left, line := drainedServerFixture(t)
+	w, draining, line := drainedServerFixture(t)
 	w.settings = settings()
 	w.settings["balancers"] = 80
 	w.registry = newAgent(t, func(_ int, conn net.Conn) {
@@ -357,5 +357,5 @@
 		return 0
 	}
 	assert.Equal(t, "new", start(t, w).dial().do(askArgs("01")...))
-	assert.Empty(t, left.received())
+	assert.Empty(t, draining.received())
 }
--- a/cmd/bramblefall/terms_test.go
+++ b/cmd/bramblefall/terms_test.go
@@ -42,19 +42,19 @@
 // forwarded then is no longer than what is left, at the first attempt and at a retry.
 func TestForwardedDeadlineIsTimeLeft(t *testing.T) {
 	t.Parallel()
-	for name, again := range map[string]bool{"first attempt": false, "retry": true} {
+	for name, retry := range map[string]bool{"first attempt": false, "retry": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			set := settings()
 			set["caps"].(object)["connectTimeout"] = 8.0
 			d := newGatedListener(t)
 			c := start(t, fixture{settings: set, servers: []*server{{id: "s-1", zone: "hall-a", state: "ready", addr: d.addr}}}).dial()
-			if !again {
+			if !retry {
 				d.fillBacklog()
 			}
 			sent := time.Now()
 			c.write(encodeCommand(doArgs("01")...)) // of a class whose first attempt may use all of its time
-			if again {
+			if retry {
 				first := d.accept()
 				require.NotNil(t, readCommand(first))
 				d.fillBacklog()
@@ -91,7 +91,7 @@
 func TestClosedConnectionLosesNoAcceptedRequest(t *testing.T) {
 	t.Parallel()
 	large := strings.Repeat("p", 60<<10)
-	for name, play := range map[string]func(t *testing.T, c *client, release func()) (answers int){
+	for name, sendCommands := range map[string]func(t *testing.T, c *client, release func()) (answers int){
 		"many large answers that are read late": func(t *testing.T, c *client, release func()) int {
 			var all strings.Builder
 			for n := range 80 {
@@ -131,9 +131,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			held := make(chan struct{})
+			release := make(chan struct{})
 			s := newServer(t, "s-1", "hall-a", func(conn net.Conn, args []string) {
-				<-held
+				<-release
 				if strings.HasPrefix(args[2], "large") {
 					replyValue(large)(conn, args)
 				} else {
@@ -143,7 +143,7 @@
 			set := settings()
 			set["tariffs"].([]object)[0]["perSecond"], set["tariffs"].([]object)[0]["depth"] = 1e5, 1e5
 			c := start(t, fixture{settings: set, servers: []*server{s}}).dial()
-			for range play(t, c, func() { close(held) }) {
+			for range sendCommands(t, c, func() { close(release) }) {
 				_ = c.readReply() // fails the test if the connection has ended
 			}
 		})
@@ -298,8 +298,8 @@
 	t.Run("call made after the grace", func(t *testing.T) {
 		t.Parallel()
 		a, b := &externalService{answer: respondWith(verdictOK)}, &externalService{answer: respondWith(verdictOK)}
-		first, then := a.listen(t), b.listen(t)
-		file := rateLimitFile(t, first, then)
+		first, other := a.listen(t), b.listen(t)
+		file := rateLimitFile(t, first, other)
 		s := start(t, fixture{rateLimitFile: file}).rateLimitClient()
 		stop := make(chan struct{})
 		var callers sync.WaitGroup
@@ -317,12 +317,12 @@
 		}
 		for round := range 4 {
 			time.Sleep(300 * time.Millisecond)
-			writeEndpoints(t, filepath.Dir(file), 1, first, then)
+			writeEndpoints(t, filepath.Dir(file), 1, first, other)
 			time.Sleep(grace)
 			before := a.calls()
 			time.Sleep(300 * time.Millisecond)
 			assert.Equal(t, before, a.calls(), "round %d", round)
-			a, b, first, then = b, a, then, first
+			a, b, first, other = b, a, other, first
 		}
 		close(stop)
 		callers.Wait()
@@ -350,17 +350,17 @@
 // answer the first requests, and whether the file names a new address or the old one.
 func TestDiscoveryListIsInEffectSoonAfterReload(t *testing.T) {
 	t.Parallel()
-	const counts, refusing, grace = 4 * time.Second, 3500 * time.Millisecond, 550 * time.Millisecond
-	for _, same := range []bool{false, true} {
+	const effectWithin, refuseFor, grace = 4 * time.Second, 3500 * time.Millisecond, 550 * time.Millisecond
+	for _, sameAddress := range []bool{false, true} {
 		for n := range 4 {
-			t.Run(fmt.Sprintf("same address %v/%d", same, n), func(t *testing.T) {
+			t.Run(fmt.Sprintf("same address %v/%d", sameAddress, n), func(t *testing.T) {
 				t.Parallel()
-				w, left, line := drainedServerFixture(t)
-				var opens atomic.Int64 // when the agent begins to answer, in nanoseconds since began
+				w, draining, line := drainedServerFixture(t)
+				var answersFrom atomic.Int64 // when the agent begins to answer, in nanoseconds since began
 				began := time.Now()
-				refuses := func(list string) *registry {
+				newRefusingAgent := func(list string) *registry {
 					return newAgent(t, func(_ int, conn net.Conn) {
-						if time.Since(began) >= time.Duration(opens.Load()) {
+						if time.Since(began) >= time.Duration(answersFrom.Load()) {
 							_, _ = conn.Write([]byte(chunkedHeader + chunk(list)))
 							waitForClose(conn)
 						}
@@ -368,25 +368,25 @@
 				}
 				w.settings = settings()
 				w.settings["balancers"] = 80 // in fleets of this size and more, requests to discovery are furthest apart
-				w.registry = refuses(line)
-				opens.Store(int64(time.Hour))
+				w.registry = newRefusingAgent(line)
+				answersFrom.Store(int64(time.Hour))
 				l := start(t, w)
-				if !same {
-					w.registry = refuses(line)
+				if !sameAddress {
+					w.registry = newRefusingAgent(line)
 				}
 				raw, err := json.Marshal(w.config(t))
 				require.NoError(t, err)
 				time.Sleep(time.Duration(n) * 500 * time.Millisecond) // so that some requests to the old address have failed before
-				told := time.Now()
-				opens.Store(int64(time.Since(began) + refusing))
+				reloaded := time.Now()
+				answersFrom.Store(int64(time.Since(began) + refuseFor))
 				l.reload(raw, "read the configuration anew")
-				time.Sleep(time.Until(told.Add(counts + grace)))
-				before := len(left.received())
+				time.Sleep(time.Until(reloaded.Add(effectWithin + grace)))
+				before := len(draining.received())
 				for k := range 10 {
 					l.dial().write(encodeCommand(askArgs(fmt.Sprintf("late%d", k))...))
 				}
 				time.Sleep(500 * time.Millisecond)
-				assert.Len(t, left.received(), before, "requests were sent to a server that drains")
+				assert.Len(t, draining.received(), before, "requests were sent to a server that drains")
 			})
 		}
 	}
@@ -472,9 +472,9 @@
 // read is answered.
 func TestPlannedRestartClosesContinuouslySendingClients(t *testing.T) {
 	t.Parallel()
-	const clients, soon = 8, 1500 * time.Millisecond // connections are no longer kept open 0.45 s after SIGTERM
+	const clients, closedWithin = 8, 1500 * time.Millisecond // connections are no longer kept open 0.45 s after SIGTERM
 	l := start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}})
-	var told atomic.Int64
+	var terminated atomic.Int64
 	began := time.Now()
 	var all sync.WaitGroup
 	for k := range clients {
@@ -489,7 +489,7 @@
 					_, err = c.in.Peek(1)
 				}
 				if err != nil {
-					assert.Less(t, time.Since(began)-time.Duration(told.Load()), soon, "client %d", k)
+					assert.Less(t, time.Since(began)-time.Duration(terminated.Load()), closedWithin, "client %d", k)
 					return
 				}
 				_, _ = c.in.ReadString('\n')
@@ -497,7 +497,7 @@
 		})
 	}
 	time.Sleep(300 * time.Millisecond)
-	told.Store(int64(time.Since(began)))
+	terminated.Store(int64(time.Since(began)))
 	l.terminate()
 	all.Wait()
 	l.waitForCleanExit()
--- a/cmd/bramblefall/upstream_test.go
+++ b/cmd/bramblefall/upstream_test.go
@@ -25,36 +25,36 @@
 func TestRetryScopeFollowsOutcome(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
-		first     func(net.Conn, []string)
-		down      bool   // the first server's address refuses connections
-		elsewhere string // the client's answer if the second server stands in another hall
+		first       func(net.Conn, []string)
+		refuses     bool   // the first server's address refuses connections
+		inOtherHall string // the client's answer if the second server stands in another hall
 	}{
-		"busy":                {first: replyRaw("-BUSY\r\n"), elsewhere: "v"},
-		"busy with load":      {first: replyRaw("-BUSY inflight=7,queue=2,util=0.61\r\n"), elsewhere: "v"},
-		"busy misspelt":       {first: replyRaw("-BUSYBODY\r\n"), elsewhere: "-ERR failed"},
-		"busy with noise":     {first: replyRaw("-BUSY \x00\xff\r\n"), elsewhere: "-ERR failed"},
-		"refused connection":  {down: true, elsewhere: "v"},
-		"error":               {first: replyRaw("-ERR failed\r\n"), elsewhere: "-ERR failed"},
-		"reset":               {first: resetConn, elsewhere: "-ERR failed"},
-		"null":                {first: replyRaw("$-1\r\n"), elsewhere: "-ERR failed"},
-		"array of a null":     {first: replyRaw("*3\r\n$-1\r\n$-1\r\n$-1\r\n"), elsewhere: "-ERR failed"},
-		"garbage":             {first: replyRaw("hello\r\n"), elsewhere: "-ERR failed"},
-		"a value without end": {first: replyRaw("$99999999\r\n"), elsewhere: "-ERR failed"},
-		"a value too short":   {first: replyRaw("*3\r\n$100\r\nstale\r\n$-1\r\n$-1\r\n"), elsewhere: "-ERR failed"},
-		"a line without end":  {first: replyRaw("-ERR fai"), elsewhere: "-ERR failed"},
-		"a value alone":       {first: replyRaw("$5\r\nstale\r\n"), elsewhere: "-ERR failed"},
-		"too few parts":       {first: replyRaw("*1\r\n$5\r\nstale\r\n"), elsewhere: "-ERR failed"},
+		"busy":                {first: replyRaw("-BUSY\r\n"), inOtherHall: "v"},
+		"busy with load":      {first: replyRaw("-BUSY inflight=7,queue=2,util=0.61\r\n"), inOtherHall: "v"},
+		"busy misspelt":       {first: replyRaw("-BUSYBODY\r\n"), inOtherHall: "-ERR failed"},
+		"busy with noise":     {first: replyRaw("-BUSY \x00\xff\r\n"), inOtherHall: "-ERR failed"},
+		"refused connection":  {refuses: true, inOtherHall: "v"},
+		"error":               {first: replyRaw("-ERR failed\r\n"), inOtherHall: "-ERR failed"},
+		"reset":               {first: resetConn, inOtherHall: "-ERR failed"},
+		"null":                {first: replyRaw("$-1\r\n"), inOtherHall: "-ERR failed"},
+		"array of a null":     {first: replyRaw("*3\r\n$-1\r\n$-1\r\n$-1\r\n"), inOtherHall: "-ERR failed"},
+		"garbage":             {first: replyRaw("hello\r\n"), inOtherHall: "-ERR failed"},
+		"a value without end": {first: replyRaw("$99999999\r\n"), inOtherHall: "-ERR failed"},
+		"a value too short":   {first: replyRaw("*3\r\n$100\r\nstale\r\n$-1\r\n$-1\r\n"), inOtherHall: "-ERR failed"},
+		"a line without end":  {first: replyRaw("-ERR fai"), inOtherHall: "-ERR failed"},
+		"a value alone":       {first: replyRaw("$5\r\nstale\r\n"), inOtherHall: "-ERR failed"},
+		"too few parts":       {first: replyRaw("*1\r\n$5\r\nstale\r\n"), inOtherHall: "-ERR failed"},
 	} {
-		for zone, want := range map[string]string{"hall-x": "v", "hall-y": c.elsewhere} { // the settings know neither hall
+		for zone, want := range map[string]string{"hall-x": "v", "hall-y": c.inOtherHall} { // the settings know neither hall
 			t.Run(name+" "+zone, func(t *testing.T) {
 				t.Parallel()
 				first, second := newServer(t, "s-1", "hall-x", c.first), newServer(t, "s-2", zone, replyValue("v"))
-				if c.down {
+				if c.refuses {
 					first.addr = refusingAddress(t)
 				}
 				second.state = "draining" // the first try goes to the first server
 				r := newRegistry(t)
-				if c.down {
+				if c.refuses {
 					second.state = "ready"
 				} else {
 					first.reply = func(conn net.Conn, args []string) {
@@ -127,13 +127,13 @@
 		replyValue("stale")(conn, args)
 	})
 	c := start(t, fixture{servers: []*server{s}}).dial()
-	for began, close := time.Now(), 0; close < 20 && time.Since(began) < testTimeout; {
+	for began, closeTogether := time.Now(), 0; closeTogether < 20 && time.Since(began) < testTimeout; {
 		require.Equal(t, "01", c.do(askArgs("01")...))
 		c.write(encodeCommand(askArgs("02")...))
 		sent <- struct{}{}
 		require.Equal(t, "02", c.readReply())
 		if seen.Sub(wrote) < 10*time.Millisecond { // otherwise the machine was too busy for the reply and the next command to come close together
-			close++
+			closeTogether++
 		}
 	}
 }
@@ -229,7 +229,7 @@
 			}
 			time.Sleep(time.Millisecond)
 		}
-		return served > 65 && served < 100 // the first second also uses up the burst of 100 units
+		return served > 65 && served < 100 // in the first second also the 100 units of this limiter's half of the burst
 	}, testTimeout, time.Millisecond)
 }
 
--- a/cmd/bramblefall/wallclock_test.go
+++ b/cmd/bramblefall/wallclock_test.go
@@ -75,7 +75,7 @@
 			set := settings()
 			set["rules"].(object)["cold"] = cold.Seconds()
 			l := start(t, fixture{settings: set, servers: []*server{warm}, registry: r, clock: clock})
-			share := func(kind string) float64 {
+			shareOfFresh := func(kind string) float64 {
 				before := len(fresh.received())
 				var clients sync.WaitGroup
 				for k := range atOnce {
@@ -89,7 +89,7 @@
 				clients.Wait()
 				return float64(len(fresh.received())-before) / requests
 			}
-			share("before")
+			shareOfFresh("before")
 			clock.step(by)
 			time.Sleep(50 * time.Millisecond)
 			began := time.Now()
@@ -97,10 +97,10 @@
 			entry[0]["started_ms"] = clock.now().UnixMilli()
 			r.sendLine(3, marshalList(t, object{"version": 3, "full": false, "servers": entry}))
 			time.Sleep(50 * time.Millisecond)
-			assert.Less(t, share("cold"), 0.35, "share of a cold server, too high if it is taken for a warm one")
+			assert.Less(t, shareOfFresh("cold"), 0.35, "share of a cold server, too high if it is taken for a warm one")
 			require.Less(t, time.Since(began), cold/2, "the machine is too slow for this test: the cold server must be measured within half of its cold period")
 			time.Sleep(time.Until(began.Add(cold + 500*time.Millisecond)))
-			assert.Greater(t, share("warm"), 0.4, "share of a warm server, too low if it is taken for a cold one")
+			assert.Greater(t, shareOfFresh("warm"), 0.4, "share of a warm server, too low if it is taken for a cold one")
 		})
 	}
 }
@@ -108,7 +108,7 @@
 // Limiters that were running during a step of the wall clock and limiters that started after it count a firm under the same name.
 func TestWallClockStepKeepsOneCounterNamePerFirm(t *testing.T) {
 	t.Parallel()
-	const both = 2 << 17 // a total of at least this contains the forecasts of two limiters
+	const minBothForecasts = 2 << 17 // a total of at least this contains the forecasts of two limiters
 	for name, by := range map[string]time.Duration{"an hour forward": time.Hour, "an hour back": -time.Hour, "minutes forward": 2 * time.Minute,
 		"minutes back": -2 * time.Minute} { // not seconds: the stand-in never drops a name, so after a step by seconds each limiter would find the other's
 		t.Run(name, func(t *testing.T) {
@@ -121,14 +121,14 @@
 				set["tariffs"].([]object)[0]["perSecond"], set["tariffs"].([]object)[0]["depth"] = 20, 40
 				return start(t, fixture{settings: set, servers: []*server{s}, counter: counter, clock: clock})
 			}
-			through := []*limiter{startAs(0)}
-			first := through[0].dial()
+			limiters := []*limiter{startAs(0)}
+			first := limiters[0].dial()
 			require.Equal(t, "v", first.do(twoLimiterArgs("00")...))
 			clock.step(by)
-			through = append(through, startAs(1))
+			limiters = append(limiters, startAs(1))
 			var clients sync.WaitGroup
 			stop := make(chan struct{})
-			for k, l := range through {
+			for k, l := range limiters {
 				clients.Go(func() {
 					for n := 0; ; n++ {
 						select {
@@ -140,7 +140,7 @@
 					}
 				})
 			}
-			assert.Eventually(t, func() bool { return counter.largestTotal() >= both }, testTimeout/2, 10*time.Millisecond)
+			assert.Eventually(t, func() bool { return counter.largestTotal() >= minBothForecasts }, testTimeout/2, 10*time.Millisecond)
 			close(stop)
 			clients.Wait()
 		})
