--- a/cmd/bramblefall/crossing_test.go
+++ b/cmd/bramblefall/crossing_test.go
@@ -222,7 +222,7 @@
 
 // drainedServerFixture returns a fixture whose known list names one server, that server, and the line of a newer list in which
 // it drains and another server is ready.
-func drainedServerFixture(t *testing.T) (w fixture, draining *server, line string) {
+func drainedServerFixture(t *testing.T) (f fixture, draining *server, line string) {
 	draining = newServer(t, "s-1", "hall-a", replyValue("old"))
 	list := serverEntries([]*server{draining, newServer(t, "s-2", "hall-a", replyValue("new"))})
 	list[0]["state"] = "draining"
@@ -235,13 +235,13 @@
 // served according to the old list in the configuration.
 func TestStartWaitsForDiscoveryBeforeServing(t *testing.T) {
 	t.Parallel()
-	w, draining, line := drainedServerFixture(t)
-	w.registry = newAgent(t, func(_ int, conn net.Conn) {
+	f, draining, line := drainedServerFixture(t)
+	f.registry = newAgent(t, func(_ int, conn net.Conn) {
 		time.Sleep(200 * time.Millisecond)
 		_, _ = conn.Write([]byte(chunkedHeader + chunk(line)))
 		waitForClose(conn)
 	})
-	assert.Equal(t, "new", start(t, w).dial().do(askArgs("01")...))
+	assert.Equal(t, "new", start(t, f).dial().do(askArgs("01")...))
 	assert.Empty(t, draining.received())
 }
 
@@ -249,21 +249,21 @@
 func TestSilentDiscoveryDoesNotBlockStart(t *testing.T) {
 	t.Parallel()
 	s := newServer(t, "s-1", "hall-a", replyValue("v"))
-	w := fixture{servers: []*server{s}, registry: newAgent(t, func(_ int, conn net.Conn) { waitForClose(conn) })}
-	assert.Equal(t, "v", start(t, w).dial().do(askArgs("01")...))
+	f := fixture{servers: []*server{s}, registry: newAgent(t, func(_ int, conn net.Conn) { waitForClose(conn) })}
+	assert.Equal(t, "v", start(t, f).dial().do(askArgs("01")...))
 }
 
 // SIGHUP with another deployment's file: its addresses are followed, but none of its settings takes effect next to the old ones.
 // One log line names the settings that differ.
 func TestReloadOfAnotherDeploymentsSettingsAppliesNone(t *testing.T) {
 	t.Parallel()
-	w := fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}, counter: newCounter(t)}
-	l := start(t, w)
+	f := fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}, counter: newCounter(t)}
+	l := start(t, f)
 	c := l.dial()
 	require.Equal(t, "v", c.do(askArgs("01")...))
 	other := changeClass(settings(), 0, object{"name": "guide-read", "deadline": 1.0})
 	other["tariffs"] = []object{plan("grend", 1, 3, 0)}
-	next := fixture{settings: other, servers: w.servers, counter: newCounter(t)}
+	next := fixture{settings: other, servers: f.servers, counter: newCounter(t)}
 	raw, err := json.Marshal(next.config(t))
 	require.NoError(t, err)
 	l.reload(raw, "settings differ that hold until a restart")
@@ -327,12 +327,12 @@
 			set := settings()
 			set["caps"].(object)["connectTimeout"] = 8.0
 			s := newServer(t, "s-1", "hall-a", replyValue("v"))
-			w := fixture{settings: set, servers: []*server{s}, maxDescriptors: 600}
+			f := fixture{settings: set, servers: []*server{s}, maxDescriptors: 600}
 			d := newGatedListener(t)
 			if dialling {
-				w.servers = []*server{{id: "s-1", zone: "hall-a", state: "ready", addr: d.addr}}
+				f.servers = []*server{{id: "s-1", zone: "hall-a", state: "ready", addr: d.addr}}
 			}
-			l := start(t, w)
+			l := start(t, f)
 			var clients []*client
 			for range many {
 				clients = append(clients, l.dial())
@@ -383,8 +383,8 @@
 			replyValue("v")(conn, args)
 		}
 	})
-	w := fixture{servers: []*server{s}, maxDescriptors: 600}
-	l := start(t, w)
+	f := fixture{servers: []*server{s}, maxDescriptors: 600}
+	l := start(t, f)
 	base := l.descriptors()
 	var clients []*client
 	for n := range 200 {
@@ -435,7 +435,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w, draining, line := drainedServerFixture(t)
+			f, draining, line := drainedServerFixture(t)
 			if c.indent {
 				var b bytes.Buffer
 				require.NoError(t, json.Indent(&b, []byte(line), "", "  "))
@@ -451,7 +451,7 @@
 				text = c.head + text
 			}
 			used := make(chan struct{})
-			w.registry = newAgent(t, func(n int, conn net.Conn) {
+			f.registry = newAgent(t, func(n int, conn net.Conn) {
 				if n > 0 {
 					waitForClose(conn) // only the first request gets a list
 					return
@@ -465,7 +465,7 @@
 				<-used
 				resetConn(conn, nil)
 			})
-			l := start(t, w)
+			l := start(t, f)
 			cl := l.dial()
 			assert.Equal(t, "new", cl.do(askArgs("01")...))
 			close(used)
@@ -480,13 +480,13 @@
 func TestTerminateBeforeClientsAreAccepted(t *testing.T) {
 	t.Parallel()
 	requested := make(chan struct{})
-	w := fixture{settings: settings(), registry: newAgent(t, func(n int, conn net.Conn) {
+	f := fixture{settings: settings(), registry: newAgent(t, func(n int, conn net.Conn) {
 		if n == 0 {
 			close(requested)
 		}
 		waitForClose(conn)
 	})}
-	cmd := exec.Command(binary, "-config", writeJSON(t, filepath.Join(t.TempDir(), "config.json"), w.config(t)))
+	cmd := exec.Command(binary, "-config", writeJSON(t, filepath.Join(t.TempDir(), "config.json"), f.config(t)))
 	require.NoError(t, cmd.Start())
 	defer func() { _ = cmd.Process.Kill() }()
 	await(t, requested, "the first request to the agent")
@@ -545,11 +545,11 @@
 			<-release
 			replyValue("v")(conn, args)
 		}
-		w := fixture{}
+		f := fixture{}
 		for k := range 8 {
-			w.servers = append(w.servers, newServer(t, fmt.Sprint("s-", k), "hall-a", slow))
+			f.servers = append(f.servers, newServer(t, fmt.Sprint("s-", k), "hall-a", slow))
 		}
-		l := start(t, w)
+		l := start(t, f)
 		c := l.dial()
 		var text strings.Builder
 		for k := range 2 * maxServerConns {
@@ -609,14 +609,14 @@
 func TestFirstLineOfIndentedListAcceptsNoClients(t *testing.T) {
 	t.Parallel()
 	for range 10 { // a limiter accepts clients after a second at the latest, so a run in which the machine stalled proves nothing
-		w, draining, line := drainedServerFixture(t)
-		w.settings = settings()
-		w.settings["rules"].(object)["drainGrace"] = 2.0 // the pause in the list below is shorter than the limiter tolerates
+		f, draining, line := drainedServerFixture(t)
+		f.settings = settings()
+		f.settings["rules"].(object)["drainGrace"] = 2.0 // the pause in the list below is shorter than the limiter tolerates
 		var b bytes.Buffer
 		require.NoError(t, json.Indent(&b, []byte(line), "", "  "))
 		first, rest, _ := strings.Cut(b.String(), "\n")
 		serving, listSent := make(chan struct{}), make(chan struct{})
-		w.registry = newAgent(t, func(n int, conn net.Conn) {
+		f.registry = newAgent(t, func(n int, conn net.Conn) {
 			if n == 0 {
 				_, _ = conn.Write([]byte(chunkedHeader + chunk(first)))
 				select {
@@ -628,7 +628,7 @@
 			}
 			waitForClose(conn)
 		})
-		l := start(t, w)
+		l := start(t, f)
 		close(serving)
 		if strings.Contains(l.log.String(), "discovery says nothing yet") {
 			continue
--- a/cmd/bramblefall/disk_test.go
+++ b/cmd/bramblefall/disk_test.go
@@ -28,7 +28,7 @@
 			partial := filepath.Join(state, "plans.state.new-123")
 			require.NoError(t, os.WriteFile(partial, []byte("half"), 0o600))
 			var failing atomic.Bool
-			w := fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))},
+			f := fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))},
 				operatorFile: writeScript(t, filepath.Join(dir, "operator.star"), fmt.Sprintf("bramblefall(admin = admin(socket = %q), state_dir = %q)\n", socket, state)),
 				syscallErrors: func(number int32, _ uint64, _ int) syscall.Errno {
 					if number == unix.SYS_FSYNC && failing.Load() {
@@ -36,7 +36,7 @@
 					}
 					return 0
 				}}
-			l := start(t, w)
+			l := start(t, f)
 			assert.NoFileExists(t, partial)
 			apply := func(wantCode, number int) string {
 				_, stderr := runCLI(t, wantCode, "plans", "apply", writeScript(t, filepath.Join(dir, fmt.Sprint(number, ".star")), planScript(number, "", "rate = 100, burst = 50")), "--socket", socket)
@@ -53,7 +53,7 @@
 			time.Sleep(100 * time.Millisecond) // until the directory is synced, too
 			require.NoError(t, l.cmd.Process.Kill())
 			await(t, l.exited, "the process to end after the kill")
-			start(t, w)
+			start(t, f)
 			out, _ := runCLI(t, 0, "plans", "list", "--socket", socket)
 			require.Regexp(t, `1 +in force.*n1`, out)
 			files, err := filepath.Glob(filepath.Join(state, "*"))
--- a/cmd/bramblefall/drain_test.go
+++ b/cmd/bramblefall/drain_test.go
@@ -26,7 +26,7 @@
 
 // fleet is several limiters in one environment of stand-ins, each with a discovery agent of its own.
 type fleet struct {
-	world    *standin.World
+	peers    *standin.World
 	limiters []*standin.Limiter
 	configs  []object
 	args     []string // of the program, besides its configuration
@@ -37,18 +37,18 @@
 // all). customize changes the configuration of each limiter; nil: none is changed.
 func startFleet(t *testing.T, nodes int, customize func(f *fleet, k int, config object), troubles ...func(int) standin.Trouble) *fleet {
 	trackSources()
-	f := &fleet{world: standin.NewWorld(fault.Plan{})}
-	t.Cleanup(f.world.Close)
-	f.world.Unchecked = true
-	f.world.Audit.Drains(auditGrace)
+	f := &fleet{peers: standin.NewWorld(fault.Plan{})}
+	t.Cleanup(f.peers.Close)
+	f.peers.Unchecked = true
+	f.peers.Audit.Drains(auditGrace)
 	for k := range nodes {
-		n, err := f.world.AddNode(fmt.Sprintf("s-%d", k), []string{"hall-a", "hall-b"}[k%2])
+		n, err := f.peers.AddNode(fmt.Sprintf("s-%d", k), []string{"hall-a", "hall-b"}[k%2])
 		require.NoError(t, err)
 		n.Handle = func(_ *standin.Node, args [][]byte) ([]byte, bool, time.Duration) {
 			return standin.Value(string(args[2])), true, time.Millisecond
 		}
 	}
-	d, err := f.world.AddDiscovery()
+	d, err := f.peers.AddDiscovery()
 	require.NoError(t, err)
 	for k, trouble := range troubles {
 		agent, err := d.AddAgent(k, trouble)
@@ -112,7 +112,7 @@
 		if strings.HasPrefix(line, "$") {
 			served.Add(1)
 			if value, err := in.ReadString('\n'); err != nil || value != id+"\r\n" {
-				return fmt.Errorf("request %s got the value %q, want its id (error: %v)", id, value, err)
+				return fmt.Errorf("got the value %q for request %s, want its id (error: %v)", value, id, err)
 			}
 		}
 	}
@@ -148,12 +148,12 @@
 	}
 	var restarts sync.WaitGroup
 	for k, began := 0, time.Now(); time.Since(began) < drainTestDuration; k++ {
-		n := f.world.Nodes[k%len(f.world.Nodes)]
-		f.world.Tell(n, "draining", time.Time{})
+		n := f.peers.Nodes[k%len(f.peers.Nodes)]
+		f.peers.Tell(n, "draining", time.Time{})
 		if time.Since(began) < drainTestDuration-restartDelay {
 			restarts.Go(func() {
 				time.Sleep(restartDelay)
-				f.world.Renew(n, time.Now())
+				f.peers.Renew(n, time.Now())
 			})
 		}
 		time.Sleep(drainInterval)
@@ -164,11 +164,11 @@
 	for range 8 {
 		require.NoError(t, <-errs)
 	}
-	findings, count := f.world.Audit.Findings()
+	findings, count := f.peers.Audit.Findings()
 	require.Zero(t, count, strings.Join(findings, "\n"))
 	for k := range served {
 		require.Positive(t, served[k].Load(), "limiter %d", k)
 	}
-	require.Greater(t, f.world.Audit.Sends(), 1000)
-	t.Logf("%d sends", f.world.Audit.Sends())
+	require.Greater(t, f.peers.Audit.Sends(), 1000)
+	t.Logf("%d sends", f.peers.Audit.Sends())
 }
--- a/cmd/bramblefall/heldup_test.go
+++ b/cmd/bramblefall/heldup_test.go
@@ -85,7 +85,11 @@
 // block, so a signal or a stop in the middle of one must not close the connection.
 func TestSignalsDoNotInterruptLargeFlush(t *testing.T) {
 	t.Parallel()
-	const answers, ahead, signalEvery = 640, 64, 50 * time.Microsecond // 64 replies of 60 KB are 4 MB: more than the kernel buffers
+	const (
+		requests       = 640
+		pipelined      = 64 // their replies of 60 KB are 4 MB, more than the kernel buffers
+		signalInterval = 50 * time.Microsecond
+	)
 	large := strings.Repeat("p", 60<<10)
 	l := start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue(large))}})
 	c := l.dial()
@@ -100,7 +104,7 @@
 			select {
 			case <-stop:
 				return
-			case <-time.After(signalEvery):
+			case <-time.After(signalInterval):
 			}
 			_ = l.cmd.Process.Signal(syscall.SIGURG) // the Go runtime uses this signal itself and ignores stray ones
 			if signals.Add(1)%100 == 0 {
@@ -109,9 +113,9 @@
 		}
 	})
 	values := 0
-	for n := range answers {
-		if n%ahead == 0 {
-			for k := range ahead {
+	for n := range requests {
+		if n%pipelined == 0 {
+			for k := range pipelined {
 				c.write(encodeCommand(askArgs(fmt.Sprintf("%04x", n+k))...))
 			}
 			time.Sleep(20 * time.Millisecond) // until the replies wait for this client
@@ -122,6 +126,6 @@
 			require.Regexp(t, "^-BUSY", answer, "answer %d", n) // the limit on tries in flight, or on replies that wait for this client
 		}
 	}
-	require.Greater(t, values, answers/2, "too few values were served to prove anything")
+	require.Greater(t, values, requests/2, "too few values were served to prove anything")
 	t.Logf("%d signals, %d values", signals.Load(), values)
 }
--- a/cmd/bramblefall/idle_test.go
+++ b/cmd/bramblefall/idle_test.go
@@ -105,10 +105,10 @@
 		for variant, text := range map[string]string{"nothing sent": "", "after a command": encodeCommand("PING"), "after half a command": encodeCommand(askArgs("half")...)[:30]} {
 			t.Run(name+", "+variant, func(t *testing.T) { // not in parallel: each keeps 300 clients connected
 				recovered := make(chan struct{})
-				w, draining, line := drainedServerFixture(t)
-				w.settings = settings()
-				w.enforceRlimit = true
-				w.registry = newAgent(t, func(_ int, conn net.Conn) {
+				f, draining, line := drainedServerFixture(t)
+				f.settings = settings()
+				f.enforceRlimit = true
+				f.registry = newAgent(t, func(_ int, conn net.Conn) {
 					select {
 					case <-recovered:
 						_, _ = conn.Write([]byte(chunkedHeader + chunk(line)))
@@ -118,7 +118,7 @@
 					}
 				})
 				var calls atomic.Int64
-				w.counter = &quotaCounter{addr: serveConns(t, func(conn net.Conn) {
+				f.counter = &quotaCounter{addr: serveConns(t, func(conn net.Conn) {
 					select {
 					case <-recovered:
 					default:
@@ -134,7 +134,7 @@
 					}
 				})}
 				began := time.Now()
-				l := start(t, w) // 128 descriptors
+				l := start(t, f) // 128 descriptors
 				l.keepIdleClients(300, text)
 				full := func() bool { return l.descriptors() > 32 }
 				require.Eventually(t, full, testTimeout, time.Millisecond)
--- a/cmd/bramblefall/links_test.go
+++ b/cmd/bramblefall/links_test.go
@@ -40,17 +40,17 @@
 	}
 	customize := func(f *fleet, k int, config object) {
 		if k == 0 {
-			_, err := f.world.AddCounter()
+			_, err := f.peers.AddCounter()
 			require.NoError(t, err)
 		}
 		set := config["settings"].(object)
 		ceilingPlan := plan("full", 15, 15, 0)
 		ceilingPlan["hardRate"], ceilingPlan["hardBurst"], ceilingPlan["hardSlack"] = ceilingRate, ceilingBurst, ceilingBurst/10
 		set["tariffs"] = []object{plan("regular", 1000, 4000, 0), ceilingPlan}
-		config["counter"], config["discovery"] = link(f.world.Counter.Addr), link(config["discovery"].(string))
+		config["counter"], config["discovery"] = link(f.peers.Counter.Addr), link(config["discovery"].(string))
 	}
 	f := startFleet(t, 6, customize, make([]func(int) standin.Trouble, linkedLimiterCount)...)
-	for _, n := range f.world.Nodes {
+	for _, n := range f.peers.Nodes {
 		n.Handle = func(_ *standin.Node, args [][]byte) ([]byte, bool, time.Duration) {
 			if strings.Contains(string(args[3]), "t=full") {
 				ceiling.Sent(1)
@@ -70,15 +70,18 @@
 	for k, l := range links {
 		impairments.Go(func() { l.Play(standin.DrawPhases(100*seed+uint64(k), impairmentDuration)) })
 	}
-	const stopped, killed = 1, 2
+	const (
+		stoppedLimiter = 1
+		killedLimiter  = 2
+	)
 	time.Sleep(impairmentDuration / 4)
-	require.NoError(t, f.limiters[stopped].Signal(syscall.SIGSTOP))
+	require.NoError(t, f.limiters[stoppedLimiter].Signal(syscall.SIGSTOP))
 	time.Sleep(impairmentDuration / 5)
-	require.NoError(t, f.limiters[stopped].Signal(syscall.SIGCONT))
-	f.limiters[killed].Kill()
-	f.limiters[killed] = f.start(t, killed)
+	require.NoError(t, f.limiters[stoppedLimiter].Signal(syscall.SIGCONT))
+	f.limiters[killedLimiter].Kill()
+	f.limiters[killedLimiter] = f.start(t, killedLimiter)
 	senders.Go(func() {
-		errs[killed] = f.sendRequests(f.limiters[killed], stop, requestInterval, fields, &served[killed])
+		errs[killedLimiter] = f.sendRequests(f.limiters[killedLimiter], stop, requestInterval, fields, &served[killedLimiter])
 	})
 	impairments.Wait()
 
@@ -93,7 +96,7 @@
 	close(stop)
 	senders.Wait()
 	for k, err := range errs {
-		if k != killed {
+		if k != killedLimiter {
 			require.NoError(t, err, "limiter %d", k)
 		}
 		require.Positive(t, served[k].Load(), "limiter %d", k)
--- a/cmd/bramblefall/lists_test.go
+++ b/cmd/bramblefall/lists_test.go
@@ -17,10 +17,10 @@
 func TestStoppedLimiterResumesItsList(t *testing.T) {
 	t.Parallel()
 	for range 5 {
-		w, _, line := drainedServerFixture(t)
-		w.settings = settings()
+		f, _, line := drainedServerFixture(t)
+		f.settings = settings()
 		halfSent, stopped, allSent := make(chan struct{}), make(chan struct{}), make(chan struct{})
-		w.registry = newAgent(t, func(n int, conn net.Conn) {
+		f.registry = newAgent(t, func(n int, conn net.Conn) {
 			if n == 0 {
 				_, _ = conn.Write([]byte(chunkedHeader + chunk("") + fmt.Sprintf("28\r\n%s\r\n", line[:0x28])))
 				close(halfSent)
@@ -30,7 +30,7 @@
 			}
 			waitForClose(conn)
 		})
-		l := start(t, w)
+		l := start(t, f)
 		await(t, halfSent, "half of the list")
 		require.NoError(t, l.cmd.Process.Signal(syscall.SIGSTOP))
 		time.Sleep(300 * time.Millisecond) // more than twice as long as a list may pause
--- a/cmd/bramblefall/memory_test.go
+++ b/cmd/bramblefall/memory_test.go
@@ -50,19 +50,23 @@
 func TestBytesInFlightAreBoundedByMemoryCap(t *testing.T) {
 	t.Parallel()
 	silent := newServer(t, "s-1", "hall-a", func(net.Conn, []string) {})
-	const clients, each, limit = 16, 64, 64 // 16 * 64 commands of 64 KB are 64 MB, as much as the cap
-	l := start(t, fixture{memoryMB: limit, servers: []*server{silent}})
+	const (
+		clients      = 16
+		commandsEach = 64 // of 64 KB: 64 MB over all clients, as much as the cap
+		memoryCapMB  = 64
+	)
+	l := start(t, fixture{memoryMB: memoryCapMB, servers: []*server{silent}})
 	large := strings.Repeat("p", 64<<10)
 	var flood sync.WaitGroup
 	for n := range clients {
 		flood.Go(func() {
 			c := l.dial()
-			for k := range each {
-				args := doArgs(fmt.Sprintf("%04x", each*n+k+1))
-				args[1], args[4] = fmt.Sprintf("%016x", each*n+k+1), large // a new firm each, so that no quota is exhausted
+			for k := range commandsEach {
+				args := doArgs(fmt.Sprintf("%04x", commandsEach*n+k+1))
+				args[1], args[4] = fmt.Sprintf("%016x", commandsEach*n+k+1), large // a new firm each, so that no quota is exhausted
 				c.write(encodeCommand(args...))
 			}
-			for range each {
+			for range commandsEach {
 				assert.Regexp(t, "^-", c.readReply())
 			}
 		})
@@ -70,5 +74,5 @@
 	flood.Wait()
 	peak := l.memoryMB("VmHWM") - l.memoryMB("RssFile")
 	t.Log(peak, "MB of memory at the peak")
-	assert.Less(t, peak, limit)
+	assert.Less(t, peak, memoryCapMB)
 }
--- a/cmd/bramblefall/moments_test.go
+++ b/cmd/bramblefall/moments_test.go
@@ -53,12 +53,12 @@
 			list[0]["state"] = "draining"
 			line, err := json.Marshal(object{"version": 7, "full": true, "servers": list})
 			require.NoError(t, err)
-			w := fixture{settings: settings(), servers: []*server{old}, counter: newCounter(t), registry: newRegistry(t)}
-			w.registry.sendList(2, true, old)
-			l := start(t, w)
+			f := fixture{settings: settings(), servers: []*server{old}, counter: newCounter(t), registry: newRegistry(t)}
+			f.registry.sendList(2, true, old)
+			l := start(t, f)
 			held, open := l.holdRequest(old), l.dial()
 			require.Equal(t, "+PONG", open.do("PING"))
-			next := w
+			next := f
 			next.counter, next.registry = newCounter(t), newAgent(t, func(_ int, conn net.Conn) {
 				_, _ = conn.Write([]byte(chunkedHeader + chunk(string(line))))
 				waitForClose(conn)
@@ -93,8 +93,8 @@
 				}
 				resetConn(conn, nil)
 			})}
-			w := fixture{servers: []*server{resetting, newServer(t, "s-2", "hall-a", replyValue("v"))}}
-			l := start(t, w)
+			f := fixture{servers: []*server{resetting, newServer(t, "s-2", "hall-a", replyValue("v"))}}
+			l := start(t, f)
 			for k := range 40 {
 				require.Equal(t, "v", l.dial().do(askArgs(fmt.Sprint("a", k))...))
 				require.Contains(t, []string{"v", "-ERR failed"}, l.dial().do(doArgs(fmt.Sprint("p", k))...))
@@ -131,9 +131,9 @@
 func TestRequestsToSilentServersAreAnswered(t *testing.T) {
 	t.Parallel()
 	answering := make(chan struct{})
-	w := fixture{maxDescriptors: 400}
+	f := fixture{maxDescriptors: 400}
 	for k := range 4 {
-		w.servers = append(w.servers, newServer(t, fmt.Sprint("s-", k), "hall-a", func(conn net.Conn, args []string) {
+		f.servers = append(f.servers, newServer(t, fmt.Sprint("s-", k), "hall-a", func(conn net.Conn, args []string) {
 			select {
 			case <-answering:
 				replyValue("v")(conn, args)
@@ -141,7 +141,7 @@
 			}
 		}))
 	}
-	l := start(t, w)
+	l := start(t, f)
 	var clients []*client
 	for k := range 50 {
 		c := l.dial()
--- a/cmd/bramblefall/platform_test.go
+++ b/cmd/bramblefall/platform_test.go
@@ -348,20 +348,20 @@
 	set := settings()
 	set["balancers"] = 8 // so many that the counter is asked before a request is sent
 	set["tariffs"] = []object{plan("regular", 1000, 4000, 0), plan("full", 100, 4, 0)}
-	w := fixture{settings: set, servers: []*server{a}, counter: newCounter(t), registry: newRegistry(t)}
-	l := start(t, w)
+	f := fixture{settings: set, servers: []*server{a}, counter: newCounter(t), registry: newRegistry(t)}
+	l := start(t, f)
 	held, c := l.dial(), l.dial()
 	held.write(encodeCommand(askArgs("01")...))
 	require.Eventually(t, func() bool { return len(a.received()) == 1 }, testTimeout, time.Millisecond)
 
-	next := fixture{settings: set, servers: w.servers, counter: newCounter(t), registry: newRegistry(t)}
+	next := fixture{settings: set, servers: f.servers, counter: newCounter(t), registry: newRegistry(t)}
 	good, err := json.Marshal(next.config(t))
 	require.NoError(t, err)
 	for _, bad := range []string{"", string(good[:len(good)/2]), `{"discovery":"127.0.0.1:1"}`} {
 		l.reload([]byte(bad), "the old one is kept")
 	}
 	a.state = "draining"
-	w.registry.sendList(2, true, a, b)
+	f.registry.sendList(2, true, a, b)
 	require.Eventually(t, func() bool { return c.do(askArgs("02")...) == "b" }, testTimeout, time.Millisecond, "a list of the old discovery does not take effect")
 
 	l.reload(good, "read the configuration anew")
@@ -387,12 +387,14 @@
 	set := settings()
 	set["classes"] = set["classes"].([]object)[:1]
 	set["tariffs"] = set["tariffs"].([]object)[:1]
-	w := fixture{settings: set, servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}, counter: newCounter(t), registry: newRegistry(t)}
-	l := start(t, w)
-	good, err := json.Marshal(w.config(t))
+	f := fixture{settings: set, servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}, counter: newCounter(t), registry: newRegistry(t)}
+	l := start(t, f)
+	good, err := json.Marshal(f.config(t))
 	require.NoError(t, err)
-	c, refused, taken := l.dial(), "the old one is kept", "read the configuration anew"
-	handled := func() int { return strings.Count(l.log.String(), refused) + strings.Count(l.log.String(), taken) }
+	c, rejectedLog, acceptedLog := l.dial(), "the old one is kept", "read the configuration anew"
+	handled := func() int {
+		return strings.Count(l.log.String(), rejectedLog) + strings.Count(l.log.String(), acceptedLog)
+	}
 	mutants := 0
 	for what, raw := range fault.Mutants(good) {
 		if mutants++; mutants%3 > 0 { // a third of them keeps the test short enough for every run
@@ -405,9 +407,9 @@
 		require.NotEmpty(t, c.do(askArgs(fmt.Sprintf("%08x", mutants))...), what)
 	}
 	require.Greater(t, mutants, 600)
-	require.Positive(t, strings.Count(l.log.String(), refused))
-	require.Positive(t, strings.Count(l.log.String(), taken))
-	l.reload(good, taken)
+	require.Positive(t, strings.Count(l.log.String(), rejectedLog))
+	require.Positive(t, strings.Count(l.log.String(), acceptedLog))
+	l.reload(good, acceptedLog)
 	require.Eventually(t, func() bool { mutants++; return c.do(askArgs(fmt.Sprintf("%08x", mutants))...) == "v" }, testTimeout, time.Millisecond)
 }
 
--- a/cmd/bramblefall/ratelimit_test.go
+++ b/cmd/bramblefall/ratelimit_test.go
@@ -235,8 +235,8 @@
 	t.Parallel()
 	node := newServer(t, "s-1", "hall-a", replyValue("v"))
 	o := &externalService{answer: respondWith(verdictOverLimit)}
-	w := fixture{settings: settingsWithBurst(3), servers: []*server{node}, rateLimitFile: rateLimitFile(t, o.listen(t))}
-	l := start(t, w)
+	f := fixture{settings: settingsWithBurst(3), servers: []*server{node}, rateLimitFile: rateLimitFile(t, o.listen(t))}
+	l := start(t, f)
 	s := l.rateLimitClient()
 	for k := range 5 {
 		o.mu.Lock()
--- a/cmd/bramblefall/restart_test.go
+++ b/cmd/bramblefall/restart_test.go
@@ -95,10 +95,10 @@
 // that the limiter's read blocks until the test writes.
 func TestPlannedRestartDuringConfigurationRead(t *testing.T) {
 	t.Parallel()
-	w := fixture{settings: settings(), servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}}
+	f := fixture{settings: settings(), servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}}
 	t.Run("reload", func(t *testing.T) {
 		t.Parallel()
-		l := start(t, w)
+		l := start(t, f)
 		require.NoError(t, os.Remove(l.path))
 		require.NoError(t, syscall.Mkfifo(l.path, 0o600))
 		for range 8 { // more signals than are queued
@@ -123,7 +123,7 @@
 		pipe, err := os.OpenFile(path, os.O_WRONLY, 0)
 		require.NoError(t, err)
 		require.NoError(t, cmd.Process.Signal(syscall.SIGTERM))
-		require.NoError(t, json.NewEncoder(pipe).Encode(w.config(t)))
+		require.NoError(t, json.NewEncoder(pipe).Encode(f.config(t)))
 		require.NoError(t, pipe.Close())
 		ended := make(chan error, 1)
 		go func() { ended <- cmd.Wait() }()
--- a/cmd/bramblefall/rolling_test.go
+++ b/cmd/bramblefall/rolling_test.go
@@ -112,7 +112,7 @@
 		r.served++
 	}
 	if err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
-		r.world.Audit.Find("request %s: %v", id, err)
+		r.peers.Audit.Find("request %s: %v", id, err)
 	}
 	return err == nil
 }
@@ -157,7 +157,7 @@
 	r.fleet = startFleet(t, 8, func(f *fleet, _ int, _ object) { f.args = []string{"-log", "debug"} },
 		make([]func(int) standin.Trouble, rollingLimiters)...)
 	r.started = append(r.started, r.limiters...)
-	for k, n := range r.world.Nodes {
+	for k, n := range r.peers.Nodes {
 		n.Handle = func(_ *standin.Node, args [][]byte) ([]byte, bool, time.Duration) {
 			if k%4 == 1 {
 				return nil, true, hangDuration
@@ -193,7 +193,7 @@
 	}
 	close(stop)
 	clients.Wait()
-	findings, count := r.world.Audit.Findings()
+	findings, count := r.peers.Audit.Findings()
 	for k := range findings {
 		findings[k] += r.traceFinding(findings[k])
 	}
--- a/cmd/bramblefall/size_test.go
+++ b/cmd/bramblefall/size_test.go
@@ -75,16 +75,19 @@
 // The largest fleet that the operators' pages name, 900 limiters in front of 3,200 servers, with the servers listed in the
 // configuration or by discovery.
 func TestLargestFleet(t *testing.T) { // not in parallel: it needs the whole machine
-	const limiters, servers = 900, 3200
+	const (
+		limiters = 900
+		servers  = 3200
+	)
 	set, all := lastOfFleetSettings(limiters), newNumberedServers(t, servers)
 	r := newRegistry(t)
 	r.sendList(2, true, all...)
-	for name, w := range map[string]fixture{
+	for name, f := range map[string]fixture{
 		"known at the start":  {settings: set, servers: all, memoryMB: sizeMemoryCapMB},
 		"listed by discovery": {settings: set, registry: r, counter: newCounter(t), memoryMB: sizeMemoryCapMB},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := start(t, w)
+			l := start(t, f)
 			l.checkWholeListServed(limiters)
 			l.terminate()
 			l.waitForCleanExit()
--- a/cmd/bramblefall/soak_test.go
+++ b/cmd/bramblefall/soak_test.go
@@ -277,7 +277,7 @@
 		changeClass(set, 1, object{"deadline": s.deadline.Seconds(), "aim": s.deadline.Seconds() / 2, "semantics": s.semantics})
 		set["tariffs"] = []object{plan("regular", 1e5, 1e5, 0)}
 	}, nil)
-	for _, n := range s.world.Nodes {
+	for _, n := range s.peers.Nodes {
 		n.Handle = s.handleCommand
 	}
 	l := s.limiters[0]
@@ -328,7 +328,7 @@
 	if crash := l.Crashed(); crash != "" {
 		s.addFinding("%s", crash)
 	}
-	found, _ := s.world.Audit.Findings()
+	found, _ := s.peers.Audit.Findings()
 	s.findings = append(s.findings, found...)
 	s.t.Logf("seed %d: %d sent, %d taken, %d answered; %d calls with a verdict, %d timed out; %d findings", s.seed, len(s.requests), taken, answered,
 		s.verdictCalls, s.timedOutCalls, len(s.findings))
--- a/cmd/bramblefall/syscalls_test.go
+++ b/cmd/bramblefall/syscalls_test.go
@@ -161,7 +161,7 @@
 				t.Parallel()
 				dir := t.TempDir()
 				socket := dir + "/admin.sock"
-				w := fixture{rateLimitFile: rateLimitFile(t), servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))},
+				f := fixture{rateLimitFile: rateLimitFile(t), servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))},
 					operatorFile: writeScript(t, dir+"/operator.star", fmt.Sprintf("bramblefall(admin = admin(socket = %q))\n", socket)),
 					syscallErrors: func(number int32, _ uint64, nth int) syscall.Errno {
 						if number == unix.SYS_ACCEPT4 && nth <= inARow {
@@ -169,7 +169,7 @@
 						}
 						return 0
 					}}
-				l := start(t, w)
+				l := start(t, f)
 				began := time.Now()
 				assert.Equal(t, "v", l.dial().do(askArgs("01")...))
 				assert.Less(t, time.Since(began), time.Second)
@@ -203,7 +203,7 @@
 			t.Parallel()
 			var mu sync.Mutex
 			failuresLeft := 0
-			w := fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}, syscallErrors: func(number int32, _ uint64, _ int) syscall.Errno {
+			f := fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}, syscallErrors: func(number int32, _ uint64, _ int) syscall.Errno {
 				mu.Lock()
 				defer mu.Unlock()
 				if number != failure.number || failuresLeft == 0 {
@@ -212,9 +212,9 @@
 				failuresLeft--
 				return failure.errno
 			}}
-			w.settings = settings()
-			w.settings["balancers"] = 6 // in a fleet of more than four, one failure ejects a server
-			l := start(t, w)
+			f.settings = settings()
+			f.settings["balancers"] = 6 // in a fleet of more than four, one failure ejects a server
+			l := start(t, f)
 			for round := range 3 {
 				mu.Lock()
 				failuresLeft = 2
@@ -308,7 +308,7 @@
 					replyValue("v")(conn, args)
 				}
 			})
-			w := fixture{settings: changeClass(settings(), 1, object{"semantics": "single_shot"}), servers: []*server{s},
+			f := fixture{settings: changeClass(settings(), 1, object{"semantics": "single_shot"}), servers: []*server{s},
 				syscallErrors: func(number int32, fd uint64, _ int) syscall.Errno {
 					mu.Lock()
 					defer mu.Unlock()
@@ -324,7 +324,7 @@
 					}
 					return 0
 				}}
-			l := start(t, w)
+			l := start(t, f)
 			c := l.dial()
 			assert.Equal(t, "-ERR failed", c.do(doArgs("01")...))
 			assert.Len(t, s.received(), 1)
@@ -337,16 +337,16 @@
 // in a fleet of any size.
 func TestFailedDialsAtStartDoNotDelayList(t *testing.T) {
 	t.Parallel()
-	w, draining, line := drainedServerFixture(t)
-	w.settings = settings()
-	w.settings["balancers"] = 80
-	w.registry = newAgent(t, func(_ int, conn net.Conn) {
+	f, draining, line := drainedServerFixture(t)
+	f.settings = settings()
+	f.settings["balancers"] = 80
+	f.registry = newAgent(t, func(_ int, conn net.Conn) {
 		_, _ = conn.Write([]byte(chunkedHeader + chunk(line)))
 		waitForClose(conn)
 	})
 	var first atomic.Int64
 	began := time.Now()
-	w.syscallErrors = func(number int32, _ uint64, _ int) syscall.Errno {
+	f.syscallErrors = func(number int32, _ uint64, _ int) syscall.Errno {
 		if number != unix.SYS_CONNECT {
 			return 0
 		}
@@ -356,6 +356,6 @@
 		}
 		return 0
 	}
-	assert.Equal(t, "new", start(t, w).dial().do(askArgs("01")...))
+	assert.Equal(t, "new", start(t, f).dial().do(askArgs("01")...))
 	assert.Empty(t, draining.received())
 }
--- a/cmd/bramblefall/terms_test.go
+++ b/cmd/bramblefall/terms_test.go
@@ -155,7 +155,10 @@
 // and the protocol error only 2.4 s later.
 func TestUnreadableCommandBehindFullPipelineClosesConnection(t *testing.T) {
 	t.Parallel()
-	const waiting, refused = 1024, 76
+	const (
+		waiting  = 1024 // as many commands as may wait on a connection
+		rejected = 76
+	)
 	held := make(chan struct{})
 	s := newServer(t, "s-1", "hall-a", func(conn net.Conn, args []string) {
 		<-held
@@ -165,7 +168,7 @@
 	set["tariffs"].([]object)[0]["perSecond"], set["tariffs"].([]object)[0]["depth"] = 1e5, 1e5
 	c := start(t, fixture{settings: set, servers: []*server{s}}).dial()
 	var all strings.Builder
-	for n := range waiting + refused {
+	for n := range waiting + rejected {
 		all.WriteString(encodeCommand(askArgs(fmt.Sprintf("%04x", n))...))
 	}
 	c.write(all.String())
@@ -176,7 +179,7 @@
 	for n := range waiting {
 		require.Regexp(t, "^(v|-BUSY.*|-ERR failed)$", c.readReply(), "command %d", n)
 	}
-	for n := range refused {
+	for n := range rejected {
 		require.Regexp(t, "^-BUSY", c.readReply(), "command %d", waiting+n)
 	}
 	require.Regexp(t, "^-ERR ", c.readReply())
@@ -350,12 +353,16 @@
 // answer the first requests, and whether the file names a new address or the old one.
 func TestDiscoveryListIsInEffectSoonAfterReload(t *testing.T) {
 	t.Parallel()
-	const effectWithin, refuseFor, grace = 4 * time.Second, 3500 * time.Millisecond, 550 * time.Millisecond
+	const (
+		effectWithin = 4 * time.Second
+		refuseFor    = 3500 * time.Millisecond
+		grace        = 550 * time.Millisecond // 500 ms of drainGrace, and 50 ms by which every time limit on sockets is longer
+	)
 	for _, sameAddress := range []bool{false, true} {
 		for n := range 4 {
 			t.Run(fmt.Sprintf("same address %v/%d", sameAddress, n), func(t *testing.T) {
 				t.Parallel()
-				w, draining, line := drainedServerFixture(t)
+				f, draining, line := drainedServerFixture(t)
 				var answersFrom atomic.Int64 // when the agent begins to answer, in nanoseconds since began
 				began := time.Now()
 				newRefusingAgent := func(list string) *registry {
@@ -366,15 +373,15 @@
 						}
 					})
 				}
-				w.settings = settings()
-				w.settings["balancers"] = 80 // in fleets of this size and more, requests to discovery are furthest apart
-				w.registry = newRefusingAgent(line)
+				f.settings = settings()
+				f.settings["balancers"] = 80 // in fleets of this size and more, requests to discovery are furthest apart
+				f.registry = newRefusingAgent(line)
 				answersFrom.Store(int64(time.Hour))
-				l := start(t, w)
+				l := start(t, f)
 				if !sameAddress {
-					w.registry = newRefusingAgent(line)
+					f.registry = newRefusingAgent(line)
 				}
-				raw, err := json.Marshal(w.config(t))
+				raw, err := json.Marshal(f.config(t))
 				require.NoError(t, err)
 				time.Sleep(time.Duration(n) * 500 * time.Millisecond) // so that some requests to the old address have failed before
 				reloaded := time.Now()
@@ -456,11 +463,11 @@
 	}
 	l := start(t, fixture{servers: servers})
 	c := l.dial()
-	var all strings.Builder
+	var commands strings.Builder
 	for n := range requests {
-		all.WriteString(encodeCommand(askArgs(fmt.Sprintf("%04x", n))...))
+		commands.WriteString(encodeCommand(askArgs(fmt.Sprintf("%04x", n))...))
 	}
-	c.write(all.String())
+	c.write(commands.String())
 	for n := range requests {
 		require.Equal(t, "v", c.readReply(), "request %d", n)
 	}
@@ -472,7 +479,10 @@
 // read is answered.
 func TestPlannedRestartClosesContinuouslySendingClients(t *testing.T) {
 	t.Parallel()
-	const clients, closedWithin = 8, 1500 * time.Millisecond // connections are no longer kept open 0.45 s after SIGTERM
+	const (
+		clients      = 8
+		closedWithin = 1500 * time.Millisecond // connections are no longer kept open 0.45 s after SIGTERM
+	)
 	l := start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}})
 	var terminated atomic.Int64
 	began := time.Now()
--- a/cmd/bramblefall/wallclock_test.go
+++ b/cmd/bramblefall/wallclock_test.go
@@ -64,7 +64,11 @@
 // reports its start by the clock after the step.
 func TestWallClockStepKeepsColdStart(t *testing.T) {
 	t.Parallel()
-	const cold, requests, atOnce = 4 * time.Second, 400, 8
+	const (
+		coldPeriod  = 4 * time.Second
+		requests    = 400
+		concurrency = 8
+	)
 	for name, by := range clockSteps {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -73,15 +77,15 @@
 			r := newRegistry(t)
 			r.sendList(2, true, warm)
 			set := settings()
-			set["rules"].(object)["cold"] = cold.Seconds()
+			set["rules"].(object)["cold"] = coldPeriod.Seconds()
 			l := start(t, fixture{settings: set, servers: []*server{warm}, registry: r, clock: clock})
 			shareOfFresh := func(kind string) float64 {
 				before := len(fresh.received())
 				var clients sync.WaitGroup
-				for k := range atOnce {
+				for k := range concurrency {
 					clients.Go(func() {
 						c := l.dial()
-						for n := range requests / atOnce {
+						for n := range requests / concurrency {
 							assert.Equal(t, "v", c.do(askArgs(fmt.Sprintf("%s%d-%d", kind, k, n))...))
 						}
 					})
@@ -98,8 +102,8 @@
 			r.sendLine(3, marshalList(t, object{"version": 3, "full": false, "servers": entry}))
 			time.Sleep(50 * time.Millisecond)
 			assert.Less(t, shareOfFresh("cold"), 0.35, "share of a cold server, too high if it is taken for a warm one")
-			require.Less(t, time.Since(began), cold/2, "the machine is too slow for this test: the cold server must be measured within half of its cold period")
-			time.Sleep(time.Until(began.Add(cold + 500*time.Millisecond)))
+			require.Less(t, time.Since(began), coldPeriod/2, "the machine is too slow for this test: the cold server must be measured within half of its cold period")
+			time.Sleep(time.Until(began.Add(coldPeriod + 500*time.Millisecond)))
 			assert.Greater(t, shareOfFresh("warm"), 0.4, "share of a warm server, too low if it is taken for a cold one")
 		})
 	}
