--- a/cmd/bramblefall/ratelimit_test.go
+++ b/cmd/bramblefall/ratelimit_test.go
@@ -269,7 +269,7 @@
 		o.mu.Lock()
 		defer o.mu.Unlock()
 		if fails++; fails%2 == 1 {
-			return nil, status.Error(codes.Internal, "the first try of each")
+			return nil, status.Error(codes.Internal, "the first try of each request fails")
 		}
 		return respondWith(verdictOK)(ctx, r)
 	}
--- a/cmd/bramblefall/terms_test.go
+++ b/cmd/bramblefall/terms_test.go
@@ -225,9 +225,9 @@
 	l.waitForLog("msg=draining")
 	for until := time.Now().Add(350 * time.Millisecond); time.Now().Before(until); time.Sleep(50 * time.Millisecond) {
 		_, err := l.rateLimitClient().ShouldRateLimit(testContext(t), rateLimitRequest(firmDescriptor("1")))
-		require.NoError(t, err, "a new connection")
+		require.NoError(t, err, "call over a new connection")
 		_, err = known.ShouldRateLimit(testContext(t), rateLimitRequest(firmDescriptor("1")))
-		require.NoError(t, err, "an open connection")
+		require.NoError(t, err, "call over an open connection")
 	}
 	l.waitForCleanExit()
 }
@@ -349,8 +349,8 @@
 	assert.EqualValues(t, 1, e.calls.Load(), "calls sent: a retry left after the window, when no server drops duplicates any more")
 }
 
-// A list that discovery has takes effect 4 s after SIGHUP at the latest, in a fleet of any size, also where its address does not
-// answer the first requests, and whether the file names a new address or the old one.
+// A list that discovery has takes effect 4 s after SIGHUP at the latest, in a fleet of any size, also where the first requests
+// to its address go unanswered, and whether the file names a new address or the old one.
 func TestDiscoveryListIsInEffectSoonAfterReload(t *testing.T) {
 	t.Parallel()
 	const (
@@ -363,7 +363,7 @@
 			t.Run(fmt.Sprintf("same address %v/%d", sameAddress, n), func(t *testing.T) {
 				t.Parallel()
 				f, draining, line := drainedServerFixture(t)
-				var answersFrom atomic.Int64 // when the agent begins to answer, in nanoseconds since began
+				var answersFrom atomic.Int64 // when the agent begins to answer, in nanoseconds since began; until then it closes connections unanswered
 				began := time.Now()
 				newRefusingAgent := func(list string) *registry {
 					return newAgent(t, func(_ int, conn net.Conn) {
--- a/cmd/bramblefall/testdata/wallclock.c
+++ b/cmd/bramblefall/testdata/wallclock.c
@@ -1,5 +1,5 @@
-// A library for LD_PRELOAD that moves the wall clock of one process by what a file says, in nanoseconds. Go reads the clock
-// through the vDSO, so its entry there is replaced in the process's own copy. For x86-64.
+// A library for LD_PRELOAD that shifts the wall clock of one process by an offset in nanoseconds, which it reads from a file. Go
+// reads the clock through the vDSO, so the library replaces that entry in the process's own copy of the vDSO. x86-64 only.
 #define _GNU_SOURCE
 #include <elf.h>
 #include <fcntl.h>
@@ -12,28 +12,32 @@
 #include <time.h>
 #include <unistd.h>
 
-enum { second = 1000000000, page = 4096 };
+enum {
+	ns_per_second = 1000000000,
+	page_size = 4096,
+};
 
 static volatile const int64_t *offset;
 
-static long moved(clockid_t id, struct timespec *at) {
+static long shifted_clock_gettime(clockid_t id, struct timespec *at) {
 	long result;
 	__asm__ volatile("syscall" : "=a"(result) : "a"(SYS_clock_gettime), "D"(id), "S"(at) : "rcx", "r11", "memory");
 	if (result == 0 && id == CLOCK_REALTIME) {
-		int64_t all = (int64_t)at->tv_sec * second + at->tv_nsec + *offset;
-		at->tv_sec = all / second;
-		at->tv_nsec = all % second;
+		int64_t all = (int64_t)at->tv_sec * ns_per_second + at->tv_nsec + *offset;
+		at->tv_sec = all / ns_per_second;
+		at->tv_nsec = all % ns_per_second;
 	}
 	return result;
 }
 
+// replace overwrites the start of a function with a jump to shifted_clock_gettime.
 static void replace(char *entry) {
 	char jump[12] = {0x48, (char)0xb8, 0, 0, 0, 0, 0, 0, 0, 0, (char)0xff, (char)0xe0}; // mov rax, address; jmp rax
-	void *address = (void *)moved;
+	void *address = (void *)shifted_clock_gettime;
 	memcpy(jump + 2, &address, sizeof address);
-	uintptr_t from = (uintptr_t)entry & ~(uintptr_t)(page - 1);
-	if (mprotect((void *)from, 2 * page, PROT_READ | PROT_WRITE | PROT_EXEC) != 0)
-		mprotect((void *)from, page, PROT_READ | PROT_WRITE | PROT_EXEC);
+	uintptr_t from = (uintptr_t)entry & ~(uintptr_t)(page_size - 1);
+	if (mprotect((void *)from, 2 * page_size, PROT_READ | PROT_WRITE | PROT_EXEC) != 0)
+		mprotect((void *)from, page_size, PROT_READ | PROT_WRITE | PROT_EXEC);
 	memcpy(entry, jump, sizeof jump);
 }
 
