--- a/cmd/bramblefall/fault_test.go
+++ b/cmd/bramblefall/fault_test.go
@@ -52,8 +52,8 @@
 func playFaultPlan(t *testing.T, binary string, p fault.Plan) (standin.Tally, string) {
 	w := standin.NewWorld(p)
 	defer w.Close()
-	for k, zone := range []string{"hall-a", "hall-a", "hall-b", "hall-b"} {
-		_, err := w.AddNode(fmt.Sprintf("s-%d", k), zone)
+	for k, hall := range []string{"hall-a", "hall-a", "hall-b", "hall-b"} {
+		_, err := w.AddNode(fmt.Sprintf("s-%d", k), hall)
 		require.NoError(t, err)
 	}
 	c, err := w.AddCounter()
@@ -63,10 +63,10 @@
 	set := settings()
 	set["caps"].(object)["connIdle"] = connIdleSeconds
 	dir := t.TempDir()
-	second := writeJSON(t, filepath.Join(dir, "ratelimit.json"), object{"listen": reservedAddress(t)})
+	rateLimitPath := writeJSON(t, filepath.Join(dir, "ratelimit.json"), object{"listen": reservedAddress(t)})
 	l, err := standin.Start(binary, dir, object{"name": "n0", "listen": reservedAddress(t), "seed": "8c1f30d27a5be964",
 		"limits": object{"cores": 4.0, "memory_mb": 1024, "sockets": 1024}, "settings": set, "known": d.List(),
-		"counter": c.Addr, "discovery": d.Addr}, "-ratelimit", second)
+		"counter": c.Addr, "discovery": d.Addr}, "-ratelimit", rateLimitPath)
 	require.NoError(t, err)
 	defer l.Kill()
 	w.Play(p, l.Addr, l.GRPCAddr, concurrentScripts)
@@ -77,13 +77,13 @@
 		return w.Audit.Tally(), fmt.Sprintf("%d findings, want none; the first are %q", n, findings)
 	}
 	tally := w.Audit.Tally()
-	held, err := l.Descriptors()
-	for waited := time.Duration(0); held > maxRestDescriptors && waited < testTimeout; waited += 100 * time.Millisecond {
+	descriptors, err := l.Descriptors()
+	for waited := time.Duration(0); descriptors > maxRestDescriptors && waited < testTimeout; waited += 100 * time.Millisecond {
 		time.Sleep(100 * time.Millisecond)
-		held, err = l.Descriptors()
+		descriptors, err = l.Descriptors()
 	}
-	if err != nil || held > maxRestDescriptors {
-		return tally, fmt.Sprintf("%d descriptors at rest, want at most %d (error: %v)", held, maxRestDescriptors, err)
+	if err != nil || descriptors > maxRestDescriptors {
+		return tally, fmt.Sprintf("%d descriptors at rest, want at most %d (error: %v)", descriptors, maxRestDescriptors, err)
 	}
 	if n, err := l.Goroutines(); err != nil || n > maxRestGoroutines {
 		return tally, fmt.Sprintf("%d goroutines at rest, want at most %d (error: %v)\n%s\n%s", n, maxRestGoroutines, err, goroutinesByCreator(l.Log()), l.Log())
--- a/cmd/bramblefall/helper_test.go
+++ b/cmd/bramblefall/helper_test.go
@@ -326,11 +326,11 @@
 	return []string{"Q.DO", firm, id, "c=transfer-post,t=regular,d=6000,k=5c0f6e1a2b3d4c59,units=1,spread=1,first=0", "BODY"}
 }
 
-// server is a stand-in for an exchange node: reply answers each command on its connection.
+// server is a stand-in for an exchange node: handle answers each command on its connection.
 type server struct {
 	id, zone, state string
 	addr            string
-	reply           func(conn net.Conn, args []string)
+	handle          func(conn net.Conn, args []string)
 
 	mu           sync.Mutex
 	commands     [][]string
@@ -349,7 +349,7 @@
 }
 
 func newServer(t *testing.T, id, zone string, handle func(net.Conn, []string)) *server {
-	s := &server{id: id, zone: zone, state: "ready", reply: handle, disconnected: make(chan struct{}, 1000)}
+	s := &server{id: id, zone: zone, state: "ready", handle: handle, disconnected: make(chan struct{}, 1000)}
 	s.addr = serveConns(t, func(conn net.Conn) {
 		s.mu.Lock()
 		s.connCount++
@@ -371,7 +371,7 @@
 				s.mu.Lock()
 				s.commands = append(s.commands, args)
 				s.mu.Unlock()
-				s.reply(conn, args)
+				s.handle(conn, args)
 			}
 		}
 	})
--- a/cmd/bramblefall/platform_test.go
+++ b/cmd/bramblefall/platform_test.go
@@ -421,8 +421,8 @@
 	none["balancers"], million["balancers"] = 0, 1000000
 	good := object{"listen": reservedAddress(t), "settings": settings()}
 	for name, c := range map[string]struct {
-		config any
-		second any
+		config    any
+		rateLimit any
 	}{
 		"no object":                   {config: 7},
 		"no settings":                 {config: object{"listen": reservedAddress(t)}},
@@ -431,15 +431,15 @@
 		"a fleet of a million":        {config: object{"listen": reservedAddress(t), "settings": million}},
 		"no address":                  {config: object{"settings": settings()}},
 		"invalid seed":                {config: object{"listen": reservedAddress(t), "settings": settings(), "seed": "x"}},
-		"unknown field of -ratelimit": {config: good, second: object{"listne": reservedAddress(t)}},
-		"no cluster file":             {config: good, second: object{"listen": reservedAddress(t), "others": object{"clusters": "none.json"}}},
+		"unknown field of -ratelimit": {config: good, rateLimit: object{"listne": reservedAddress(t)}},
+		"no cluster file":             {config: good, rateLimit: object{"listen": reservedAddress(t), "others": object{"clusters": "none.json"}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			dir := t.TempDir()
 			args := []string{"-log", "error", "-config", writeJSON(t, filepath.Join(dir, "c.json"), c.config)}
-			if c.second != nil {
-				args = append(args, "-ratelimit", writeJSON(t, filepath.Join(dir, "r.json"), c.second))
+			if c.rateLimit != nil {
+				args = append(args, "-ratelimit", writeJSON(t, filepath.Join(dir, "r.json"), c.rateLimit))
 			}
 			out, err := exec.Command(binary, args...).CombinedOutput()
 			require.Error(t, err)
--- a/cmd/bramblefall/soak_test.go
+++ b/cmd/bramblefall/soak_test.go
@@ -80,7 +80,7 @@
 	}
 	ms, _ := strconv.Atoi(deadlineField.FindStringSubmatch(string(args[3]))[1])
 	if over := time.Duration(ms)*time.Millisecond - (r.timeout - now.Sub(r.sent)); over > maxDeadlineExcess+schedulingSlack {
-		s.addFinding("request %s was forwarded with a deadline %v longer than its client had left", id, over)
+		s.addFinding("request %s was forwarded with a deadline %v longer than its client had left, want at most %v", id, over, maxDeadlineExcess+schedulingSlack)
 	}
 	if r.ranIn != "" && !r.repeatable && (s.semantics == "single_shot" || r.ranIn != n.Hall) {
 		s.addFinding("request %s (%s) may have run in hall %s and was sent to hall %s again", id, s.semantics, r.ranIn, n.Hall)
@@ -138,7 +138,7 @@
 		*until = due
 	}
 	if late := time.Since(*until); late > lateAnswerGrace+schedulingSlack {
-		s.addFinding("request %s was answered %v after its deadline", id, late)
+		s.addFinding("request %s was answered %v after its deadline, want at most %v", id, late, lateAnswerGrace+schedulingSlack)
 	}
 	if strings.HasPrefix(line, "-BUSY") && r.ranIn != "" && !r.repeatable && time.Since(r.ranAt) > schedulingSlack {
 		s.addFinding("request %s may have run and was rejected as if it had not", id)
--- a/cmd/bramblefall/upstream_test.go
+++ b/cmd/bramblefall/upstream_test.go
@@ -57,7 +57,7 @@
 				if c.refuses {
 					second.state = "ready"
 				} else {
-					first.reply = func(conn net.Conn, args []string) {
+					first.handle = func(conn net.Conn, args []string) {
 						first.state, second.state = "draining", "ready" // a retry can only go to the second server
 						r.sendList(2, false, first, second)
 						time.Sleep(200 * time.Millisecond) // so that the new list arrives before this reply
--- a/cmd/bramblefall/wallclock_test.go
+++ b/cmd/bramblefall/wallclock_test.go
@@ -69,7 +69,7 @@
 		requests    = 400
 		concurrency = 8
 	)
-	for name, by := range clockSteps {
+	for name, step := range clockSteps {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			clock := newWallClock(t)
@@ -94,7 +94,7 @@
 				return float64(len(fresh.received())-before) / requests
 			}
 			shareOfFresh("before")
-			clock.step(by)
+			clock.step(step)
 			time.Sleep(50 * time.Millisecond)
 			began := time.Now()
 			entry := serverEntries([]*server{fresh})
@@ -113,7 +113,7 @@
 func TestWallClockStepKeepsOneCounterNamePerFirm(t *testing.T) {
 	t.Parallel()
 	const minBothForecasts = 2 << 17 // a total of at least this contains the forecasts of two limiters
-	for name, by := range map[string]time.Duration{"an hour forward": time.Hour, "an hour back": -time.Hour, "minutes forward": 2 * time.Minute,
+	for name, step := range map[string]time.Duration{"an hour forward": time.Hour, "an hour back": -time.Hour, "minutes forward": 2 * time.Minute,
 		"minutes back": -2 * time.Minute} { // not seconds: the stand-in never drops a name, so after a step by seconds each limiter would find the other's
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -128,7 +128,7 @@
 			limiters := []*limiter{startAs(0)}
 			first := limiters[0].dial()
 			require.Equal(t, "v", first.do(twoLimiterArgs("00")...))
-			clock.step(by)
+			clock.step(step)
 			limiters = append(limiters, startAs(1))
 			var clients sync.WaitGroup
 			stop := make(chan struct{})
