--- a/cmd/bramblefall/counters_test.go
+++ b/cmd/bramblefall/counters_test.go
@@ -169,7 +169,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			first, second := newCounter(t), newCounter(t)
-			limiters, files, again := startMovedLimiters(t, first)
+			limiters, files, restart := startMovedLimiters(t, first)
 			used := limiters[0].useQuota(movedFirms, "a")
 			for k, l := range limiters {
 				l.reloadOperatorFile(files[k], countersScript("", second), configReloaded)
@@ -178,7 +178,7 @@
 			more := limiters[1].useQuota(movedFirms, "b")
 			require.NoError(t, limiters[2].cmd.Process.Kill())
 			<-limiters[2].exited
-			more += again(2).useQuota(movedFirms, "c") // this process never had the former list
+			more += restart(2).useQuota(movedFirms, "c") // this process never had the former list
 			t.Logf("%d served before the change, %d after it; at most %d allowed together", used, more, maxMovedServed)
 			require.LessOrEqual(t, used+more, maxMovedServed)
 		})
--- a/cmd/bramblefall/elf_test.go
+++ b/cmd/bramblefall/elf_test.go
@@ -22,7 +22,7 @@
 	build := regexp.MustCompile(`(?m)^build = "([^"]*)"`).FindSubmatch(text)
 	require.NotNil(t, build, "deploy/balancer.toml has no line build = \"...\"")
 	run := regexp.MustCompile(`(?m)^run = "exec (\S+)"`).FindSubmatch(text)
-	require.NotNil(t, run, "deploy/balancer.toml has no line run = \"exec PROGRAM...\"")
+	require.NotNil(t, run, "the run line of deploy/balancer.toml must end by exec in one program, as in run = \"exec PROGRAM\"")
 
 	file := filepath.Join(t.TempDir(), filepath.Base(string(run[1])))
 	command := strings.NewReplacer("mkdir -p bin && ", "", "-o bin/ ./cmd/...", "-o "+file+" ./cmd/"+filepath.Base(file))
--- a/cmd/bramblefall/helper_test.go
+++ b/cmd/bramblefall/helper_test.go
@@ -476,22 +476,22 @@
 		lines := bufio.NewScanner(conn)
 		for corrupted := false; lines.Scan(); {
 			c.mu.Lock()
-			spoil, late, gone := c.corruptReply, c.replyDelay, c.closeConns
+			corruptReply, delay, closing := c.corruptReply, c.replyDelay, c.closeConns
 			if c.corruptReply = ""; corrupted && lines.Text() != "ping" {
 				c.staleCalls++
 			}
 			c.mu.Unlock()
-			if gone {
+			if closing {
 				return
 			}
-			if spoil != "" {
+			if corruptReply != "" {
 				corrupted = true
-				_, _ = io.WriteString(conn, spoil)
+				_, _ = io.WriteString(conn, corruptReply)
 			}
 			if corrupted {
 				continue
 			}
-			time.Sleep(late)
+			time.Sleep(delay)
 			if text := c.handleCall(strings.Fields(lines.Text())); text != "" {
 				_, _ = io.WriteString(conn, text+"\r\n")
 			}
--- a/cmd/bramblefall/ratelimit_test.go
+++ b/cmd/bramblefall/ratelimit_test.go
@@ -45,7 +45,7 @@
 	return &rlsv3.RateLimitRequest{Domain: "depots", Descriptors: all}
 }
 
-// rateLimitFile writes a -ratelimit file, which switches on the gRPC front, and returns its path. endpoints are the addresses of
+// rateLimitFile writes a -ratelimit file, which switches on the gRPC service, and returns its path. endpoints are the addresses of
 // an external rate limit service, if any.
 func rateLimitFile(t *testing.T, endpoints ...string) string {
 	file := object{"listen": reservedAddress(t), "domain": "depots"}
@@ -230,7 +230,7 @@
 }
 
 // With an external service, that service gives the verdict on calls within the quota; calls beyond the quota are not sent to it.
-// The platform's servers never get such a call.
+// The two upstream groups never mix: the platform's servers never get such a call, and the external service no RESP2 command.
 func TestExternalServiceDecidesWithinQuota(t *testing.T) {
 	t.Parallel()
 	node := newServer(t, "s-1", "hall-a", replyValue("v"))
--- a/cmd/bramblefall/soak_callers_test.go
+++ b/cmd/bramblefall/soak_callers_test.go
@@ -20,8 +20,8 @@
 	minCallTimeout  = 300 * time.Millisecond
 )
 
-// respondByChance answers calls of the limiter's external service at random: soon, with an error, or, while the nodes hang, not
-// at all.
+// respondByChance is the limiter's external service. It answers calls at random: soon, with an error, or, while the nodes hang,
+// not at all.
 func (s *soak) respondByChance(ctx context.Context, _ *rlsv3.RateLimitRequest) (*rlsv3.RateLimitResponse, error) {
 	s.mu.Lock()
 	chance, hangs := s.rng.Float64(), s.nodesHang
--- a/cmd/bramblefall/soak_test.go
+++ b/cmd/bramblefall/soak_test.go
@@ -164,8 +164,8 @@
 	}
 }
 
-// useConn sends requests over one connection until it ends: one or many at once, sometimes in two pieces. A third of the clients
-// close the connection at some point without reading the answers.
+// useConn sends requests over one connection until it ends: one or many at once, sometimes in two pieces. On a third of
+// the connections the client closes at some point without reading the answers.
 func (s *soak) useConn(rng *rand.Rand, conn net.Conn) {
 	in := bufio.NewReader(conn)
 	_ = conn.SetDeadline(time.Now().Add(testTimeout))
@@ -218,8 +218,8 @@
 	}
 }
 
-// sendSignals reloads and stops the process a few times at random, makes nodes hang, and ends the process with SIGTERM, after
-// which further signals may follow. terminated gets the time of SIGTERM.
+// sendSignals reloads and stops the process a few times at random, may make nodes hang, and ends the process with SIGTERM,
+// after which further signals may follow. terminated gets the time of SIGTERM.
 func (s *soak) sendSignals(l *standin.Limiter, terminated chan<- time.Time) {
 	send := func(signal syscall.Signal) { _ = l.Signal(signal) }
 	pause := func(most int) { time.Sleep(time.Duration(s.intN(most)) * time.Millisecond) }
@@ -292,7 +292,7 @@
 	if crowded {
 		clients.Go(func() { s.reconnectIdleCrowd(l.Addr) })
 	}
-	time.Sleep(1100 * time.Millisecond) // SIGHUP is never sent in the first second
+	time.Sleep(1100 * time.Millisecond) // no SIGHUP arrives in the first second of a process
 	terminated := make(chan time.Time, 1)
 	clients.Go(func() { s.sendSignals(l, terminated) })
 	killAt := (<-terminated).Add(min(s.deadline, maxCountedDeadline) + killSlack)
--- a/cmd/bramblefall/syscalls_test.go
+++ b/cmd/bramblefall/syscalls_test.go
@@ -319,7 +319,7 @@
 						fds = append(fds, fd)
 					}
 					if len(fds) == 2 && fd == fds[1] {
-						fds = append(fds, ^uint64(0)) // only this once
+						fds = append(fds, ^uint64(0)) // a third entry, so that the error is returned only once
 						return errno
 					}
 					return 0
--- a/cmd/bramblefall/terms_test.go
+++ b/cmd/bramblefall/terms_test.go
@@ -280,7 +280,7 @@
 	keyed := func() *rlsv3.RateLimitRequest {
 		return rateLimitRequest(descriptor("firm", "1", "tier", "regular", "class", "transfer-post", "spread", "1", "first", "0"))
 	}
-	t.Run("retry after the key window", testNoRetryAfterKeyWindow)
+	t.Run("retry after the key window", testNoCallRetryAfterKeyWindow)
 	t.Run("call that waits for a connection", func(t *testing.T) {
 		t.Parallel()
 		left := newDelayedEndpoint(t, func(int64) { time.Sleep(grace + 200*time.Millisecond) }, func(net.Conn) {})
@@ -332,8 +332,8 @@
 	})
 }
 
-// testNoRetryAfterKeyWindow has a retry wait for a connection that is ready only after the key's window.
-func testNoRetryAfterKeyWindow(t *testing.T) {
+// testNoCallRetryAfterKeyWindow has a retry wait for a connection that is ready only after the key's window.
+func testNoCallRetryAfterKeyWindow(t *testing.T) {
 	t.Parallel()
 	const window = 500 * time.Millisecond
 	set := changeClass(settings(), 1, object{"keyTtl": window.Seconds()})
@@ -346,7 +346,7 @@
 	_, err := s.ShouldRateLimit(testContext(t), rateLimitRequest(descriptor("firm", "1", "tier", "regular", "class", "transfer-post", "spread", "1", "first", "0")))
 	require.Error(t, err)
 	time.Sleep(2 * window)
-	assert.EqualValues(t, 1, e.calls.Load(), "calls sent: a retry left after the window, when no server drops duplicates any more")
+	assert.EqualValues(t, 1, e.calls.Load(), "number of calls that have begun; a second one is a retry sent after the window, when no server drops duplicates any more")
 }
 
 // A list that discovery has takes effect 4 s after SIGHUP at the latest, in a fleet of any size, also where the first requests
@@ -481,7 +481,7 @@
 	t.Parallel()
 	const (
 		clients      = 8
-		closedWithin = 1500 * time.Millisecond // connections are no longer kept open 0.45 s after SIGTERM
+		closedWithin = 1500 * time.Millisecond // the limiter stops keeping connections open 0.45 s after SIGTERM
 	)
 	l := start(t, fixture{servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}})
 	var terminated atomic.Int64
--- a/cmd/bramblefall/upstream_test.go
+++ b/cmd/bramblefall/upstream_test.go
@@ -187,7 +187,7 @@
 // A reply of the counter without a number, with or without a line end, closes its connection. The calls continue over a new one.
 func TestInvalidCounterReplyClosesConnection(t *testing.T) {
 	t.Parallel()
-	for name, spoil := range map[string]string{"noise": "\x00\xff\x10\r\n", "no number": "ok many\r\n", "nan": "ok nan\r\n",
+	for name, corruptReply := range map[string]string{"noise": "\x00\xff\x10\r\n", "no number": "ok many\r\n", "nan": "ok nan\r\n",
 		"word": "okay\r\n", "no end": "\x07\x07\x07", "endless": "ok " + strings.Repeat("1", 100)} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -195,7 +195,7 @@
 			set["balancers"] = 8 // so many that the counter is asked before a request is sent
 			set["tariffs"] = []object{plan("regular", 100, 4, 0)}
 			n := newCounter(t)
-			n.corruptReply = spoil
+			n.corruptReply = corruptReply
 			c := start(t, fixture{settings: set, servers: []*server{newServer(t, "s-1", "hall-a", replyValue("v"))}, counter: n}).dial()
 			args := askArgs("01")
 			args[3] = strings.Replace(args[3], "spread=1", "spread=8", 1)
