--- a/internal/scale/bars.go
+++ b/internal/scale/bars.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	errorBound  = 0.25 // of a slope, relative
-	lostBound   = 0
-	unheard     = "had not heard of it in time"
-	changeBound = 3.0 // seconds until a change is in force everywhere
+	maxRelativeSlopeError = 0.25 // of a slope, relative
+	maxLostRequests       = 0
+	notHeardNote          = "had not heard of it in time"
+	maxChangeSeconds      = 3.0 // seconds until a change is in force everywhere
 )
 
 // sure are the slopes that have to be there, positive and known to errorBound.
-var sure = []slopeKey{
+var requiredSlopes = []slopeKey{
 	{"hollow", "memory", "limiters"},
 	{"hollow", "messages", "limiters"},
 	{"hollow", "bytes", "limiters"},
@@ -33,52 +33,52 @@
 	{"distribution", "messages", "limiters"},
 }
 
-func (r *run) bar(holds bool, name, format string, args ...any) {
+func (r *run) addBar(holds bool, name, format string, args ...any) {
 	r.figures.Bars = append(r.figures.Bars, Bar{name, holds, fmt.Sprintf(format, args...)})
 }
 
 // bars holds the figures of a whole run against what they have to be.
-func (r *run) bars() {
+func (r *run) checkBars() {
 	f := r.figures
-	r.bar(f.Hollow == r.Sizes.Fleet[len(r.Sizes.Fleet)-1], "all hollow limiters ran", "%d", f.Hollow)
-	late, last := 0, 0.0
+	r.addBar(f.Hollow == r.Sizes.HollowLimiters[len(r.Sizes.HollowLimiters)-1], "all hollow limiters ran", "%d", f.Hollow)
+	momentsNotHeard, slowestChange := 0, 0.0
 	for _, m := range f.Moments {
 		if m.Model {
 			continue
 		}
-		if strings.Contains(m.Note, unheard) {
-			late++
+		if strings.Contains(m.Note, notHeardNote) {
+			momentsNotHeard++
 		}
 		if m.Name == "change" {
-			last = max(last, m.Last)
+			slowestChange = max(slowestChange, m.Last)
 		}
 	}
-	r.bar(late == 0, "every hollow limiter has every change", "%d moments with limiters that had not heard", late)
-	r.bar(last > 0 && last < changeBound, fmt.Sprintf("the last limiter has a change within %g s", changeBound), "%.3f s", last)
-	r.bar(r.lost == lostBound, "no request is lost", "%d of %d (%s)", r.lost, r.sent, r.lostWhy)
-	r.bar(r.unanswered == 0, "every call to the counter is answered", "%d were not (%s)", r.unanswered, strings.Join(r.unansweredWhy, "; "))
-	for _, key := range sure {
-		s, ok := find(f.Slopes, key)
+	r.addBar(momentsNotHeard == 0, "every hollow limiter has every change", "%d moments with limiters that had not heard", momentsNotHeard)
+	r.addBar(slowestChange > 0 && slowestChange < maxChangeSeconds, fmt.Sprintf("the last limiter has a change within %g s", maxChangeSeconds), "%.3f s", slowestChange)
+	r.addBar(r.lostRequests == maxLostRequests, "no request is lost", "%d of %d (%s)", r.lostRequests, r.sentRequests, r.lostReason)
+	r.addBar(r.unansweredCalls == 0, "every call to the counter is answered", "%d were not (%s)", r.unansweredCalls, strings.Join(r.unansweredReasons, "; "))
+	for _, key := range requiredSlopes {
+		s, ok := findSlope(f.Slopes, key)
 		relative := math.Inf(1)
 		if ok && s.PerUnit > 0 {
 			relative = s.Error / s.PerUnit
 		}
-		r.bar(relative <= errorBound, fmt.Sprintf("slope of %s, %s against %s is positive, its error under %g of it", key.role, key.what, key.against, errorBound),
+		r.addBar(relative <= maxRelativeSlopeError, fmt.Sprintf("slope of %s, %s against %s is positive, its error under %g of it", key.role, key.quantity, key.against, maxRelativeSlopeError),
 			"%.4g with %.2g", s.PerUnit, s.Error)
 	}
-	with := 0
+	controlMeasurements := 0
 	for _, a := range f.Added {
-		if a.Control && a.Limiters <= mostBeside+f.Real {
-			with++
-			r.bar(a.P99 < targetAdded, fmt.Sprintf("99 in 100 requests wait under %g ms longer at %g a second of each limiter, %d servers, with control, beside at most %d hollow limiters", targetAdded, a.PerSecond, a.Servers, mostBeside), "%.2f ms", a.P99)
+		if a.Control && a.Limiters <= maxHollowForAddedTime+f.Real {
+			controlMeasurements++
+			r.addBar(a.P99 < targetAddedMS, fmt.Sprintf("99 in 100 requests wait under %g ms longer at %g a second of each limiter, %d servers, with control, beside at most %d hollow limiters", targetAddedMS, a.PerSecond, a.Servers, maxHollowForAddedTime), "%.2f ms", a.P99)
 		}
 	}
-	r.bar(with == 3, "added time is measured with control", "%d times", with)
+	r.addBar(controlMeasurements == 3, "added time is measured with control", "%d times", controlMeasurements)
 }
 
-func find(list []Slope, key slopeKey) (Slope, bool) {
+func findSlope(list []Slope, key slopeKey) (Slope, bool) {
 	for _, s := range list {
-		if s.Role == key.role && s.What == key.what && s.Against == key.against {
+		if s.Role == key.role && s.What == key.quantity && s.Against == key.against {
 			return s, true
 		}
 	}
@@ -99,12 +99,12 @@
 func (f *Figures) Main() string {
 	worst, memory, messages := 0.0, Slope{}, Slope{}
 	for _, a := range f.Added {
-		if a.Control && a.PerSecond == targetRate && a.Limiters <= mostBeside+f.Real {
+		if a.Control && a.PerSecond == targetRequestsPerSecond && a.Limiters <= maxHollowForAddedTime+f.Real {
 			worst = max(worst, a.P99)
 		}
 	}
-	memory, _ = find(f.Slopes, slopeKey{"hollow", "memory", "limiters"})
-	messages, _ = find(f.Slopes, slopeKey{"discovery", "messages", "limiters"})
+	memory, _ = findSlope(f.Slopes, slopeKey{"hollow", "memory", "limiters"})
+	messages, _ = findSlope(f.Slopes, slopeKey{"discovery", "messages", "limiters"})
 	return fmt.Sprintf("a limiter more: %.1f KB, %.2f messages a second at discovery; 99 in 100 requests wait at most %.2f ms longer at %g a second beside at most %d hollow limiters; %d ran",
-		memory.PerUnit/1024, messages.PerUnit, worst, targetRate, mostBeside, f.Hollow)
+		memory.PerUnit/1024, messages.PerUnit, worst, targetRequestsPerSecond, maxHollowForAddedTime, f.Hollow)
 }
--- a/internal/scale/counter.go
+++ b/internal/scale/counter.go
@@ -10,58 +10,58 @@
 )
 
 const (
-	counterShards = 64
-	longestLife   = 60_000
-	idleAfter     = 10 * time.Second // a connection that is unused for so long is closed, as the platform's counter does
-	forgetEvery   = 4096             // calls of a shard between two looks for names whose life is up
+	counterShards  = 64
+	maxTTLMS       = 60_000
+	idleTimeout    = 10 * time.Second // a connection that is unused for so long is closed, as the platform's counter does
+	callsPerExpiry = 4096             // calls of a shard between two looks for names whose life is up
 )
 
 // Counter is the stand-in for the quota counter of a large fleet. Names are forgotten when their life is up.
 type Counter struct {
-	meter  sides
+	meters groupMeters
 	shards [counterShards]shard
 }
 
 type shard struct {
-	mu    sync.Mutex
-	names map[string]total
-	calls int
+	mu     sync.Mutex
+	totals map[string]total
+	calls  int
 }
 
 type total struct {
-	sum   float64
-	until time.Duration
+	sum       float64
+	expiresAt time.Duration
 }
 
 // Start begins to serve hollow limiters and so many real ones.
-func (c *Counter) Start(real int, out *Places) (err error) {
-	c.meter = make(sides, real+1)
+func (c *Counter) Start(real int, out *Addresses) (err error) {
+	c.meters = make(groupMeters, real+1)
 	for k := range c.shards {
-		c.shards[k].names = map[string]total{}
+		c.shards[k].totals = map[string]total{}
 	}
-	*out, err = listenFor("", real, c.serve)
+	*out, err = listenForLimiters("", real, c.serve)
 	return err
 }
 
 // Traffic tells what was counted so far. Changes are calls answered, Beats are pings.
-func (c *Counter) Traffic(_ int, out *Sides) error {
-	*out = c.meter.read()
+func (c *Counter) Traffic(_ int, out *GroupTraffic) error {
+	*out = c.meters.read()
 	return nil
 }
 
-func (c *Counter) serve(raw net.Conn, who int) {
-	m := &c.meter[who]
-	conn := counted{raw, m}
+func (c *Counter) serve(raw net.Conn, group int) {
+	m := &c.meters[group]
+	conn := countingConn{raw, m}
 	defer conn.Close()
-	m.opened.Add(1)
-	m.open.Add(1)
-	defer m.open.Add(-1)
+	m.connsOpened.Add(1)
+	m.connsOpen.Add(1)
+	defer m.connsOpen.Add(-1)
 	in := bufio.NewReaderSize(conn, 1024)
 	var out []byte
-	for set := time.Duration(0); ; {
-		if at := now(); at-set > idleAfter/10 {
-			set = at
-			_ = raw.SetReadDeadline(time.Now().Add(idleAfter))
+	for deadlineSetAt := time.Duration(0); ; {
+		if at := now(); at-deadlineSetAt > idleTimeout/10 {
+			deadlineSetAt = at
+			_ = raw.SetReadDeadline(time.Now().Add(idleTimeout))
 		}
 		line, err := in.ReadSlice('\n')
 		if err != nil {
@@ -82,36 +82,36 @@
 func (c *Counter) answer(out, line []byte, m *meter) []byte {
 	line = bytes.TrimRight(line, "\r\n")
 	if string(line) == "ping" {
-		m.beats.Add(1)
+		m.heartbeats.Add(1)
 		return append(out, "pong\r\n"...)
 	}
-	words := bytes.Fields(line)
-	if len(words) != 4 || string(words[0]) != "add" {
+	fields := bytes.Fields(line)
+	if len(fields) != 4 || string(fields[0]) != "add" {
 		return append(out, "error\r\n"...)
 	}
-	amount, err1 := strconv.ParseFloat(string(words[2]), 64)
-	life, err2 := strconv.Atoi(string(words[3]))
+	amount, err1 := strconv.ParseFloat(string(fields[2]), 64)
+	ttlMS, err2 := strconv.Atoi(string(fields[3]))
 	if err1 != nil || err2 != nil {
 		return append(out, "error\r\n"...)
 	}
 	m.changes.Add(1)
 	at := now()
 	hash := uint32(2166136261)
-	for _, b := range words[1] {
+	for _, b := range fields[1] {
 		hash = (hash ^ uint32(b)) * 16777619
 	}
 	s := &c.shards[hash%counterShards]
 	s.mu.Lock()
-	n, ok := s.names[string(words[1])]
-	if !ok || at > n.until {
-		n = total{until: at + time.Duration(min(life, longestLife))*time.Millisecond}
+	n, ok := s.totals[string(fields[1])]
+	if !ok || at > n.expiresAt {
+		n = total{expiresAt: at + time.Duration(min(ttlMS, maxTTLMS))*time.Millisecond}
 	}
 	n.sum += amount
-	s.names[string(words[1])] = n
-	if s.calls++; s.calls%forgetEvery == 0 {
-		for name, x := range s.names {
-			if at > x.until {
-				delete(s.names, name)
+	s.totals[string(fields[1])] = n
+	if s.calls++; s.calls%callsPerExpiry == 0 {
+		for name, x := range s.totals {
+			if at > x.expiresAt {
+				delete(s.totals, name)
 			}
 		}
 	}
--- a/internal/scale/discovery.go
+++ b/internal/scale/discovery.go
@@ -17,46 +17,46 @@
 )
 
 const (
-	beatEvery   = 2 * time.Second // an empty line, as the platform's discovery sends it
-	mostAtOnce  = 5000            // servers that one change names: a line has a bound
-	requestSize = 512
+	heartbeatInterval  = 2 * time.Second // an empty line, as the platform's discovery sends it
+	maxServersPerLine  = 5000            // servers that one change names: a line has a bound
+	requestBufferBytes = 512
 )
 
 // Discovery is the stand-in for discovery of a large fleet: to each watch it tells the whole list once, and then changes as
 // changes. A server's start carries the version that last named it (as a time long ago), so that who follows the list can
 // tell how far it is.
 type Discovery struct {
-	ctx   context.Context
-	meter sides
-	turns int // of steady changes
+	ctx              context.Context
+	meters           groupMeters
+	changesScheduled int // of steady changes
 
-	mu      sync.Mutex
-	version int64
-	servers []discovery.Server
-	addrs   []string
-	zones   []string
-	whole   []byte // the list as a chunk; nil: to be made
-	log     [][]byte
-	changed chan struct{}
+	mu        sync.Mutex
+	version   int64
+	servers   []discovery.Server
+	addrs     []string
+	zones     []string
+	wholeList []byte // the list as a chunk; nil: to be made
+	changeLog [][]byte
+	changed   chan struct{}
 }
 
 // DiscoveryStart is what a stand-in discovery begins with.
 type DiscoveryStart struct {
-	Listen  string // for hollow limiters; "": a free port of loopback
-	Servers int
-	Addrs   []string // of the servers, in turn
-	Zones   []string
-	Real    int // limiters
+	HollowListen string // for hollow limiters; "": a free port of loopback
+	Servers      int
+	Addrs        []string // of the servers, in turn
+	Zones        []string
+	RealLimiters int // limiters
 }
 
 // Places is where a role listens: for hollow limiters and for each real one, so that it can tell them apart.
-type Places struct {
+type Addresses struct {
 	Hollow string
 	Real   []string
 }
 
 // listenAt opens the listener for a limiter, or for all hollow ones (0), at the address that is named for these, if any.
-func listenAt(hollow string, limiter int) (net.Listener, error) {
+func listenForGroup(hollow string, limiter int) (net.Listener, error) {
 	if limiter == 0 && hollow != "" {
 		return net.Listen("tcp", hollow)
 	}
@@ -64,9 +64,9 @@
 }
 
 // listenFor takes connections of hollow limiters at first ("": a free port) and of so many real ones at ports of their own.
-func listenFor(first string, real int, serve func(conn net.Conn, who int)) (p Places, err error) {
+func listenForLimiters(hollowAddr string, real int, serve func(conn net.Conn, group int)) (p Addresses, err error) {
 	for k := range real + 1 {
-		l, err := listenAt(first, k)
+		l, err := listenForGroup(hollowAddr, k)
 		if err != nil {
 			return p, err
 		}
@@ -89,15 +89,15 @@
 }
 
 // Start begins to serve.
-func (d *Discovery) Start(s DiscoveryStart, out *Places) (err error) {
+func (d *Discovery) Start(s DiscoveryStart, out *Addresses) (err error) {
 	d.version, d.addrs, d.zones, d.changed = 1, s.Addrs, s.Zones, make(chan struct{})
-	d.grow(s.Servers)
-	d.meter = make(sides, s.Real+1)
-	*out, err = listenFor(s.Listen, s.Real, d.serve)
+	d.addServers(s.Servers)
+	d.meters = make(groupMeters, s.RealLimiters+1)
+	*out, err = listenForLimiters(s.HollowListen, s.RealLimiters, d.serve)
 	return err
 }
 
-func (d *Discovery) grow(to int) (added []discovery.Server) {
+func (d *Discovery) addServers(to int) (added []discovery.Server) {
 	from := len(d.servers)
 	for k := from; k < to; k++ {
 		d.servers = append(d.servers, discovery.Server{ID: fmt.Sprintf("s-%05x", k), Addr: d.addrs[k%len(d.addrs)], Zone: d.zones[k%len(d.zones)],
@@ -108,28 +108,28 @@
 
 // Change is one step of the list.
 type Change struct {
-	Grow  int    // to so many servers; 0: as they are
-	From  int    // or the servers From, From+Step, ... below To
-	To    int    //
-	Step  int    //
-	State string // get this state; gone ones stay in mind and may come back
+	GrowTo int    // to so many servers; 0: as they are
+	From   int    // or the servers From, From+Step, ... below To
+	To     int    //
+	Step   int    //
+	State  string // get this state; gone ones stay in mind and may come back
 }
 
 // Told is when a change was written to the log, and the version that it made.
-type Told struct {
-	Version int64
-	At      time.Duration
+type AppliedChange struct {
+	Version   int64
+	AppliedAt time.Duration
 }
 
 // Change changes the list and tells all watches. A growth beyond what a line bears is told in several.
-func (d *Discovery) Change(c Change, out *Told) error {
+func (d *Discovery) Change(c Change, out *AppliedChange) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	out.At = now()
-	if c.Grow > 0 {
-		for len(d.servers) < c.Grow {
+	out.AppliedAt = now()
+	if c.GrowTo > 0 {
+		for len(d.servers) < c.GrowTo {
 			d.version++
-			d.tell(d.grow(min(c.Grow, len(d.servers)+mostAtOnce)))
+			d.logChange(d.addServers(min(c.GrowTo, len(d.servers)+maxServersPerLine)))
 		}
 		out.Version = d.version
 		return nil
@@ -143,17 +143,17 @@
 	if len(named) == 0 {
 		return fmt.Errorf("a change that names no server: %+v", c)
 	}
-	d.tell(named)
+	d.logChange(named)
 	out.Version = d.version
 	return nil
 }
 
 // Steady tells changes at a rate for a time: servers drain and are ready again, in turn. It gives how many and the last.
-func (d *Discovery) Steady(s Steady, out *Steadied) error {
+func (d *Discovery) RunSchedule(s ChangeSchedule, out *ScheduleResult) error {
 	began := now()
 	for {
-		due := began + time.Duration(float64(out.Changes)/s.PerSecond*float64(time.Second)) + s.First
-		if due >= began+s.For {
+		due := began + time.Duration(float64(out.Changes)/s.ChangesPerSecond*float64(time.Second)) + s.FirstAfter
+		if due >= began+s.Duration {
 			return nil
 		}
 		select {
@@ -161,13 +161,13 @@
 		case <-d.ctx.Done():
 			return d.ctx.Err()
 		}
-		for range max(s.Burst, 1) {
+		for range max(s.ChangesAtOnce, 1) {
 			// Each server is drained by one change and ready by the next: no server stays out.
-			k, state := d.turns/2%s.Among, "draining"
-			if d.turns%2 == 1 {
+			k, state := d.changesScheduled/2%s.ServersChanged, "draining"
+			if d.changesScheduled%2 == 1 {
 				state = "ready"
 			}
-			d.turns++
+			d.changesScheduled++
 			if err := d.Change(Change{From: k, To: k + 1, State: state}, &out.Last); err != nil {
 				return err
 			}
@@ -177,151 +177,151 @@
 }
 
 // Steady is a rate of changes for a time.
-type Steady struct {
-	PerSecond float64
-	First     time.Duration // until the first
-	For       time.Duration
-	Among     int // servers that change
-	Burst     int // changes at once; 0: one
+type ChangeSchedule struct {
+	ChangesPerSecond float64
+	FirstAfter       time.Duration // until the first
+	Duration         time.Duration
+	ServersChanged   int // servers that change
+	ChangesAtOnce    int // changes at once; 0: one
 }
 
 // Steadied is what came of it.
-type Steadied struct {
+type ScheduleResult struct {
 	Changes int
-	Last    Told
+	Last    AppliedChange
 }
 
-func (d *Discovery) tell(named []discovery.Server) {
-	d.whole = nil
-	d.log = append(d.log, chunk(discovery.List{Version: d.version, Servers: named}))
+func (d *Discovery) logChange(changed []discovery.Server) {
+	d.wholeList = nil
+	d.changeLog = append(d.changeLog, encodeChunk(discovery.List{Version: d.version, Servers: changed}))
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-func chunk(l discovery.List) []byte {
+func encodeChunk(l discovery.List) []byte {
 	raw, _ := json.Marshal(l)
 	b := strconv.AppendInt(make([]byte, 0, len(raw)+12), int64(len(raw)+1), 16)
 	return append(append(append(b, "\r\n"...), raw...), "\n\r\n"...)
 }
 
-var beatChunk = []byte("1\r\n\n\r\n")
+var heartbeatChunk = []byte("1\r\n\n\r\n")
 
 // list is the whole list as a chunk. d.mu is held.
-func (d *Discovery) list() []byte {
-	if d.whole == nil {
+func (d *Discovery) encodeList() []byte {
+	if d.wholeList == nil {
 		l := discovery.List{Version: d.version, Full: true}
 		for _, s := range d.servers {
 			if s.State != "gone" {
 				l.Servers = append(l.Servers, s)
 			}
 		}
-		d.whole = chunk(l)
+		d.wholeList = encodeChunk(l)
 	}
-	return d.whole
+	return d.wholeList
 }
 
 // Size is the length of the whole list's line, and how many servers there are.
-func (d *Discovery) Size(_ int, out *[2]int) error {
+func (d *Discovery) ListSize(_ int, out *[2]int) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	*out = [2]int{len(d.list()), len(d.servers)}
+	*out = [2]int{len(d.encodeList()), len(d.servers)}
 	return nil
 }
 
 // Traffic tells what was counted so far.
-func (d *Discovery) Traffic(_ int, out *Sides) error {
-	*out = d.meter.read()
+func (d *Discovery) Traffic(_ int, out *GroupTraffic) error {
+	*out = d.meters.read()
 	return nil
 }
 
 // counted is a connection whose bytes are counted.
-type counted struct {
+type countingConn struct {
 	net.Conn
-	m *meter
+	meter *meter
 }
 
-func (c counted) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.m.bytes.Add(int64(n))
+	c.meter.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c counted) Write(b []byte) (int, error) {
+func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.m.bytes.Add(int64(n))
+	c.meter.bytes.Add(int64(n))
 	return n, err
 }
 
-func (d *Discovery) serve(raw net.Conn, who int) {
-	m := &d.meter[who]
-	conn := counted{raw, m}
+func (d *Discovery) serve(raw net.Conn, group int) {
+	m := &d.meters[group]
+	conn := countingConn{raw, m}
 	defer conn.Close()
-	m.opened.Add(1)
-	m.open.Add(1)
-	defer m.open.Add(-1)
-	from, ok := asked(conn)
+	m.connsOpened.Add(1)
+	m.connsOpen.Add(1)
+	defer m.connsOpen.Add(-1)
+	from, ok := readWatchRequest(conn)
 	if !ok {
 		return
 	}
 	m.messages.Add(1)
-	out := []byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+	head := []byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 	d.mu.Lock()
-	at := len(d.log)
+	logIndex := len(d.changeLog)
 	if from < 2 || from > d.version { // versions begin at 1, and it takes one change to make 2
-		out = append(out, d.list()...)
-		m.wholes.Add(1)
+		head = append(head, d.encodeList()...)
+		m.wholeLists.Add(1)
 	} else {
-		at = int(from - 1)
-		if at == len(d.log) {
-			out = append(out, beatChunk...)
-			m.beats.Add(1)
+		logIndex = int(from - 1)
+		if logIndex == len(d.changeLog) {
+			head = append(head, heartbeatChunk...)
+			m.heartbeats.Add(1)
 		}
 	}
 	d.mu.Unlock()
 	m.messages.Add(1)
-	if _, err := conn.Write(out); err != nil {
+	if _, err := conn.Write(head); err != nil {
 		return
 	}
-	gone := make(chan struct{})
+	disconnected := make(chan struct{})
 	go func() { // a watch that its limiter has left must not stay
 		_, _ = raw.Read(make([]byte, 1))
-		close(gone)
+		close(disconnected)
 	}()
-	beat := time.NewTimer(beatEvery)
-	defer beat.Stop()
+	heartbeat := time.NewTimer(heartbeatInterval)
+	defer heartbeat.Stop()
 	for {
 		d.mu.Lock()
-		news, changed := d.log[at:], d.changed
+		unsent, changed := d.changeLog[logIndex:], d.changed
 		d.mu.Unlock()
-		text := beatChunk
-		if len(news) == 0 {
+		out := heartbeatChunk
+		if len(unsent) == 0 {
 			select {
 			case <-changed:
 				continue
-			case <-gone:
+			case <-disconnected:
 				return
-			case <-beat.C:
-				m.beats.Add(1)
+			case <-heartbeat.C:
+				m.heartbeats.Add(1)
 				m.messages.Add(1)
 			}
 		} else {
-			if text = news[0]; len(news) > 1 {
-				text = bytes.Join(news, nil)
+			if out = unsent[0]; len(unsent) > 1 {
+				out = bytes.Join(unsent, nil)
 			}
-			at += len(news)
-			m.changes.Add(int64(len(news)))
-			m.messages.Add(int64(len(news)))
+			logIndex += len(unsent)
+			m.changes.Add(int64(len(unsent)))
+			m.messages.Add(int64(len(unsent)))
 		}
-		beat.Reset(beatEvery)
-		if _, err := conn.Write(text); err != nil {
+		heartbeat.Reset(heartbeatInterval)
+		if _, err := conn.Write(out); err != nil {
 			return
 		}
 	}
 }
 
 // asked reads the request for a watch, and from which version.
-func asked(conn net.Conn) (from int64, ok bool) {
-	req, err := http.ReadRequest(bufio.NewReaderSize(conn, requestSize))
+func readWatchRequest(conn net.Conn) (from int64, ok bool) {
+	req, err := http.ReadRequest(bufio.NewReaderSize(conn, requestBufferBytes))
 	if err != nil || req.URL.Path != "/registry/instances" || req.FormValue("watch") != "1" {
 		return 0, false
 	}
--- a/internal/scale/family.go
+++ b/internal/scale/family.go
@@ -21,86 +21,86 @@
 )
 
 const (
-	startLimit = 20 * time.Second
-	mostSaid   = 64 << 10 // bytes kept of what a process writes to standard error
+	startTimeout   = 20 * time.Second
+	maxStderrBytes = 64 << 10 // bytes kept of what a process writes to standard error
 )
 
 // family starts processes and ends them all, by their ids. One that ends by itself ends the run.
-type family struct {
-	ctx  context.Context
-	fail context.CancelCauseFunc
+type processGroup struct {
+	ctx    context.Context
+	cancel context.CancelCauseFunc
 
-	starts chan func()
-	mu     sync.Mutex
-	list   []*process
-	over   bool
+	starts    chan func()
+	mu        sync.Mutex
+	processes []*process
+	closed    bool
 }
 
 type process struct {
-	name  string
-	cmd   *exec.Cmd
-	calls *rpc.Client // nil: a real limiter
-	pid   int
-	ended chan struct{}
-	meant atomic.Bool // that it ends
-	said  said
+	name         string
+	cmd          *exec.Cmd
+	client       *rpc.Client // nil: a real limiter
+	pid          int
+	exited       chan struct{}
+	exitExpected atomic.Bool // that it ends
+	stderr       outputTail
 }
 
 // said keeps the last that a process wrote.
-type said struct {
-	mu   sync.Mutex
-	text []byte
-	look func(line string)
+type outputTail struct {
+	mu     sync.Mutex
+	text   []byte
+	onLine func(line string)
 }
 
-func (s *said) add(line string) {
+func (s *outputTail) add(line string) {
 	s.mu.Lock()
 	s.text = append(s.text, line...)
-	if len(s.text) > mostSaid {
-		s.text = bytes.Clone(s.text[len(s.text)-mostSaid/2:])
+	if len(s.text) > maxStderrBytes {
+		s.text = bytes.Clone(s.text[len(s.text)-maxStderrBytes/2:])
 	}
 	s.mu.Unlock()
-	if s.look != nil {
-		s.look(line)
+	if s.onLine != nil {
+		s.onLine(line)
 	}
 }
 
-func (s *said) all() string {
+func (s *outputTail) String() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return string(s.text)
 }
 
-func (s *said) last() string {
-	lines := strings.Split(strings.TrimSpace(s.all()), "\n")
+func (s *outputTail) lastLine() string {
+	lines := strings.Split(strings.TrimSpace(s.String()), "\n")
 	return lines[len(lines)-1]
 }
 
-func newFamily(ctx context.Context) *family {
-	f := &family{starts: make(chan func())}
-	f.ctx, f.fail = context.WithCancelCause(ctx)
+func newProcessGroup(ctx context.Context) *processGroup {
+	group := &processGroup{starts: make(chan func())}
+	group.ctx, group.cancel = context.WithCancelCause(ctx)
 	go func() {
 		// The kernel ends a child when the thread ends that started it, so all are started by one that stays.
 		runtime.LockOSThread()
-		for start := range f.starts {
+		for start := range group.starts {
 			start()
 		}
 	}()
-	return f
+	return group
 }
 
 // start starts a process that ends with the rig however that ends, and apart from its terminal's signals.
-func (f *family) start(name string, cmd *exec.Cmd, look func(string)) (*process, error) {
-	p := &process{name: name, cmd: cmd, ended: make(chan struct{})}
-	p.said.look = look
+func (f *processGroup) start(name string, cmd *exec.Cmd, onLine func(string)) (*process, error) {
+	p := &process{name: name, cmd: cmd, exited: make(chan struct{})}
+	p.stderr.onLine = onLine
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
-	text, err := cmd.StderrPipe()
+	stderr, err := cmd.StderrPipe()
 	if err != nil {
 		return nil, err
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.over {
+	if f.closed {
 		return nil, context.Cause(f.ctx)
 	}
 	done := make(chan error)
@@ -109,29 +109,29 @@
 		return nil, err
 	}
 	p.pid = cmd.Process.Pid
-	f.list = append(f.list, p)
+	f.processes = append(f.processes, p)
 	go func() {
-		lines := bufio.NewReader(text)
+		lines := bufio.NewReader(stderr)
 		for {
 			line, err := lines.ReadString('\n')
 			if line != "" {
-				p.said.add(line)
+				p.stderr.add(line)
 			}
 			if err != nil {
 				break
 			}
 		}
 		err := cmd.Wait()
-		if !p.meant.Load() {
-			f.fail(fmt.Errorf("the process %s ended by itself: %v: %.200s", name, err, p.said.last()))
+		if !p.exitExpected.Load() {
+			f.cancel(fmt.Errorf("the process %s ended by itself: %v: %.200s", name, err, p.stderr.lastLine()))
 		}
-		close(p.ended)
+		close(p.exited)
 	}()
 	return p, nil
 }
 
 // child starts a process of the rig's own in a role.
-func (f *family) child(name, role string, command func(role string) *exec.Cmd) (*process, error) {
+func (f *processGroup) startChild(name, role string, command func(role string) *exec.Cmd) (*process, error) {
 	cmd := command(role)
 	in, err := cmd.StdinPipe()
 	if err != nil {
@@ -145,18 +145,18 @@
 	if err != nil {
 		return nil, err
 	}
-	p.calls = rpc.NewClient(pipes{out, in})
+	p.client = rpc.NewClient(stdioPipes{out, in})
 	return p, nil
 }
 
-type pipes struct {
+type stdioPipes struct {
 	io.Reader
 	io.WriteCloser
 }
 
 // call makes a call of a child, and gives up when the run ends.
-func (f *family) call(p *process, method string, args, out any) error {
-	c := p.calls.Go(method, args, out, make(chan *rpc.Call, 1))
+func (f *processGroup) call(p *process, method string, args, out any) error {
+	c := p.client.Go(method, args, out, make(chan *rpc.Call, 1))
 	select {
 	case <-c.Done:
 		if c.Error != nil {
@@ -174,7 +174,7 @@
 }
 
 // wait waits unless the run ends.
-func (f *family) wait(d time.Duration) error {
+func (f *processGroup) sleep(d time.Duration) error {
 	select {
 	case <-time.After(d):
 		return nil
@@ -184,26 +184,26 @@
 }
 
 // kill ends one process and waits for its end.
-func (f *family) kill(p *process) {
-	p.meant.Store(true)
+func (f *processGroup) kill(p *process) {
+	p.exitExpected.Store(true)
 	_ = p.cmd.Process.Kill()
-	<-p.ended
+	<-p.exited
 }
 
 // close ends all.
-func (f *family) close() {
+func (f *processGroup) close() {
 	f.mu.Lock()
-	f.over = true
-	list := f.list
+	f.closed = true
+	list := f.processes
 	f.mu.Unlock()
 	for _, p := range list {
-		p.meant.Store(true)
+		p.exitExpected.Store(true)
 		_ = p.cmd.Process.Kill()
 	}
 	for _, p := range list {
-		<-p.ended
+		<-p.exited
 	}
-	f.fail(context.Canceled)
+	f.cancel(context.Canceled)
 	close(f.starts)
 }
 
@@ -214,7 +214,7 @@
 }
 
 // limiter starts the real program and waits until it serves.
-func (f *family) limiter(binary, dir, name string, config map[string]any, script string) (*limiter, error) {
+func (f *processGroup) startLimiter(binary, dir, name string, config map[string]any, script string) (*limiter, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
@@ -222,18 +222,18 @@
 	if err != nil {
 		return nil, err
 	}
-	path, file := filepath.Join(dir, "config.json"), filepath.Join(dir, "operator.star")
-	if err := os.WriteFile(path, raw, 0o600); err != nil {
+	configPath, scriptPath := filepath.Join(dir, "config.json"), filepath.Join(dir, "operator.star")
+	if err := os.WriteFile(configPath, raw, 0o600); err != nil {
 		return nil, err
 	}
-	if err := os.WriteFile(file, []byte(script), 0o600); err != nil {
+	if err := os.WriteFile(scriptPath, []byte(script), 0o600); err != nil {
 		return nil, err
 	}
-	up := make(chan string, 1)
-	p, err := f.start(name, exec.Command(binary, "-config", path, "-operator", file), func(line string) {
-		if _, at, ok := strings.Cut(line, "msg=serving name="); ok {
-			if _, at, ok = strings.Cut(at, "listen="); ok {
-				up <- strings.TrimSpace(at)
+	serving := make(chan string, 1)
+	p, err := f.start(name, exec.Command(binary, "-config", configPath, "-operator", scriptPath), func(line string) {
+		if _, addr, ok := strings.Cut(line, "msg=serving name="); ok {
+			if _, addr, ok = strings.Cut(addr, "listen="); ok {
+				serving <- strings.TrimSpace(addr)
 			}
 		}
 	})
@@ -241,13 +241,13 @@
 		return nil, err
 	}
 	select {
-	case at := <-up:
-		return &limiter{p, at, filepath.Join(dir, "admin.sock")}, nil
+	case addr := <-serving:
+		return &limiter{p, addr, filepath.Join(dir, "admin.sock")}, nil
 	case <-f.ctx.Done():
 		return nil, context.Cause(f.ctx)
-	case <-time.After(startLimit):
-		return nil, fmt.Errorf("%s does not serve within %s: %.200s", name, startLimit, p.said.last())
+	case <-time.After(startTimeout):
+		return nil, fmt.Errorf("%s does not serve within %s: %.200s", name, startTimeout, p.stderr.lastLine())
 	}
 }
 
-func name(what string, k int) string { return what + "-" + strconv.Itoa(k) }
+func indexedName(prefix string, k int) string { return prefix + "-" + strconv.Itoa(k) }
--- a/internal/scale/figures.go
+++ b/internal/scale/figures.go
@@ -46,17 +46,17 @@
 	CallsPerRequest float64 `json:"calls_per_request"`
 	Unanswered      float64 `json:"unanswered"` // share of the calls without an answer in time, the limit of the settings
 	Seeds           int     `json:"seeds"`
-	Spread          float64 `json:"spread"` // of Beyond over the seeds, standard deviation
+	BeyondDeviation float64 `json:"spread"` // of Beyond over the seeds, standard deviation
 
-	Set        string  `json:"set"`            // the load: what is held while limiters grow
-	Held       string  `json:"held,omitempty"` // in words, in the row of all plans
-	Free       bool    `json:"free"`           // without the module's own budget of calls
-	PerSecond  float64 `json:"per_second"`     // requests that the clients of all plans began
-	Calls      float64 `json:"calls"`          // a second, of all limiters
-	Lost       float64 `json:"lost"`           // share of the calls that brought nothing of use at all, turned away or too late
-	Tries      int     `json:"tries"`          // of this plan, over the seeds
-	Inside     float64 `json:"inside_refused"` // share refused of the tries of requests that were inside the quota as asked for
-	RoomSpread float64 `json:"room_spread"`    // of RefusedWithRoom over the seeds, standard deviation
+	Set                      string  `json:"set"`            // the load: what is held while limiters grow
+	Held                     string  `json:"held,omitempty"` // in words, in the row of all plans
+	Free                     bool    `json:"free"`           // without the module's own budget of calls
+	PerSecond                float64 `json:"per_second"`     // requests that the clients of all plans began
+	Calls                    float64 `json:"calls"`          // a second, of all limiters
+	Lost                     float64 `json:"lost"`           // share of the calls that brought nothing of use at all, turned away or too late
+	Tries                    int     `json:"tries"`          // of this plan, over the seeds
+	InsideRefusedShare       float64 `json:"inside_refused"` // share refused of the tries of requests that were inside the quota as asked for
+	RefusedWithRoomDeviation float64 `json:"room_spread"`    // of RefusedWithRoom over the seeds, standard deviation
 }
 
 // Moment is one event that all limiters have to hear of, or to bear.
@@ -91,10 +91,10 @@
 
 // Missing is a slope that was not measured, and why.
 type Missing struct {
-	Role    string `json:"role"`
-	What    string `json:"what"`
-	Against string `json:"against"`
-	Why     string `json:"why"`
+	Role     string `json:"role"`
+	Quantity string `json:"what"`
+	Against  string `json:"against"`
+	Why      string `json:"why"`
 }
 
 // Bar is a bound on a run, and whether it held.
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -10,50 +10,50 @@
 
 // line fits a straight line by least squares and gives the standard error of its slope; with fewer than three points there
 // is none, and the error is infinite.
-func line(x, y []float64) (intercept, slope, failing float64) {
+func fitLine(x, y []float64) (intercept, slope, slopeError float64) {
 	if len(x) < 3 {
 		return 0, 0, math.Inf(1)
 	}
 	intercept, slope = stat.LinearRegression(x, y, nil, false)
-	mean, rest, spread := stat.Mean(x, nil), 0.0, 0.0
+	mean, squaredResiduals, squaredDeviations := stat.Mean(x, nil), 0.0, 0.0
 	for k := range x {
 		d := y[k] - intercept - slope*x[k]
-		rest += d * d
-		spread += (x[k] - mean) * (x[k] - mean)
+		squaredResiduals += d * d
+		squaredDeviations += (x[k] - mean) * (x[k] - mean)
 	}
-	return intercept, slope, math.Sqrt(rest / float64(len(x)-2) / spread)
+	return intercept, slope, math.Sqrt(squaredResiduals / float64(len(x)-2) / squaredDeviations)
 }
 
-type slopeKey struct{ role, what, against string }
+type slopeKey struct{ role, quantity, against string }
 
 // ledger collects what is measured at sizes.
-type ledger struct {
-	points map[slopeKey][][2]float64
-	held   map[string]string // by against
-	units  map[slopeKey]string
+type measurements struct {
+	points       map[slopeKey][][2]float64
+	heldConstant map[string]string // by against
+	units        map[slopeKey]string
 }
 
-func newLedger() *ledger {
-	return &ledger{map[slopeKey][][2]float64{}, map[string]string{}, map[slopeKey]string{}}
+func newMeasurements() *measurements {
+	return &measurements{map[slopeKey][][2]float64{}, map[string]string{}, map[slopeKey]string{}}
 }
 
-var usualUnits = map[string]string{"memory": "bytes", "processor": "seconds/s", "messages": "1/s", "bytes": "bytes/s"}
+var defaultUnits = map[string]string{"memory": "bytes", "processor": "seconds/s", "messages": "1/s", "bytes": "bytes/s"}
 
-func (l *ledger) note(role, what, against string, size, value float64) {
-	key := slopeKey{role, what, against}
+func (l *measurements) add(role, quantity, against string, size, value float64) {
+	key := slopeKey{role, quantity, against}
 	l.points[key] = append(l.points[key], [2]float64{size, value})
 }
 
 // notePer is note for a value that is not for a second.
-func (l *ledger) notePer(unit, role, what, against string, size, value float64) {
-	l.units[slopeKey{role, what, against}] = unit
-	l.note(role, what, against, size, value)
+func (l *measurements) addWithUnit(unit, role, quantity, against string, size, value float64) {
+	l.units[slopeKey{role, quantity, against}] = unit
+	l.add(role, quantity, against, size, value)
 }
 
 // slopes fits what was measured at three sizes or more.
-func (l *ledger) slopes() (list []Slope) {
+func (l *measurements) slopes() (list []Slope) {
 	for key, points := range l.points {
-		s := Slope{Role: key.role, What: key.what, Unit: usualUnits[key.what], Against: key.against, Held: l.held[key.against]}
+		s := Slope{Role: key.role, What: key.quantity, Unit: defaultUnits[key.quantity], Against: key.against, Held: l.heldConstant[key.against]}
 		if unit, ok := l.units[key]; ok {
 			s.Unit = unit
 		}
@@ -63,7 +63,7 @@
 		if len(points) < 3 {
 			continue
 		}
-		s.Intercept, s.PerUnit, s.Error = line(s.Sizes, s.Values)
+		s.Intercept, s.PerUnit, s.Error = fitLine(s.Sizes, s.Values)
 		list = append(list, s)
 	}
 	slices.SortFunc(list, func(a, b Slope) int {
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -18,48 +18,48 @@
 	"bramblefall/logic"
 )
 
-const callEvery = 10 * time.Millisecond // between two looks for calls that are due
+const callTick = 10 * time.Millisecond // between two looks for calls that are due
 
 // Hollow holds hollow limiters: each follows discovery and calls the counter through the limiter's own packages, keeps the
 // list as they do, and serves nobody.
 type Hollow struct {
 	ctx context.Context
 
-	mu       sync.Mutex
-	limiters []*hollow
-	rate     float64 // calls a second of each
-	admins   int
+	mu             sync.Mutex
+	limiters       []*hollowLimiter
+	callsPerSecond float64 // calls a second of each
+	adminsStarted  int
 
 	calls, answered, unsent, lost atomic.Int64
 }
 
-type hollow struct {
-	counts *counter.Set
+type hollowLimiter struct {
+	counter *counter.Set
 
-	mu      sync.Mutex
-	addrs   map[logic.ServerID]string
-	version int64
-	at      time.Duration // when the last version came
-	listed  time.Duration // when the first whole list came
+	mu        sync.Mutex
+	addrs     map[logic.ServerID]string
+	version   int64
+	versionAt time.Duration // when the last version came
+	listedAt  time.Duration // when the first whole list came
 }
 
 func newHollow(ctx context.Context) *Hollow {
 	h := &Hollow{ctx: ctx}
-	go h.call()
+	go h.makeCalls()
 	return h
 }
 
 // SetAddress implements discovery.Addresses.
-func (h *hollow) SetAddress(id logic.ServerID, addr string) {
+func (h *hollowLimiter) SetAddress(id logic.ServerID, addr string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.addrs[id] = addr
 }
 
 // Withdraw implements discovery.Addresses. A hollow limiter has no connections to servers.
-func (h *hollow) Withdraw(logic.ServerID) {}
+func (h *hollowLimiter) Withdraw(logic.ServerID) {}
 
-func (h *hollow) news(ev core.Event) {
+func (h *hollowLimiter) handleEvent(ev core.Event) {
 	list, ok := ev.(core.UpstreamGroup)
 	if !ok {
 		return
@@ -70,11 +70,11 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if list.Whole && h.listed == 0 {
-		h.listed = at
+	if list.Whole && h.listedAt == 0 {
+		h.listedAt = at
 	}
 	if newest > h.version {
-		h.version, h.at = newest, at
+		h.version, h.versionAt = newest, at
 	}
 }
 
@@ -82,9 +82,9 @@
 type HollowAdd struct {
 	Limiters           int
 	Discovery, Counter string
-	Fleet              int // limiters in all, as the settings say
-	Calls              float64
-	Grace              time.Duration
+	FleetSize          int // limiters in all, as the settings say
+	CallsPerSecond     float64
+	DrainGrace         time.Duration
 }
 
 func hollowSettings(fleet int, grace time.Duration) logic.Settings {
@@ -95,24 +95,24 @@
 func (h *Hollow) Add(a HollowAdd, _ *int) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.rate = a.Calls
+	h.callsPerSecond = a.CallsPerSecond
 	for range a.Limiters {
-		l := &hollow{addrs: map[logic.ServerID]string{}}
-		list := discovery.New(a.Discovery, hollowSettings(a.Fleet, a.Grace), l, l.news)
-		l.counts = counter.New(a.Counter, counter.Connections(1, 0), func(ev core.Event) {
+		l := &hollowLimiter{addrs: map[logic.ServerID]string{}}
+		list := discovery.New(a.Discovery, hollowSettings(a.FleetSize, a.DrainGrace), l, l.handleEvent)
+		l.counter = counter.New(a.Counter, counter.Connections(1, 0), func(ev core.Event) {
 			if result, ok := ev.(core.CountResult); ok {
-				h.ended(result.Status)
+				h.recordCallEnd(result.Status)
 			}
 		}, loop.Now)
 		go list.Run(h.ctx)
-		go l.counts.Run(h.ctx)
+		go l.counter.Run(h.ctx)
 		h.limiters = append(h.limiters, l)
 	}
 	return nil
 }
 
 // ended counts the end of a call to the counter.
-func (h *Hollow) ended(status logic.Status) {
+func (h *Hollow) recordCallEnd(status logic.Status) {
 	switch status {
 	case logic.OK:
 		h.answered.Add(1)
@@ -127,12 +127,12 @@
 func (h *Hollow) Calls(rate float64, _ *int) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.rate = rate
+	h.callsPerSecond = rate
 	return nil
 }
 
-func (h *Hollow) call() {
-	tick := time.NewTicker(callEvery)
+func (h *Hollow) makeCalls() {
+	tick := time.NewTicker(callTick)
 	defer tick.Stop()
 	last, due, next := now(), 0.0, 0
 	for {
@@ -142,7 +142,7 @@
 		case <-tick.C:
 		}
 		h.mu.Lock()
-		limiters, rate := h.limiters, h.rate
+		limiters, rate := h.limiters, h.callsPerSecond
 		h.mu.Unlock()
 		at := now()
 		due += (at - last).Seconds() * rate * float64(len(limiters))
@@ -151,41 +151,41 @@
 			next++
 			l := limiters[next%len(limiters)]
 			h.calls.Add(1)
-			l.counts.Count(core.Count{Call: uint64(next), Name: rand.Uint64N(1 << 20), Amount: 1, Lives: 10 * time.Second, Until: loop.Now() + time.Second})
+			l.counter.Count(core.Count{Call: uint64(next), Name: rand.Uint64N(1 << 20), Amount: 1, Lives: 10 * time.Second, Until: loop.Now() + time.Second})
 		}
 	}
 }
 
 // Arrived is how far hollow limiters are.
-type Arrived struct {
-	Limiters int
-	Behind   int             // that do not have the version
-	At       []time.Duration // when the others had it
-	Listed   []time.Duration // when they had their first whole list
-	Calls    int64
-	Answered int64
-	Unsent   int64 // calls that never left, or that the counter turned away
-	Lost     int64 // calls whose connection ended before their answer
+type FleetStatus struct {
+	Limiters  int
+	Behind    int             // that do not have the version
+	ArrivedAt []time.Duration // when the others had it
+	ListedAt  []time.Duration // when they had their first whole list
+	Calls     int64
+	Answered  int64
+	Unsent    int64 // calls that never left, or that the counter turned away
+	Lost      int64 // calls whose connection ended before their answer
 }
 
 // unanswered is how many calls to the counter have no answer.
-func (a Arrived) unanswered() int64 { return a.Calls - a.Answered }
+func (a FleetStatus) unanswered() int64 { return a.Calls - a.Answered }
 
 // Arrivals tells who has a version, and when it came if it is the last.
-func (h *Hollow) Arrivals(version int64, out *Arrived) error {
+func (h *Hollow) Arrivals(version int64, out *FleetStatus) error {
 	h.mu.Lock()
 	limiters := h.limiters
 	h.mu.Unlock()
-	*out = Arrived{Limiters: len(limiters), Calls: h.calls.Load(), Answered: h.answered.Load(), Unsent: h.unsent.Load(), Lost: h.lost.Load()}
+	*out = FleetStatus{Limiters: len(limiters), Calls: h.calls.Load(), Answered: h.answered.Load(), Unsent: h.unsent.Load(), Lost: h.lost.Load()}
 	for _, l := range limiters {
 		l.mu.Lock()
 		if l.version < version {
 			out.Behind++
 		} else {
-			out.At = append(out.At, l.at)
+			out.ArrivedAt = append(out.ArrivedAt, l.versionAt)
 		}
-		if l.listed > 0 {
-			out.Listed = append(out.Listed, l.listed)
+		if l.listedAt > 0 {
+			out.ListedAt = append(out.ListedAt, l.listedAt)
 		}
 		l.mu.Unlock()
 	}
@@ -193,24 +193,24 @@
 }
 
 // Admins asks for limiters that have a plan book and the operators' service, and nothing else.
-type Admins struct {
+type AdminStart struct {
 	Dir   string
 	Count int
 	Tiers []logic.Plan
 }
 
 // Admin starts so many and tells their sockets.
-func (h *Hollow) Admin(a Admins, out *[]string) error {
+func (h *Hollow) StartAdmins(a AdminStart, out *[]string) error {
 	for range a.Count {
-		h.admins++
-		set := hollowSettings(1, usualGrace)
+		h.adminsStarted++
+		set := hollowSettings(1, defaultDrainGrace)
 		set.Plans, set.MostUnits = a.Tiers, 1
 		limits := plans.DefaultLimits
-		owner := loop.New(core.New(set, uint64(h.admins), plans.New(a.Tiers, limits)))
+		owner := loop.New(core.New(set, uint64(h.adminsStarted), plans.New(a.Tiers, limits)))
 		owner.Connect(nil, nil, &plans.Board{}, nil)
 		owner.Begin()
 		go owner.Run(h.ctx)
-		path := filepath.Join(a.Dir, fmt.Sprintf("%d.sock", h.admins))
+		path := filepath.Join(a.Dir, fmt.Sprintf("%d.sock", h.adminsStarted))
 		if err := admin.New(owner).Listen(path); err != nil {
 			return err
 		}
--- a/internal/scale/modelled.go
+++ b/internal/scale/modelled.go
@@ -24,7 +24,7 @@
 		progress = func(string) {}
 	}
 	var all []Moment
-	for _, play := range []func(context.Context, uint64, bool, func(string)) (Moment, error){regions, day} {
+	for _, play := range []func(context.Context, uint64, bool, func(string)) (Moment, error){measureRegions, measureDay} {
 		m, err := play(ctx, seed, quick, progress)
 		if err != nil {
 			return all, err
@@ -37,16 +37,16 @@
 // ---- regions
 
 // window is what came between two instants of a run.
-type window struct {
+type interval struct {
 	seconds  float64
 	from, to model.Result
 }
 
-func (w window) sent() float64   { return w.to.SentUnits - w.from.SentUnits }
-func (w window) beyond() float64 { return (w.to.BeyondUnits - w.from.BeyondUnits) / max(w.sent(), 1) }
+func (w interval) sent() float64   { return w.to.SentUnits - w.from.SentUnits }
+func (w interval) beyond() float64 { return (w.to.BeyondUnits - w.from.BeyondUnits) / max(w.sent(), 1) }
 
 // put notes a window's figures under its name.
-func (w window) put(values map[string]float64, name string) {
+func (w interval) record(values map[string]float64, name string) {
 	for k := range w.to.Halls {
 		values[fmt.Sprintf("%s, region %d, units/s", name, k)] = (w.to.Halls[k].Units - w.from.Halls[k].Units) / w.seconds
 	}
@@ -57,16 +57,16 @@
 	values[name+", calls/s"] = float64(w.to.Calls-w.from.Calls) / w.seconds
 }
 
-const healStep, healLooked = 5.0, 60.0 // seconds: a window after the healing, and how long they are looked at
+const healStepSeconds, healObservedSeconds = 5.0, 60.0 // seconds: a window after the healing, and how long they are looked at
 
 // regionPlay is one seed's: by name what it came to.
-func regionPlay(ctx context.Context, s model.Scenario, seed uint64, cutAt, cutFor float64) map[string]float64 {
+func playRegions(ctx context.Context, s model.Scenario, seed uint64, cutAt, cutFor float64) map[string]float64 {
 	s.Faults = []model.Fault{{Kind: model.FaultRegions, At: cutAt, For: cutFor}}
 	w := model.New(s, seed, model.Own(), false)
 	at, values := s.Warm, map[string]float64{}
 	last := w.Play(at)
-	to := func(end float64) window {
-		v := window{end - at, last, last}
+	playUntil := func(end float64) interval {
+		v := interval{end - at, last, last}
 		for at < end && ctx.Err() == nil { // in steps, so that it can be stopped
 			at = min(at+60, end)
 			last = w.Play(at)
@@ -74,33 +74,33 @@
 		v.to = last
 		return v
 	}
-	begun, usual := last, 0.0
+	beforeCut, worstBeforeCut := last, 0.0
 	for at < cutAt && ctx.Err() == nil {
-		usual = max(usual, to(min(at+healStep, cutAt)).beyond())
+		worstBeforeCut = max(worstBeforeCut, playUntil(min(at+healStepSeconds, cutAt)).beyond())
 	}
-	window{cutAt - s.Warm, begun, last}.put(values, "before")
-	values["before, most beyond in 5 s"] = usual
-	to(cutAt+10).put(values, "cut, first 10 s")
-	to(cutAt+cutFor).put(values, "cut")
-	healed, back := last, 0.0
-	for t := healStep; t <= healLooked; t += healStep {
-		v := to(cutAt + cutFor + t)
-		if v.beyond() > usual {
-			back = t
+	interval{cutAt - s.Warm, beforeCut, last}.record(values, "before")
+	values["before, most beyond in 5 s"] = worstBeforeCut
+	playUntil(cutAt+10).record(values, "cut, first 10 s")
+	playUntil(cutAt+cutFor).record(values, "cut")
+	atHealing, recoveredAfter := last, 0.0
+	for t := healStepSeconds; t <= healObservedSeconds; t += healStepSeconds {
+		v := playUntil(cutAt + cutFor + t)
+		if v.beyond() > worstBeforeCut {
+			recoveredAfter = t
 		}
-		if t == healStep {
-			v.put(values, "healed, first 5 s")
+		if t == healStepSeconds {
+			v.record(values, "healed, first 5 s")
 		}
 	}
-	window{healLooked, healed, last}.put(values, "healed, first 60 s")
-	values["healed, calls in 60 s"] = float64(last.Calls - healed.Calls)
-	values["healed, over usual until s"] = back
-	to(s.Seconds).put(values, "after")
+	interval{healObservedSeconds, atHealing, last}.record(values, "healed, first 60 s")
+	values["healed, calls in 60 s"] = float64(last.Calls - atHealing.Calls)
+	values["healed, over usual until s"] = recoveredAfter
+	playUntil(s.Seconds).record(values, "after")
 	values["broken rules"] = float64(last.Broken)
 	return values
 }
 
-func regions(ctx context.Context, seed uint64, quick bool, progress func(string)) (Moment, error) {
+func measureRegions(ctx context.Context, seed uint64, quick bool, progress func(string)) (Moment, error) {
 	s := model.Base()
 	s.Limiters, s.Nodes, s.Firms.Count, s.Warm = 10, 24, 60, 10
 	s.Firms.Spread = model.Range{10, 10}
@@ -116,7 +116,7 @@
 	done := make(chan int, seeds)
 	for k := range seeds {
 		go func() {
-			list[k] = regionPlay(ctx, s, seed+uint64(k), cutAt, cutFor)
+			list[k] = playRegions(ctx, s, seed+uint64(k), cutAt, cutFor)
 			done <- k
 		}()
 	}
@@ -149,24 +149,24 @@
 
 // ---- a day of changes
 
-const dayChanges, daySeconds = 33_000, 86_400
+const changesPerDay, secondsPerDay = 33_000, 86_400
 
 // drawDay draws the instants of a day's changes, in order. Half of them come in releases, most of them in working hours: a
 // release touches some hundred servers, some in a second. The others come one by one.
-func drawDay(seed uint64) (at []float64) {
+func drawDayChanges(seed uint64) (at []float64) {
 	rng := rand.New(rand.NewPCG(seed, 0x646179))
-	working := func() float64 { return 3600 * (8 + 10*rng.Float64()) }
-	for len(at) < dayChanges/2 {
-		size := min(int(math.Exp(math.Log(250)+0.9*rng.NormFloat64())), 3000, dayChanges/2-len(at))
-		pace, t := 2+38*rng.Float64()*rng.Float64(), working()
+	workingHour := func() float64 { return 3600 * (8 + 10*rng.Float64()) }
+	for len(at) < changesPerDay/2 {
+		size := min(int(math.Exp(math.Log(250)+0.9*rng.NormFloat64())), 3000, changesPerDay/2-len(at))
+		pace, t := 2+38*rng.Float64()*rng.Float64(), workingHour()
 		for range max(size, 1) {
-			at, t = append(at, t), min(t+rng.ExpFloat64()/pace, daySeconds-1e-3)
+			at, t = append(at, t), min(t+rng.ExpFloat64()/pace, secondsPerDay-1e-3)
 		}
 	}
-	for len(at) < dayChanges {
-		t := daySeconds * rng.Float64()
+	for len(at) < changesPerDay {
+		t := secondsPerDay * rng.Float64()
 		if rng.Float64() < 0.5 {
-			t = working()
+			t = workingHour()
 		}
 		at = append(at, t)
 	}
@@ -175,7 +175,7 @@
 }
 
 // worst is the most changes within any span of so many seconds, and where it begins.
-func worst(at []float64, span float64) (most int, from float64) {
+func busiestSpan(at []float64, span float64) (most int, from float64) {
 	first := 0
 	for k := range at {
 		for at[k]-at[first] >= span {
@@ -195,7 +195,7 @@
 	return float64(len(raw) + 1)
 }
 
-func day(ctx context.Context, seed uint64, quick bool, progress func(string)) (Moment, error) {
+func measureDay(ctx context.Context, seed uint64, quick bool, progress func(string)) (Moment, error) {
 	limiters, servers, days, span := 30, 3000, 20, 60.0
 	if quick {
 		limiters, servers, days, span = 10, 600, 3, 15
@@ -203,9 +203,9 @@
 	values := map[string]float64{}
 	var seconds, minutes []float64
 	for n := range days {
-		at := drawDay(seed + uint64(n))
-		second, _ := worst(at, 1)
-		minute, _ := worst(at, 60)
+		at := drawDayChanges(seed + uint64(n))
+		second, _ := busiestSpan(at, 1)
+		minute, _ := busiestSpan(at, 60)
 		seconds, minutes = append(seconds, float64(second)), append(minutes, float64(minute))
 	}
 	values["worst second, changes"], values["worst second, deviation"] = meanAndDeviation(seconds)
@@ -231,7 +231,7 @@
 		sizes, times = []int{60, 3000}, 2000
 	}
 	for _, size := range sizes {
-		mean, most, all := changeCost(size, times)
+		mean, most, all := measureChangeCost(size, times)
 		cost[fmt.Sprintf("a change among %d servers, us", size)] = mean
 		cost[fmt.Sprintf("a change among %d servers, p99 us", size)] = most
 		cost[fmt.Sprintf("a whole list of %d servers, ms", size)] = all
@@ -245,14 +245,14 @@
 		Values: values, Cost: cost,
 		Note: fmt.Sprintf("%d changes a day, half of them in releases of some hundred servers; %d days drawn; the worst %.0f s of the first played with "+
 			"%d limiters, %d firms and %d servers (held small); p99_s and last_s: from a change until it is in force at a limiter, the most of it "+
-			"discovery's own 0.5 to 3 s; messages and bytes: what one limiter takes in the worst minute of these days", dayChanges, days, span,
+			"discovery's own 0.5 to 3 s; messages and bytes: what one limiter takes in the worst minute of these days", changesPerDay, days, span,
 			limiters, firms, servers)}, nil
 }
 
 // playBurst plays the span of a day in which the most changes come, and the same time without any.
 func playBurst(ctx context.Context, seed uint64, limiters, servers int, span float64) (burst, calm model.Result, firms int, err error) {
-	at := drawDay(seed)
-	_, from := worst(at, span)
+	at := drawDayChanges(seed)
+	_, from := busiestSpan(at, span)
 	s := model.Base()
 	s.Name, s.Limiters, s.Nodes, s.Firms.Count, s.Warm = "worst minute", limiters, servers, 12*limiters, 10
 	s.Firms.Spread = model.Range{float64(limiters), float64(limiters)}
@@ -276,8 +276,8 @@
 
 // changeCost is the processor time, in us, that the reducer takes for a change of one server among many: the mean, and the
 // 99th percentile. all is that of a whole list without a change, in ms.
-func changeCost(servers, times int) (mean, p99, all float64) {
-	r, now := costReducer()
+func measureChangeCost(servers, times int) (meanMicros, p99Micros, wholeListMS float64) {
+	r, now := newCostReducer()
 	var list []logic.Server
 	for k := range servers {
 		list = append(list, logic.Server{ID: logic.ServerID(k + 1), Weight: 1, Zone: k % 2, State: logic.Ready})
@@ -297,7 +297,7 @@
 		return took
 	}
 	reduce(now, core.UpstreamGroup{ServerList: whole})
-	all = float64(reduce(now, core.UpstreamGroup{ServerList: whole}).Microseconds()) / 1000
+	wholeListMS = float64(reduce(now, core.UpstreamGroup{ServerList: whole}).Microseconds()) / 1000
 	next := logic.ServerID(servers + 1)
 	took := make([]float64, 0, times)
 	rng := rand.New(rand.NewPCG(1, 0x636f7374))
@@ -319,12 +319,12 @@
 		changed := reduce(now, core.UpstreamGroup{ServerList: logic.ServerList{Servers: []logic.Server{*line}}})
 		took = append(took, float64(changed.Nanoseconds())/1000)
 	}
-	mean, _ = meanAndDeviation(took)
+	meanMicros, _ = meanAndDeviation(took)
 	slices.Sort(took)
-	return mean, took[len(took)*99/100], all
+	return meanMicros, took[len(took)*99/100], wholeListMS
 }
 
-func costReducer() (*core.Reducer, time.Duration) {
+func newCostReducer() (*core.Reducer, time.Duration) {
 	s := model.Base()
 	set := logic.Settings{Gateways: 300, Zones: 2, Plans: s.Tiers, HasCounter: true, CounterLimit: 30 * time.Millisecond, MostUnits: 1,
 		MaxAttempts: 6, MaxRetryAfter: time.Second, RetryAfter: true, Cancelling: true, StartCapacity: s.Node.ColdShare, Cold: 18 * time.Second,
--- a/internal/scale/module.go
+++ b/internal/scale/module.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	moduleRate     = 10_000 // requests a second: 510,000 firms within a minute
-	moduleLimiters = 3
-	moduleServers  = 100
-	moduleTTL      = time.Second
+	moduleRequestsPerSecond = 10_000 // requests a second: 510,000 firms within a minute
+	moduleLimiters          = 3
+	moduleServers           = 100
+	moduleRequestTTL        = time.Second
 )
 
 // moduleMemory is the heap that the decision module holds, after a collection, when so many firms have each asked once within
 // a minute; it grows with the firms that are active. Answers come at once.
-func moduleMemory(firms int) (held float64, err error) {
+func moduleMemory(firms int) (heapGrowth float64, err error) {
 	raw, err := json.Marshal(lab.Settings(moduleLimiters, 0, []logic.Plan{{Name: "regular", Rate: 1e6, Burst: 1e6, Price: 1, OverCost: 0.5}}))
 	if err != nil {
 		return 0, err
 	}
-	set, err := wire.SettingsFromJSON(raw)
+	settings, err := wire.SettingsFromJSON(raw)
 	if err != nil {
 		return 0, err
 	}
@@ -38,13 +38,13 @@
 		return float64(m.HeapAlloc)
 	}
 	before := heap()
-	g := logic.New(set, 1)
+	gateway := logic.New(settings, 1)
 	now := time.Second
-	timers, due := map[uint32]time.Duration{}, map[time.Duration][]uint32{} // by token; by the millisecond in which they ring
+	timers, timersDue := map[uint32]time.Duration{}, map[time.Duration][]uint32{} // by token; by the millisecond in which they ring
 	served := 0
 	var handle func(logic.Event)
 	handle = func(e logic.Event) {
-		for _, a := range g.Handle(now, e) {
+		for _, a := range gateway.Handle(now, e) {
 			switch a := a.(type) {
 			case logic.Send:
 				served++
@@ -52,41 +52,41 @@
 			case logic.Count:
 				handle(logic.CountResult{Name: a.Name, Total: a.Amount})
 			case logic.SetTimer:
-				at := max(now+a.After, now+time.Millisecond).Truncate(time.Millisecond)
-				timers[a.Token] = at
-				due[at] = append(due[at], a.Token)
+				dueAt := max(now+a.After, now+time.Millisecond).Truncate(time.Millisecond)
+				timers[a.Token] = dueAt
+				timersDue[dueAt] = append(timersDue[dueAt], a.Token)
 			}
 		}
 	}
-	list := logic.ServerList{Whole: true}
+	serverList := logic.ServerList{Whole: true}
 	for k := range moduleServers {
-		list.Servers = append(list.Servers, logic.Server{ID: logic.ServerID(k + 1), Weight: 1, Cell: k / 2, State: logic.Ready})
+		serverList.Servers = append(serverList.Servers, logic.Server{ID: logic.ServerID(k + 1), Weight: 1, Cell: k / 2, State: logic.Ready})
 	}
-	handle(list)
+	handle(serverList)
 	for k := range firms {
-		at := now.Truncate(time.Millisecond)
-		for _, token := range due[at] {
-			if timers[token] == at { // it may have been set anew
+		dueAt := now.Truncate(time.Millisecond)
+		for _, token := range timersDue[dueAt] {
+			if timers[token] == dueAt { // it may have been set anew
 				delete(timers, token)
 				handle(logic.Timer{Token: token})
 			}
 		}
-		delete(due, at)
-		handle(logic.Request{ID: uint64(k + 1), Customer: uint64(k + 1), Units: 1, TTL: moduleTTL, Spread: moduleLimiters})
-		now += time.Second / moduleRate
+		delete(timersDue, dueAt)
+		handle(logic.Request{ID: uint64(k + 1), Customer: uint64(k + 1), Units: 1, TTL: moduleRequestTTL, Spread: moduleLimiters})
+		now += time.Second / moduleRequestsPerSecond
 	}
-	held = heap() - before
-	runtime.KeepAlive(g)
+	heapGrowth = heap() - before
+	runtime.KeepAlive(gateway)
 	if served < firms/2 {
 		return 0, errors.New("less than half of the requests were served")
 	}
-	return held, nil
+	return heapGrowth, nil
 }
 
 // module measures the module's memory against firms.
-func (r *alone) module() error {
+func (r *residentRun) sweepModule() error {
 	var memory residentPoints
-	for _, n := range r.sizes.Module {
+	for _, n := range r.sizes.ModuleFirms {
 		if err := r.ctx.Err(); err != nil {
 			return err
 		}
@@ -97,7 +97,7 @@
 		memory.add(float64(n), v)
 		r.say("%d firms active at the module: %.1f MB of heap", n, v/1e6)
 	}
-	r.fit(memory, "limiter", "memory", "bytes", "tenants_active",
-		fmt.Sprintf("module: heap after a collection, each firm asks once within a minute, %d requests a second, %d limiters, %d servers", moduleRate, moduleLimiters, moduleServers))
+	r.addSlope(memory, "limiter", "memory", "bytes", "tenants_active",
+		fmt.Sprintf("module: heap after a collection, each firm asks once within a minute, %d requests a second, %d limiters, %d servers", moduleRequestsPerSecond, moduleLimiters, moduleServers))
 	return nil
 }
--- a/internal/scale/moments.go
+++ b/internal/scale/moments.go
@@ -7,110 +7,110 @@
 )
 
 // change tells one change and waits until the hollow limiters have it.
-func (r *run) change(c Change, limit time.Duration) (m Moment, err error) {
-	before, err := r.sample()
+func (r *run) measureChange(c Change, limit time.Duration) (m Moment, err error) {
+	before, err := r.takeSample()
 	if err != nil {
 		return m, err
 	}
-	var told Told
-	if err := r.f.call(r.discovery, "Role.Change", c, &told); err != nil {
+	var told AppliedChange
+	if err := r.group.call(r.discoveryProcess, "Role.Change", c, &told); err != nil {
 		return m, err
 	}
-	r.version = told.Version
-	all, behind, err := r.arrivals(limit, r.hollow)
+	r.lastVersion = told.Version
+	all, behind, err := r.awaitVersion(limit, r.hollowProcesses)
 	if err != nil {
 		return m, err
 	}
-	after, err := r.sample()
+	after, err := r.takeSample()
 	if err != nil {
 		return m, err
 	}
-	m = r.moment(all, told.At, behind)
-	t := after.discovery.less(before.discovery).all()
+	m = r.newMoment(all, told.AppliedAt, behind)
+	t := after.discovery.minus(before.discovery).total()
 	m.Messages, m.Bytes = float64(t.Messages), float64(t.Bytes)
 	return m, nil
 }
 
 // moment is how long arrivals took.
-func (r *run) moment(at []time.Duration, from time.Duration, behind int) (m Moment) {
+func (r *run) newMoment(at []time.Duration, from time.Duration, behind int) (m Moment) {
 	slices.Sort(at)
-	m.Limiters, m.Servers = r.hollows()+len(r.real), r.listed
+	m.Limiters, m.Servers = r.hollowLimiterCount()+len(r.realLimiters), r.listedServers
 	if n := len(at); n > 0 {
 		m.P99, m.Last = (at[(n*99+99)/100-1] - from).Seconds(), (at[n-1] - from).Seconds()
 	}
 	if behind > 0 {
-		m.Note = fmt.Sprintf("%d hollow limiters %s", behind, unheard)
+		m.Note = fmt.Sprintf("%d hollow limiters %s", behind, notHeardNote)
 	}
 	return m
 }
 
 const (
-	quietBytes = 1000 // of a real limiter's watch in quietFor, where nothing is told but empty lines
-	quietFor   = 300 * time.Millisecond
-	lookAgain  = 20 * time.Millisecond
-	hearLimit  = 20 * time.Second // until the last has a change or a list
+	maxIdleBytes    = 1000 // of a real limiter's watch in quietFor, where nothing is told but empty lines
+	idlePeriod      = 300 * time.Millisecond
+	pollInterval    = 20 * time.Millisecond
+	deliveryTimeout = 20 * time.Second // until the last has a change or a list
 )
 
 // arrivals waits until the hollow limiters of these processes have the last version.
-func (r *run) arrivals(limit time.Duration, from []*process) (at []time.Duration, behind int, err error) {
+func (r *run) awaitVersion(limit time.Duration, from []*process) (at []time.Duration, behind int, err error) {
 	for began := now(); ; {
 		at, behind = nil, 0
 		for _, p := range from {
-			var a Arrived
-			if err := r.f.call(p, "Role.Arrivals", r.version, &a); err != nil {
+			var a FleetStatus
+			if err := r.group.call(p, "Role.Arrivals", r.lastVersion, &a); err != nil {
 				return nil, 0, err
 			}
-			at = append(at, a.At...)
+			at = append(at, a.ArrivedAt...)
 			behind += a.Behind
 		}
 		if behind == 0 || now()-began > limit {
 			return at, behind, nil
 		}
-		if err := r.f.wait(lookAgain); err != nil {
+		if err := r.group.sleep(pollInterval); err != nil {
 			return nil, 0, err
 		}
 	}
 }
 
 // moments has a rack and a zone go and come back, and a tenth of the limiters restart, with the real ones under load.
-func (r *run) moments() error {
-	if err := r.goAndComeBack("rack", Change{To: max(r.listed/20, 2)}, r.Sizes.Settle); err != nil {
+func (r *run) measureMoments() error {
+	if err := r.measureOutage("rack", Change{To: max(r.listedServers/20, 2)}, r.Sizes.Settle); err != nil {
 		return err
 	}
-	if err := r.goAndComeBack("zone", Change{To: r.listed, Step: len(zones)}, r.Sizes.Settle); err != nil {
+	if err := r.measureOutage("zone", Change{To: r.listedServers, Step: len(zones)}, r.Sizes.Settle); err != nil {
 		return err
 	}
-	return r.restart()
+	return r.measureRestart()
 }
 
 // goAndComeBack tells that servers are gone, and a moment later that they are ready again, under load.
-func (r *run) goAndComeBack(name string, c Change, between time.Duration) error {
-	var load Loaded
+func (r *run) measureOutage(name string, c Change, between time.Duration) error {
+	var load LoadResult
 	done := make(chan error, 1)
 	go func() {
-		done <- r.f.call(r.load, "Role.Run", LoadRun{r.usual(targetRate), 0, 2*between + time.Second, r.Seed}, &load)
+		done <- r.group.call(r.loadProcess, "Role.Run", LoadRun{r.regularLoad(targetRequestsPerSecond), 0, 2*between + time.Second, r.Seed}, &load)
 	}()
 	for k, state := range []string{"gone", "ready"} {
-		if err := r.f.wait(between); err != nil {
+		if err := r.group.sleep(between); err != nil {
 			return err
 		}
 		c.State = state
-		m, err := r.change(c, hearLimit)
+		m, err := r.measureChange(c, deliveryTimeout)
 		if err != nil {
 			return err
 		}
 		m.Name = name
-		what := []string{"gone", "back"}[k]
-		m.Note = joinNotes(fmt.Sprintf("%s: %d servers", what, (c.To-c.From+max(c.Step, 1)-1)/max(c.Step, 1)), m.Note)
+		direction := []string{"gone", "back"}[k]
+		m.Note = joinNotes(fmt.Sprintf("%s: %d servers", direction, (c.To-c.From+max(c.Step, 1)-1)/max(c.Step, 1)), m.Note)
 		r.figures.Moments = append(r.figures.Moments, m)
-		r.say("a %s %s, told to %d limiters: 99 in 100 have it after %.0f ms, the last after %.0f ms", name, what, m.Limiters, 1000*m.P99, 1000*m.Last)
+		r.say("a %s %s, told to %d limiters: 99 in 100 have it after %.0f ms, the last after %.0f ms", name, direction, m.Limiters, 1000*m.P99, 1000*m.Last)
 	}
 	if err := <-done; err != nil {
 		return err
 	}
-	r.lost, r.refused, r.sent = r.lost+load.Lost, r.refused+load.Refused, r.sent+load.Sent
-	if r.lostWhy == "" {
-		r.lostWhy = load.Why
+	r.lostRequests, r.refusedRequests, r.sentRequests = r.lostRequests+load.Lost, r.refusedRequests+load.Refused, r.sentRequests+load.Sent
+	if r.lostReason == "" {
+		r.lostReason = load.LostReason
 	}
 	return nil
 }
@@ -123,33 +123,33 @@
 }
 
 // restart ends one of the hollow processes, a tenth of the limiters, and starts it anew: all its limiters ask at once.
-func (r *run) restart() error {
-	before, err := r.sample()
+func (r *run) measureRestart() error {
+	before, err := r.takeSample()
 	if err != nil {
 		return err
 	}
-	n := r.hollowCount[0]
-	r.f.kill(r.hollow[0])
-	p, err := r.f.child(name(hollowRole, 0), hollowRole, r.Child)
+	n := r.hollowCounts[0]
+	r.group.kill(r.hollowProcesses[0])
+	p, err := r.group.startChild(indexedName(hollowRole, 0), hollowRole, r.Child)
 	if err != nil {
 		return err
 	}
-	r.hollow[0], r.hollowCount[0] = p, 0
+	r.hollowProcesses[0], r.hollowCounts[0] = p, 0
 	from := now()
-	if err := r.add(0, n); err != nil {
+	if err := r.addHollow(0, n); err != nil {
 		return err
 	}
-	at, behind, err := r.arrivals(hearLimit, r.hollow[:1])
+	at, behind, err := r.awaitVersion(deliveryTimeout, r.hollowProcesses[:1])
 	if err != nil {
 		return err
 	}
-	after, err := r.sample()
+	after, err := r.takeSample()
 	if err != nil {
 		return err
 	}
-	m := r.moment(at, from, behind)
+	m := r.newMoment(at, from, behind)
 	m.Name = "restart"
-	t := after.discovery.less(before.discovery).all()
+	t := after.discovery.minus(before.discovery).total()
 	m.Messages, m.Bytes = float64(t.Messages), float64(t.Bytes)
 	m.Note = joinNotes(fmt.Sprintf("%d limiters at once, until each has the whole list", n), m.Note)
 	r.figures.Moments = append(r.figures.Moments, m)
@@ -158,34 +158,34 @@
 }
 
 // changes sweeps the changes a second, with a small fleet and no requests: what the control side alone costs a limiter.
-func (r *run) changes() error {
-	if err := r.shrink(); err != nil {
+func (r *run) sweepChanges() error {
+	if err := r.stopHollow(); err != nil {
 		return err
 	}
-	r.clusters = make(chan clustersDone, 1)
-	go func() { r.clusters <- r.followClusters() }() // it waits for a file to be seen, mostly
-	if err := r.grow(fewHollow); err != nil {
+	r.clusterResults = make(chan clusterResult, 1)
+	go func() { r.clusterResults <- r.followClusters() }() // it waits for a file to be seen, mostly
+	if err := r.growFleet(fewHollowLimiters); err != nil {
 		return err
 	}
 	if r.Model && r.Quick {
-		r.think()
+		r.startModel()
 	}
-	r.ledger.held["changes"] = fmt.Sprintf("%d hollow limiters without calls, %d real ones without requests, %d servers; each change names one server",
-		fewHollow, len(r.real), r.listed)
-	for _, p := range r.hollow {
-		if err := r.f.call(p, "Role.Calls", 0.0, new(int)); err != nil {
+	r.measurements.heldConstant["changes"] = fmt.Sprintf("%d hollow limiters without calls, %d real ones without requests, %d servers; each change names one server",
+		fewHollowLimiters, len(r.realLimiters), r.listedServers)
+	for _, p := range r.hollowProcesses {
+		if err := r.group.call(p, "Role.Calls", 0.0, new(int)); err != nil {
 			return err
 		}
 	}
-	for _, rate := range r.Sizes.Changes {
+	for _, rate := range r.Sizes.ChangesPerSecond {
 		lasts := max(r.Sizes.Window, time.Duration(1.1/rate*float64(time.Second)))
-		x, _, err := r.window(lasts, nil, []Steady{{PerSecond: rate, For: lasts}})
+		x, _, err := r.measureWindow(lasts, nil, []ChangeSchedule{{ChangesPerSecond: rate, Duration: lasts}})
 		if err != nil {
 			return err
 		}
-		told := float64(x.discoveryTold.real().Changes) / float64(len(r.real)) / lasts.Seconds()
-		r.limiterPoint("changes", told, x)
-		r.rolePoint("changes", told, x, discoveryRole)
+		told := float64(x.discoveryTraffic.realTotal().Changes) / float64(len(r.realLimiters)) / lasts.Seconds()
+		r.recordLimiters("changes", told, x)
+		r.recordRoles("changes", told, x, discoveryRole)
 	}
 	return nil
 }
--- a/internal/scale/operators.go
+++ b/internal/scale/operators.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	callsAtOnce  = 16
-	callPatience = 10 * time.Second
-	mostBook     = 64 << 20
-	firstFirm    = 0x100000
+	maxConcurrentCalls = 16
+	callTimeout        = 10 * time.Second
+	maxBookBytes       = 64 << 20
+	firstFirmID        = 0x100000
 )
 
 // Operators gives changes of plans to limiters and looks at their books, over the operators' service, as the sub-commands of
 // the limiter's program do.
-type Operators struct{ number uint64 }
+type Operators struct{ lastNumber uint64 }
 
 // Order is a change for limiters, or a look at them.
 type Order struct {
@@ -36,36 +36,36 @@
 }
 
 // Done is what an order cost.
-type Done struct {
+type OrderResult struct {
 	Messages, Bytes int64
 	Processor       time.Duration
-	Took            time.Duration
+	Elapsed         time.Duration
 	Firms           int // that the last book named
 }
 
 // Do carries out an order.
-func (o *Operators) Do(order Order, out *Done) error {
+func (o *Operators) Execute(order Order, out *OrderResult) error {
 	var version *adminpb.Version
 	if len(order.Tiers) > 0 {
-		o.number++
-		v := plans.Version{Number: o.number, Note: "the rig's", Tiers: order.Tiers}
+		o.lastNumber++
+		v := plans.Version{Number: o.lastNumber, Note: "the rig's", Tiers: order.Tiers}
 		for k := range order.Firms {
-			v.Firms = append(v.Firms, plans.Firm{Firm: firstFirm + uint64(k), Tier: order.Tiers[k%len(order.Tiers)].Name})
+			v.Firms = append(v.Firms, plans.Firm{Firm: firstFirmID + uint64(k), Tier: order.Tiers[k%len(order.Tiers)].Name})
 		}
 		version = admin.VersionOut(v)
 	}
 	m := &meter{}
 	var firms atomic.Int64
-	var first onceErr
-	began, used := now(), ownProcessor()
-	places := make(chan struct{}, callsAtOnce)
+	var first firstError
+	began, used := now(), ownProcessorTime()
+	slots := make(chan struct{}, maxConcurrentCalls)
 	var wg sync.WaitGroup
 	for _, path := range order.Sockets {
-		places <- struct{}{}
+		slots <- struct{}{}
 		wg.Add(1)
 		go func() {
-			defer func() { <-places; wg.Done() }()
-			n, err := one(path, version, m)
+			defer func() { <-slots; wg.Done() }()
+			n, err := callLimiter(path, version, m)
 			if err != nil {
 				first.set(err)
 				return
@@ -74,19 +74,19 @@
 		}()
 	}
 	wg.Wait()
-	*out = Done{m.messages.Load(), m.bytes.Load(), ownProcessor() - used, now() - began, int(firms.Load())}
+	*out = OrderResult{m.messages.Load(), m.bytes.Load(), ownProcessorTime() - used, now() - began, int(firms.Load())}
 	return first.err
 }
 
 // one tells one limiter, or looks at it.
-func one(path string, version *adminpb.Version, m *meter) (firms int, err error) {
-	ctx, stop := context.WithTimeout(context.Background(), callPatience)
+func callLimiter(path string, version *adminpb.Version, m *meter) (firms int, err error) {
+	ctx, stop := context.WithTimeout(context.Background(), callTimeout)
 	defer stop()
 	conn, err := grpc.NewClient("passthrough:///limiter", grpc.WithTransportCredentials(insecure.NewCredentials()),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(mostBook)),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxBookBytes)),
 		grpc.WithContextDialer(func(ctx context.Context, _ string) (net.Conn, error) {
 			raw, err := (&net.Dialer{}).DialContext(ctx, "unix", path)
-			return counted{raw, m}, err
+			return countingConn{raw, m}, err
 		}))
 	if err != nil {
 		return 0, err
@@ -102,7 +102,7 @@
 	return len(answer.GetBook().GetCurrent().GetFirms()), err
 }
 
-func ownProcessor() time.Duration {
+func ownProcessorTime() time.Duration {
 	var u unix.Rusage
 	_ = unix.Getrusage(unix.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
--- a/internal/scale/page.go
+++ b/internal/scale/page.go
@@ -37,7 +37,7 @@
 	}
 	gone := &lab.Table{Name: "scale-missing", Head: []string{"role", "what", "against", "why"}}
 	for _, m := range f.Missing {
-		gone.Add(m.Role, m.What, m.Against, m.Why)
+		gone.Add(m.Role, m.Quantity, m.Against, m.Why)
 	}
 	bars := &lab.Table{Name: "scale-bars", Head: []string{"bar", "holds", "was"}}
 	for _, b := range f.Bars {
@@ -55,7 +55,7 @@
 	if len(f.Quota) > 0 {
 		quota := &lab.Table{Name: "scale-quota", Head: []string{"plan", "limiters", "counters", "speed", "beyond", "refused with room", "calls per request", "unanswered", "seeds", "spread"}}
 		for _, q := range f.Quota {
-			quota.Add(q.Plan, q.Limiters, q.Counters, q.Speed, q.Beyond, q.RefusedWithRoom, q.CallsPerRequest, q.Unanswered, q.Seeds, q.Spread)
+			quota.Add(q.Plan, q.Limiters, q.Counters, q.Speed, q.Beyond, q.RefusedWithRoom, q.CallsPerRequest, q.Unanswered, q.Seeds, q.BeyondDeviation)
 		}
 		list = append(list, quota)
 	}
--- a/internal/scale/peers.go
+++ b/internal/scale/peers.go
@@ -53,77 +53,77 @@
 	slog.SetDefault(slog.New(slog.DiscardHandler)) // thousands of limiters would each log their connections
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	var it any
+	var service any
 	switch role {
 	case hollowRole:
-		it = newHollow(ctx)
+		service = newHollow(ctx)
 	case discoveryRole:
-		it = &Discovery{ctx: ctx}
+		service = &Discovery{ctx: ctx}
 	case counterRole:
-		it = &Counter{}
+		service = &Counter{}
 	case serversRole:
-		it = &Servers{}
+		service = &Servers{}
 	case loadRole:
-		it = &Load{}
+		service = &Load{}
 	case operatorsRole:
-		it = &Operators{}
+		service = &Operators{}
 	default:
 		return fmt.Errorf("no role %q", role)
 	}
 	s := rpc.NewServer()
-	if err := errors.Join(s.RegisterName("Peer", Peer{}), s.RegisterName("Role", it)); err != nil {
+	if err := errors.Join(s.RegisterName("Peer", Peer{}), s.RegisterName("Role", service)); err != nil {
 		return err
 	}
-	over := make(chan struct{})
+	served := make(chan struct{})
 	go func() {
-		defer close(over)
+		defer close(served)
 		s.ServeConn(stdio{in, out})
 	}()
 	select {
-	case <-over:
+	case <-served:
 	case <-ctx.Done():
 	}
 	return nil
 }
 
 // Traffic counts messages and bytes both ways.
-type Traffic struct{ Messages, Bytes, Wholes, Changes, Beats, Opened, Open int64 }
+type Traffic struct{ Messages, Bytes, WholeLists, Changes, Heartbeats, ConnsOpened, ConnsOpen int64 }
 
-func (t Traffic) less(o Traffic) Traffic {
-	return Traffic{t.Messages - o.Messages, t.Bytes - o.Bytes, t.Wholes - o.Wholes, t.Changes - o.Changes, t.Beats - o.Beats, t.Opened - o.Opened, t.Open}
+func (t Traffic) minus(o Traffic) Traffic {
+	return Traffic{t.Messages - o.Messages, t.Bytes - o.Bytes, t.WholeLists - o.WholeLists, t.Changes - o.Changes, t.Heartbeats - o.Heartbeats, t.ConnsOpened - o.ConnsOpened, t.ConnsOpen}
 }
 
-func (t Traffic) and(o Traffic) Traffic {
-	return Traffic{t.Messages + o.Messages, t.Bytes + o.Bytes, t.Wholes + o.Wholes, t.Changes + o.Changes, t.Beats + o.Beats, t.Opened + o.Opened, t.Open + o.Open}
+func (t Traffic) plus(o Traffic) Traffic {
+	return Traffic{t.Messages + o.Messages, t.Bytes + o.Bytes, t.WholeLists + o.WholeLists, t.Changes + o.Changes, t.Heartbeats + o.Heartbeats, t.ConnsOpened + o.ConnsOpened, t.ConnsOpen + o.ConnsOpen}
 }
 
 // Sides is the traffic with hollow limiters together and with each real one.
-type Sides struct {
+type GroupTraffic struct {
 	Hollow Traffic
 	Real   []Traffic
 }
 
-func (s Sides) real() (sum Traffic) {
+func (s GroupTraffic) realTotal() (sum Traffic) {
 	for _, t := range s.Real {
-		sum = sum.and(t)
+		sum = sum.plus(t)
 	}
 	return sum
 }
 
-func (s Sides) all() Traffic { return s.Hollow.and(s.real()) }
+func (s GroupTraffic) total() Traffic { return s.Hollow.plus(s.realTotal()) }
 
-func (s Sides) less(o Sides) Sides {
-	out := Sides{Hollow: s.Hollow.less(o.Hollow)}
+func (s GroupTraffic) minus(o GroupTraffic) GroupTraffic {
+	out := GroupTraffic{Hollow: s.Hollow.minus(o.Hollow)}
 	for k := range s.Real {
-		out.Real = append(out.Real, s.Real[k].less(o.Real[k]))
+		out.Real = append(out.Real, s.Real[k].minus(o.Real[k]))
 	}
 	return out
 }
 
 // sides counts them.
-type sides []meter // of hollow limiters, then of each real one
+type groupMeters []meter // of hollow limiters, then of each real one
 
-func (m sides) read() (s Sides) {
+func (m groupMeters) read() (s GroupTraffic) {
 	for k := range m {
 		if k == 0 {
 			s.Hollow = m[k].read()
@@ -135,10 +135,10 @@
 }
 
 // meter is a Traffic that is being counted.
-type meter struct{ messages, bytes, wholes, changes, beats, opened, open atomic.Int64 }
+type meter struct{ messages, bytes, wholeLists, changes, heartbeats, connsOpened, connsOpen atomic.Int64 }
 
 func (m *meter) read() Traffic {
-	return Traffic{m.messages.Load(), m.bytes.Load(), m.wholes.Load(), m.changes.Load(), m.beats.Load(), m.opened.Load(), m.open.Load()}
+	return Traffic{m.messages.Load(), m.bytes.Load(), m.wholeLists.Load(), m.changes.Load(), m.heartbeats.Load(), m.connsOpened.Load(), m.connsOpen.Load()}
 }
 
 // now is a clock that all processes of the machine share and that never steps.
@@ -149,7 +149,7 @@
 }
 
 // processor is the time that a process has used so far; 0: it is gone.
-func processor(pid int) (sum time.Duration) {
+func processorTime(pid int) (sum time.Duration) {
 	threads, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	for _, path := range threads {
 		raw, err := os.ReadFile(path)
@@ -164,18 +164,18 @@
 }
 
 // resident is a process's memory in bytes.
-func resident(pid int) float64 {
+func residentBytes(pid int) float64 {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
 		return 0
 	}
-	var all, here, shared int64
-	_, _ = fmt.Sscan(string(raw), &all, &here, &shared)
-	return float64((here - shared) * int64(os.Getpagesize())) // without the program's text, which processes share
+	var totalPages, residentPages, sharedPages int64
+	_, _ = fmt.Sscan(string(raw), &totalPages, &residentPages, &sharedPages)
+	return float64((residentPages - sharedPages) * int64(os.Getpagesize())) // without the program's text, which processes share
 }
 
 // meminfo is a line of the machine's memory figures, in bytes.
-func meminfo(name string) (int64, error) {
+func meminfoBytes(name string) (int64, error) {
 	raw, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
 		return 0, err
@@ -190,12 +190,12 @@
 }
 
 // onceErr keeps the first error of many.
-type onceErr struct {
+type firstError struct {
 	mu  sync.Mutex
 	err error
 }
 
-func (o *onceErr) set(err error) {
+func (o *firstError) set(err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.err == nil {
--- a/internal/scale/quota.go
+++ b/internal/scale/quota.go
@@ -16,30 +16,30 @@
 
 // quotaLoad is a load under which the quota's error is measured while limiters grow.
 type quotaLoad struct {
-	name, held string
-	counters   []counterKind
-	warm       float64 // seconds
-	make       func(limiters int) (model.Scenario, error)
+	name, held    string
+	counters      []counterKind
+	warmupSeconds float64 // seconds
+	scenario      func(limiters int) (model.Scenario, error)
 }
 
 // counterKind is a counter of some times the platform's speed, 0: unlimited, and whether limiters' own budget of calls is lifted.
 type counterKind struct {
-	speed float64
-	free  bool
+	speed      float64
+	unbudgeted bool
 }
 
 var (
-	ladder = []counterKind{{speed: 1}, {speed: 2}, {speed: 8}, {speed: 0}, {speed: 0, free: true}}
-	ends   = []counterKind{{speed: 1}, {speed: 0}, {speed: 0, free: true}}
-	slow   = counterKind{speed: 0.25} // crowded where the total is held, too
+	allCounters = []counterKind{{speed: 1}, {speed: 2}, {speed: 8}, {speed: 0}, {speed: 0, unbudgeted: true}}
+	keyCounters = []counterKind{{speed: 1}, {speed: 0}, {speed: 0, unbudgeted: true}}
+	slowCounter = counterKind{speed: 0.25} // crowded where the total is held, too
 )
 
 // A limiter begins with a third of its calls and takes up the others by some fifty answers, which takes the longer the fewer
 // requests it sees: what is measured is the time after that.
 const (
-	warmThin, warmBusy = 50.0, 15.0 // seconds; thin: through more limiters than that the total is thin
-	thin               = 30
-	measured           = 25.0
+	sparseWarmupSeconds, denseWarmupSeconds = 50.0, 15.0 // seconds; thin: through more limiters than that the total is thin
+	maxDenseLimiters                        = 30
+	measuredSeconds                         = 25.0
 )
 
 // quotaLoads are the loads. Nodes have room for twice what is asked for and more, so that what is refused is refused by
@@ -47,18 +47,18 @@
 func quotaLoads() []quotaLoad {
 	return []quotaLoad{
 		{"total, all", "360 firms with their quotas and about 550 requests a second in all; a firm comes through every limiter",
-			ladder, warmThin, func(n int) (model.Scenario, error) { return quotaBase(n, 360, 120, n), nil }},
+			allCounters, sparseWarmupSeconds, func(n int) (model.Scenario, error) { return quotaScenario(n, 360, 120, n), nil }},
 		{"total, even", "the same, but evenly: without a busiest limiter that takes 0.6 of a firm's requests and changes every 6 to 22 s",
-			ends, warmThin, func(n int) (model.Scenario, error) {
-				s := quotaBase(n, 360, 120, n)
+			keyCounters, sparseWarmupSeconds, func(n int) (model.Scenario, error) {
+				s := quotaScenario(n, 360, 120, n)
 				s.Firms.Skew = 0
 				return s, nil
 			}},
 		{"total, few", "as the first, but a firm comes through 2 to 4 limiters",
-			ends, warmThin, func(n int) (model.Scenario, error) { return quotaBase(n, 360, 120, 0), nil }},
+			keyCounters, sparseWarmupSeconds, func(n int) (model.Scenario, error) { return quotaScenario(n, 360, 120, 0), nil }},
 		{"total, no ceiling", "as the first, but the full plan has no ceiling",
-			ends[2:], warmThin, func(n int) (model.Scenario, error) {
-				s := quotaBase(n, 360, 120, n)
+			keyCounters[2:], sparseWarmupSeconds, func(n int) (model.Scenario, error) {
+				s := quotaScenario(n, 360, 120, n)
 				s.Tiers = slices.Clone(s.Tiers)
 				for k := range s.Tiers {
 					s.Tiers[k].CeilingRate, s.Tiers[k].CeilingBurst, s.Tiers[k].CeilingSlack = 0, 0, 0
@@ -66,13 +66,13 @@
 				return s, nil
 			}},
 		{"each, 30", "13 firms and about 20 requests a second for each limiter; a firm comes through 30 limiters (of fewer: all)",
-			ladder, warmBusy, func(n int) (model.Scenario, error) { return quotaBase(n, 13*n, max(4*n, 12), min(n, 30)), nil }},
+			allCounters, denseWarmupSeconds, func(n int) (model.Scenario, error) { return quotaScenario(n, 13*n, max(4*n, 12), min(n, 30)), nil }},
 		{"units, all", "requests of 1.5 units on the mean, at most 8; 480 firms with the quotas of booking, about 900 requests a second in all; a firm comes through every limiter",
-			slices.Insert(slices.Clone(ends), 0, slow), warmThin, unitsLoad},
+			slices.Insert(slices.Clone(keyCounters), 0, slowCounter), sparseWarmupSeconds, unitsScenario},
 	}
 }
 
-func quotaBase(limiters, firms, nodes, spread int) model.Scenario {
+func quotaScenario(limiters, firms, nodes, spread int) model.Scenario {
 	s := model.Base()
 	s.Limiters, s.Nodes, s.Firms.Count = limiters, nodes, firms
 	s.Firms.Spread = model.Range{2, min(4, float64(limiters))}
@@ -82,7 +82,7 @@
 	return s
 }
 
-func unitsLoad(limiters int) (model.Scenario, error) {
+func unitsScenario(limiters int) (model.Scenario, error) {
 	s, err := lab.LoadScenario("booking")
 	if err != nil {
 		return s, err
@@ -95,10 +95,10 @@
 
 // quotaPoint is one size, load and counter.
 type quotaPoint struct {
-	load     quotaLoad
-	limiters int
-	speed    float64 // 0: unlimited
-	free     bool
+	load       quotaLoad
+	limiters   int
+	speed      float64 // 0: unlimited
+	unbudgeted bool
 }
 
 // quotaPoints are the points of a run. Those that tell most come first, so that a run that is ended early tells them:
@@ -113,9 +113,9 @@
 		for _, n := range sizes {
 			for _, load := range quotaLoads() {
 				for _, c := range load.counters {
-					tells := slices.Contains(first, load.name) && (c == slow || slices.Contains(ends, c))
+					tells := slices.Contains(first, load.name) && (c == slowCounter || slices.Contains(keyCounters, c))
 					if tells == (pass == 0) && (!quick || tells && load.name != "each, 30") {
-						all = append(all, quotaPoint{load, n, c.speed, c.free})
+						all = append(all, quotaPoint{load, n, c.speed, c.unbudgeted})
 					}
 				}
 			}
@@ -125,25 +125,25 @@
 }
 
 // inOrder sorts figures by load, limiters and counter, whatever their turn was.
-func inOrder(list []QuotaError) []QuotaError {
+func sortRows(list []QuotaError) []QuotaError {
 	loads := quotaLoads()
-	place := func(q QuotaError) int {
+	rank := func(q QuotaError) int {
 		load := slices.IndexFunc(loads, func(l quotaLoad) bool { return l.name == q.Set })
-		return (load*1000+q.Limiters)*10 + slices.Index(ladder, counterKind{q.Speed, q.Free}) // a slower one is none of the ladder, and the first
+		return (load*1000+q.Limiters)*10 + slices.Index(allCounters, counterKind{q.Speed, q.Free}) // a slower one is none of the ladder, and the first
 	}
-	slices.SortStableFunc(list, func(a, b QuotaError) int { return cmp.Compare(place(a), place(b)) })
+	slices.SortStableFunc(list, func(a, b QuotaError) int { return cmp.Compare(rank(a), rank(b)) })
 	return list
 }
 
 // scenario is the point's.
 func (p quotaPoint) scenario(quick bool) (model.Scenario, model.Policy, error) {
-	s, err := p.load.make(p.limiters)
-	s.Name = fmt.Sprintf("%s, %d limiters, %s", p.load.name, p.limiters, speedName(p.speed, p.free))
-	s.Warm, s.Faults = p.load.warm, nil
-	if p.limiters <= thin {
-		s.Warm = warmBusy
+	s, err := p.load.scenario(p.limiters)
+	s.Name = fmt.Sprintf("%s, %d limiters, %s", p.load.name, p.limiters, counterName(p.speed, p.unbudgeted))
+	s.Warm, s.Faults = p.load.warmupSeconds, nil
+	if p.limiters <= maxDenseLimiters {
+		s.Warm = denseWarmupSeconds
 	}
-	s.Seconds = s.Warm + measured
+	s.Seconds = s.Warm + measuredSeconds
 	if quick {
 		s.Seconds, s.Warm = 15, 6
 	}
@@ -151,13 +151,13 @@
 		s.Counter.PerSecond, s.Counter.Unlimited = 1e6, true
 	}
 	policy := model.Own()
-	if p.free {
+	if p.unbudgeted {
 		policy = model.Unbudgeted()
 	}
 	return s, policy, err
 }
 
-func speedName(speed float64, free bool) string {
+func counterName(speed float64, free bool) string {
 	switch {
 	case free:
 		return "unlimited, calls free"
@@ -174,10 +174,10 @@
 	if quick {
 		seeds = 1
 	}
-	return quota(ctx, seed, seeds, quick, quotaPoints(quick), progress)
+	return measureQuota(ctx, seed, seeds, quick, quotaPoints(quick), progress)
 }
 
-func quota(ctx context.Context, seed uint64, seeds int, quick bool, points []quotaPoint, progress func(string)) (all []QuotaError, err error) {
+func measureQuota(ctx context.Context, seed uint64, seeds int, quick bool, points []quotaPoint, progress func(string)) (all []QuotaError, err error) {
 	var jobs []lab.Job
 	for _, p := range points {
 		s, policy, err := p.scenario(quick)
@@ -198,7 +198,7 @@
 	for k := 0; k+seeds <= len(done); k += seeds { // whole points alone
 		all = append(all, points[k/seeds].rows(done[k:k+seeds])...)
 	}
-	return inOrder(all), ctx.Err()
+	return sortRows(all), ctx.Err()
 }
 
 // rows sums up the seeds of a point: a row for all plans, and one for each.
@@ -206,7 +206,7 @@
 	s := done[0].Scenario
 	for tier := -1; tier < len(s.Tiers); tier++ {
 		q := QuotaError{Plan: AllPlans, Limiters: p.limiters, Counters: s.Counter.Parts, Speed: p.speed, Seeds: len(done),
-			Set: p.load.name, Held: p.load.held, Free: p.free}
+			Set: p.load.name, Held: p.load.held, Free: p.unbudgeted}
 		if tier >= 0 {
 			q.Plan, q.Held = s.Tiers[tier].Name, ""
 		}
@@ -229,9 +229,9 @@
 			unanswered, lost = append(unanswered, c.Unanswered()), append(lost, c.Lost())
 			rate, calls = append(rate, float64(d.Result.Requests)/span), append(calls, float64(c.Made)/span)
 		}
-		q.Beyond, q.Spread = meanAndDeviation(beyond)
-		q.RefusedWithRoom, q.RoomSpread = meanAndDeviation(room)
-		q.Inside, _ = meanAndDeviation(inside)
+		q.Beyond, q.BeyondDeviation = meanAndDeviation(beyond)
+		q.RefusedWithRoom, q.RefusedWithRoomDeviation = meanAndDeviation(room)
+		q.InsideRefusedShare, _ = meanAndDeviation(inside)
 		q.CallsPerRequest, _ = meanAndDeviation(each)
 		q.Unanswered, _ = meanAndDeviation(unanswered)
 		q.Lost, _ = meanAndDeviation(lost)
@@ -266,8 +266,8 @@
 		if byPlan == (q.Plan == AllPlans) {
 			continue
 		}
-		cells := []any{q.Set, q.Limiters, speedName(q.Speed, q.Free), fmt.Sprintf("%.0f", q.PerSecond), percent(q.Beyond), percent(q.Spread),
-			percent(q.RefusedWithRoom), percent(q.RoomSpread), percent(q.Inside), fmt.Sprintf("%.2f", q.CallsPerRequest), fmt.Sprintf("%.0f", q.Calls),
+		cells := []any{q.Set, q.Limiters, counterName(q.Speed, q.Free), fmt.Sprintf("%.0f", q.PerSecond), percent(q.Beyond), percent(q.BeyondDeviation),
+			percent(q.RefusedWithRoom), percent(q.RefusedWithRoomDeviation), percent(q.InsideRefusedShare), fmt.Sprintf("%.2f", q.CallsPerRequest), fmt.Sprintf("%.0f", q.Calls),
 			percent(q.Unanswered), percent(q.Lost)}
 		if byPlan {
 			cells = slices.Insert(cells, 3, any(q.Plan))
--- a/internal/scale/quota_test.go
+++ b/internal/scale/quota_test.go
@@ -13,22 +13,22 @@
 )
 
 // points are some of a run's, small enough for a test.
-func points(limiters int, load string, counters ...quotaPoint) (all []quotaPoint) {
+func quotaPointsOf(limiters int, load string, counters ...quotaPoint) (all []quotaPoint) {
 	k := slices.IndexFunc(quotaLoads(), func(l quotaLoad) bool { return l.name == load })
 	for _, c := range counters {
-		all = append(all, quotaPoint{quotaLoads()[k], limiters, c.speed, c.free})
+		all = append(all, quotaPoint{quotaLoads()[k], limiters, c.speed, c.unbudgeted})
 	}
 	return all
 }
 
 func TestTheSameSeedGivesTheSameQuotaFigures(t *testing.T) {
-	list := points(10, "each, 30", quotaPoint{speed: 1}, quotaPoint{free: true})
-	first, err := quota(t.Context(), 7, 2, true, list, nil)
+	list := quotaPointsOf(10, "each, 30", quotaPoint{speed: 1}, quotaPoint{unbudgeted: true})
+	first, err := measureQuota(t.Context(), 7, 2, true, list, nil)
 	require.NoError(t, err)
-	again, err := quota(t.Context(), 7, 2, true, list, nil)
+	again, err := measureQuota(t.Context(), 7, 2, true, list, nil)
 	require.NoError(t, err)
 	require.Equal(t, first, again)
-	other, err := quota(t.Context(), 8, 2, true, list, nil)
+	other, err := measureQuota(t.Context(), 8, 2, true, list, nil)
 	require.NoError(t, err)
 	require.NotEqual(t, first, other)
 	require.Len(t, first, 2*4, "all plans, and each")
@@ -43,7 +43,7 @@
 
 // A crowd is the counter's: it is gone with an unlimited one, and what stays is the split's.
 func TestAnUnlimitedCounterHasNoCrowd(t *testing.T) {
-	list, err := quota(t.Context(), 1, 1, true, points(40, "each, 30", quotaPoint{speed: 0.5}, quotaPoint{}, quotaPoint{free: true}), nil)
+	list, err := measureQuota(t.Context(), 1, 1, true, quotaPointsOf(40, "each, 30", quotaPoint{speed: 0.5}, quotaPoint{}, quotaPoint{unbudgeted: true}), nil)
 	require.NoError(t, err)
 	var sums []QuotaError
 	for _, q := range list {
@@ -111,7 +111,7 @@
 // A run that is ended tells the points that are whole, and that it is not.
 func TestAnEndedRunSaysSo(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
-	list, err := quota(ctx, 1, 1, true, points(3, "total, all", quotaPoint{speed: 1}, quotaPoint{speed: 2}, quotaPoint{speed: 8}, quotaPoint{}),
+	list, err := measureQuota(ctx, 1, 1, true, quotaPointsOf(3, "total, all", quotaPoint{speed: 1}, quotaPoint{speed: 2}, quotaPoint{speed: 8}, quotaPoint{}),
 		func(string) { cancel() })
 	require.ErrorIs(t, err, context.Canceled)
 	require.Zero(t, len(list)%4)
@@ -119,15 +119,15 @@
 }
 
 func TestADayHasItsChangesAndBursts(t *testing.T) {
-	at := drawDay(3)
-	require.Equal(t, at, drawDay(3))
-	require.NotEqual(t, at, drawDay(4))
-	require.Len(t, at, dayChanges)
+	at := drawDayChanges(3)
+	require.Equal(t, at, drawDayChanges(3))
+	require.NotEqual(t, at, drawDayChanges(4))
+	require.Len(t, at, changesPerDay)
 	require.True(t, slices.IsSorted(at))
-	require.Less(t, at[len(at)-1], float64(daySeconds))
-	second, _ := worst(at, 1)
-	minute, from := worst(at, 60)
-	require.Greater(t, minute, 10*dayChanges/1440, "a burst is far over the mean")
+	require.Less(t, at[len(at)-1], float64(secondsPerDay))
+	second, _ := busiestSpan(at, 1)
+	minute, from := busiestSpan(at, 60)
+	require.Greater(t, minute, 10*changesPerDay/1440, "a burst is far over the mean")
 	require.GreaterOrEqual(t, minute, second)
 	n := 0
 	for _, t := range at {
@@ -136,7 +136,7 @@
 		}
 	}
 	require.Equal(t, minute, n)
-	many, begins := worst([]float64{0, 5, 5.5, 5.9, 6, 9}, 1)
+	many, begins := busiestSpan([]float64{0, 5, 5.5, 5.9, 6, 9}, 1)
 	require.Equal(t, 3, many)
 	require.Equal(t, 5.0, begins)
 }
@@ -147,7 +147,7 @@
 	s := model.Base()
 	s.Limiters, s.Nodes, s.Firms.Count, s.Warm, s.Seconds = 10, 24, 60, 5, 75
 	s.Firms.Spread = model.Range{10, 10}
-	play := func(seed uint64) map[string]float64 { return regionPlay(context.Background(), s, seed, 25, 25) }
+	play := func(seed uint64) map[string]float64 { return playRegions(context.Background(), s, seed, 25, 25) }
 	done := make(chan map[string]float64, 3)
 	for _, seed := range []uint64{1, 1, 2} {
 		go func() { done <- play(seed) }()
@@ -155,7 +155,7 @@
 	a, b, c := <-done, <-done, <-done
 	same := 0
 	for _, pair := range [][2]map[string]float64{{a, b}, {a, c}, {b, c}} {
-		if equal(pair[0], pair[1]) {
+		if equalValues(pair[0], pair[1]) {
 			same++
 		}
 	}
@@ -169,7 +169,7 @@
 	}
 }
 
-func equal(a, b map[string]float64) bool {
+func equalValues(a, b map[string]float64) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -195,7 +195,7 @@
 
 // The load of several units has the mean that its words say.
 func TestUnitsHaveTheirMean(t *testing.T) {
-	s, err := unitsLoad(3)
+	s, err := unitsScenario(3)
 	require.NoError(t, err)
 	s.Seconds, s.Warm = 12, 1
 	r := model.New(s, 1, model.Own(), false).Run()
@@ -212,7 +212,7 @@
 	require.Equal(t, 60, firms)
 	require.Zero(t, calm.Changes.Told)
 	require.Zero(t, burst.Changes.Told%5, "each limiter is told the same")
-	changes, _ := worst(drawDay(2), 6)
+	changes, _ := busiestSpan(drawDayChanges(2), 6)
 	require.Greater(t, float64(burst.Changes.Told)/5, 0.9*float64(changes), "only a server that is being replaced already is passed over")
 	require.LessOrEqual(t, burst.Changes.Last, model.Base().Discovery.Late[1]+0.01)
 	require.Zero(t, burst.Broken)
@@ -223,7 +223,7 @@
 }
 
 func TestTheCostOfAChangeIsMeasured(t *testing.T) {
-	mean, p99, all := changeCost(200, 300)
+	mean, p99, all := measureChangeCost(200, 300)
 	require.Positive(t, mean)
 	require.GreaterOrEqual(t, p99, mean/10)
 	require.Positive(t, all)
--- a/internal/scale/resident.go
+++ b/internal/scale/resident.go
@@ -31,43 +31,43 @@
 
 // ResidentSizes are what one real limiter is brought to.
 type ResidentSizes struct {
-	Servers []int         // on the list
-	Rates   []float64     // changes of one server a second, with the longest list
-	Firms   []int         // that ask the program within a minute
-	Module  []int         // that ask the module by itself
-	Known   []int         // firms that the plan book names
-	Plays   int           // of each size, each with a process of its own
-	Settle  time.Duration // from when the list is taken to the figures
+	ListedServers    []int         // on the list
+	ChangesPerSecond []float64     // changes of one server a second, with the longest list
+	ActiveFirms      []int         // that ask the program within a minute
+	ModuleFirms      []int         // that ask the module by itself
+	KnownFirms       []int         // firms that the plan book names
+	Repeats          int           // of each size, each with a process of its own
+	Settle           time.Duration // from when the list is taken to the figures
 }
 
 // FullResident are the target's sizes.
 func FullResident() ResidentSizes {
-	return ResidentSizes{Servers: []int{200, 5_700, 30_000, 57_000}, Rates: []float64{0, 10, 20, 40}, Firms: []int{1_000, 5_000, 10_000, 20_000},
-		Module: []int{10_000, 50_000, 100_000, 250_000, 510_000},
-		Known:  []int{1_000, 10_000, 50_000, 100_000}, Plays: 2, Settle: 3 * time.Second}
+	return ResidentSizes{ListedServers: []int{200, 5_700, 30_000, 57_000}, ChangesPerSecond: []float64{0, 10, 20, 40}, ActiveFirms: []int{1_000, 5_000, 10_000, 20_000},
+		ModuleFirms: []int{10_000, 50_000, 100_000, 250_000, 510_000},
+		KnownFirms:  []int{1_000, 10_000, 50_000, 100_000}, Repeats: 2, Settle: 3 * time.Second}
 }
 
 // QuickResident are small ones, for a test.
 func QuickResident() ResidentSizes {
-	return ResidentSizes{Servers: []int{100, 1_000, 3_000}, Rates: []float64{0, 50, 100}, Firms: []int{100, 1_000, 3_000}, Module: []int{1_000, 3_000, 10_000}, Known: []int{100, 1_000, 3_000},
-		Plays: 1, Settle: 500 * time.Millisecond}
+	return ResidentSizes{ListedServers: []int{100, 1_000, 3_000}, ChangesPerSecond: []float64{0, 50, 100}, ActiveFirms: []int{100, 1_000, 3_000}, ModuleFirms: []int{1_000, 3_000, 10_000}, KnownFirms: []int{100, 1_000, 3_000},
+		Repeats: 1, Settle: 500 * time.Millisecond}
 }
 
 const (
-	residentPart     = 5_000 // entries of the list in a line: a line has a bound
-	residentFleet    = 5_700
-	residentAsked    = 5   // limiters by the settings of the one that many firms ask: its part of the servers bears them
-	residentServing  = 500 // servers there
-	residentMemory   = 512 // MB, the cap of the limiter
-	residentPatience = 20 * time.Second
-	residentWindow   = 5 * time.Second
-	residentBeat     = 2 * time.Second
+	residentServersPerLine   = 5_000 // entries of the list in a line: a line has a bound
+	residentFleetSize        = 5_700
+	residentAskedFleetSize   = 5   // limiters by the settings of the one that many firms ask: its part of the servers bears them
+	residentAnsweringServers = 500 // servers there
+	residentMemoryMB         = 512 // MB, the cap of the limiter
+	residentTimeout          = 20 * time.Second
+	residentWindow           = 5 * time.Second
+	residentHeartbeat        = 2 * time.Second
 )
 
 // ResidentParts are the parts of Resident, in their order.
 var ResidentParts = []string{"lists", "wholes", "changes", "firms", "module", "known"}
 
-var errTakenNot = errors.New("the list is not taken")
+var errListNotTaken = errors.New("the list is not taken")
 
 // Resident measures one real limiter by itself: its memory and processor time with long lists, many firms and a long plan
 // book, as the platform counts them (resident pages, all threads' time). refused tells of whole lists that the limiter did
@@ -79,8 +79,8 @@
 		return nil, nil, err
 	}
 	defer os.RemoveAll(dir)
-	r := &alone{ctx: ctx, binary: binary, dir: dir, sizes: sizes, say: say}
-	steps := map[string]func() error{"lists": r.lists, "wholes": r.wholes, "changes": r.changes, "firms": r.firms, "module": r.module, "known": r.known}
+	r := &residentRun{ctx: ctx, binary: binary, dir: dir, sizes: sizes, say: say}
+	steps := map[string]func() error{"lists": r.sweepLists, "wholes": r.sweepWholeLists, "changes": r.sweepChanges, "firms": r.sweepActiveFirms, "module": r.sweepModule, "known": r.sweepKnownFirms}
 	for _, name := range parts {
 		if steps[name] == nil {
 			return nil, nil, fmt.Errorf("no part %q, but %s", name, strings.Join(ResidentParts, ", "))
@@ -91,10 +91,10 @@
 			continue
 		}
 		if err := steps[name](); err != nil {
-			return r.slopes, r.refused, err
+			return r.slopes, r.rejectedLists, err
 		}
 	}
-	return r.slopes, r.refused, nil
+	return r.slopes, r.rejectedLists, nil
 }
 
 // Machine gives cores and memory in MB, for the head of Figures.
@@ -105,15 +105,15 @@
 	return runtime.NumCPU(), kb >> 10
 }
 
-type alone struct {
-	ctx     context.Context
-	binary  string
-	dir     string
-	n       int // limiters started
-	sizes   ResidentSizes
-	say     func(string, ...any)
-	slopes  []Slope
-	refused []int
+type residentRun struct {
+	ctx             context.Context
+	binary          string
+	dir             string
+	limitersStarted int // limiters started
+	sizes           ResidentSizes
+	say             func(string, ...any)
+	slopes          []Slope
+	rejectedLists   []int
 }
 
 // points are what was measured at sizes.
@@ -123,7 +123,7 @@
 	p.sizes, p.values = append(p.sizes, size), append(p.values, value)
 }
 
-func (r *alone) fit(p residentPoints, role, what, unit, against, held string) {
+func (r *residentRun) addSlope(p residentPoints, role, what, unit, against, held string) {
 	s := Slope{Role: role, What: what, Unit: unit, Against: against, Sizes: p.sizes, Values: p.values, Held: held}
 	n := float64(len(p.sizes))
 	var mx, my, xy, spread, rest float64
@@ -147,12 +147,12 @@
 }
 
 // start starts a limiter that follows a list.
-func (r *alone) start(d *residentList, fleet int, counter, script string) (*standin.Limiter, error) {
+func (r *residentRun) startLimiter(d *listServer, fleet int, counter, script string) (*standin.Limiter, error) {
 	if err := r.ctx.Err(); err != nil {
 		return nil, err
 	}
-	r.n++
-	dir := filepath.Join(r.dir, strconv.Itoa(r.n))
+	r.limitersStarted++
+	dir := filepath.Join(r.dir, strconv.Itoa(r.limitersStarted))
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
@@ -170,24 +170,24 @@
 	}
 	tiers := []logic.Plan{{Name: "regular", Rate: 3, Burst: 15, Price: 1, OverCost: 0.5}}
 	return standin.Start(r.binary, dir, map[string]any{"name": "n", "listen": listen, "seed": "1",
-		"limits": map[string]any{"cores": 1.0, "memory_mb": residentMemory, "sockets": 1024}, "settings": lab.Settings(fleet, 0, tiers),
+		"limits": map[string]any{"cores": 1.0, "memory_mb": residentMemoryMB, "sockets": 1024}, "settings": lab.Settings(fleet, 0, tiers),
 		"counter": counter, "discovery": d.addr}, args...)
 }
 
 // window is how long a rate is measured.
-func (r *alone) window() time.Duration { return min(residentWindow, 10*r.sizes.Settle) }
+func (r *residentRun) measuringTime() time.Duration { return min(residentWindow, 10*r.sizes.Settle) }
 
 // lists brings limiters to lists that come in parts.
-func (r *alone) lists() error {
+func (r *residentRun) sweepLists() error {
 	var memory, idle residentPoints
-	for range r.sizes.Plays {
-		for _, n := range r.sizes.Servers {
-			if err := r.withList(n, residentPart, func(_ *residentList, l *standin.Limiter) error {
+	for range r.sizes.Repeats {
+		for _, n := range r.sizes.ListedServers {
+			if err := r.withLimiter(n, residentServersPerLine, func(_ *listServer, l *standin.Limiter) error {
 				time.Sleep(r.sizes.Settle)
 				used, began := l.CPU(), time.Now()
-				time.Sleep(r.window())
+				time.Sleep(r.measuringTime())
 				idle.add(float64(n), (l.CPU()-used).Seconds()/time.Since(began).Seconds())
-				rss, err := residentOf(l, "VmRSS")
+				rss, err := procStatusBytes(l, "VmRSS")
 				memory.add(float64(n), rss)
 				r.say("%d servers in parts: %.1f MB resident, %.2f%% of a core at rest", n, rss/1e6, 100*idle.values[len(idle.values)-1])
 				return err
@@ -196,26 +196,26 @@
 			}
 		}
 	}
-	r.fit(memory, "limiter", "memory", "bytes", "servers", "alone: the list told in lines of 5,000 entries, no requests, resident after a rest")
-	r.fit(idle, "limiter", "processor", "seconds/s", "servers", "alone: the same lists, at rest, no changes, no requests")
+	r.addSlope(memory, "limiter", "memory", "bytes", "servers", "alone: the list told in lines of 5,000 entries, no requests, resident after a rest")
+	r.addSlope(idle, "limiter", "processor", "seconds/s", "servers", "alone: the same lists, at rest, no changes, no requests")
 	return nil
 }
 
 // wholes starts limiters to which the whole list is told as one line.
-func (r *alone) wholes() error {
+func (r *residentRun) sweepWholeLists() error {
 	var processor, bytes, peak residentPoints
-	for range r.sizes.Plays {
-		for _, n := range r.sizes.Servers {
+	for range r.sizes.Repeats {
+		for _, n := range r.sizes.ListedServers {
 			var line int
-			err := r.withList(n, n, func(d *residentList, l *standin.Limiter) error {
+			err := r.withLimiter(n, n, func(d *listServer, l *standin.Limiter) error {
 				processor.add(float64(n), l.CPU().Seconds())
-				high, err := residentOf(l, "VmHWM")
+				high, err := procStatusBytes(l, "VmHWM")
 				peak.add(float64(n), high)
-				line = d.longest
+				line = d.longestLine
 				return err
 			})
-			if errors.Is(err, errTakenNot) {
-				r.refused = append(r.refused, n)
+			if errors.Is(err, errListNotTaken) {
+				r.rejectedLists = append(r.rejectedLists, n)
 				r.say("%d servers in one line: %v", n, err)
 				continue
 			}
@@ -227,29 +227,29 @@
 				processor.values[len(processor.values)-1], peak.values[len(peak.values)-1]/1e6)
 		}
 	}
-	r.fit(bytes, "discovery", "bytes", "bytes", "servers", "alone: a whole list as one line")
-	r.fit(processor, "limiter", "processor", "seconds", "servers", "start: from the start of the process until a whole list is taken")
-	r.fit(peak, "limiter", "memory", "bytes", "servers", "start: highest resident figure until a whole list is taken")
+	r.addSlope(bytes, "discovery", "bytes", "bytes", "servers", "alone: a whole list as one line")
+	r.addSlope(processor, "limiter", "processor", "seconds", "servers", "start: from the start of the process until a whole list is taken")
+	r.addSlope(peak, "limiter", "memory", "bytes", "servers", "start: highest resident figure until a whole list is taken")
 	return nil
 }
 
 // changes tells changes of one server each, of the longest list.
-func (r *alone) changes() error {
-	n := r.sizes.Servers[len(r.sizes.Servers)-1]
+func (r *residentRun) sweepChanges() error {
+	n := r.sizes.ListedServers[len(r.sizes.ListedServers)-1]
 	var processor, bytes residentPoints
-	for range r.sizes.Plays {
-		if err := r.withList(n, residentPart, func(d *residentList, l *standin.Limiter) error {
+	for range r.sizes.Repeats {
+		if err := r.withLimiter(n, residentServersPerLine, func(d *listServer, l *standin.Limiter) error {
 			time.Sleep(r.sizes.Settle)
-			for _, rate := range r.sizes.Rates {
-				used, sent, began := l.CPU(), d.sent.Load(), time.Now()
-				for k := 0; rate > 0 && float64(k) < rate*r.window().Seconds(); k++ {
+			for _, rate := range r.sizes.ChangesPerSecond {
+				used, sent, began := l.CPU(), d.sentBytes.Load(), time.Now()
+				for k := 0; rate > 0 && float64(k) < rate*r.measuringTime().Seconds(); k++ {
 					time.Sleep(time.Until(began.Add(time.Duration(float64(k) / rate * float64(time.Second)))))
-					d.change(k % n)
+					d.changeServer(k % n)
 				}
-				time.Sleep(time.Until(began.Add(r.window())))
+				time.Sleep(time.Until(began.Add(r.measuringTime())))
 				s := time.Since(began).Seconds()
 				processor.add(rate, (l.CPU()-used).Seconds()/s)
-				bytes.add(rate, float64(d.sent.Load()-sent)/s)
+				bytes.add(rate, float64(d.sentBytes.Load()-sent)/s)
 				r.say("%g changes a second of %d servers: %.2f%% of a core", rate, n, 100*processor.values[len(processor.values)-1])
 			}
 			return nil
@@ -258,24 +258,24 @@
 		}
 	}
 	held := fmt.Sprintf("alone: %d servers, each change names one, no requests", n)
-	r.fit(processor, "limiter", "processor", "seconds/s", "changes", held)
-	r.fit(bytes, "limiter", "bytes", "bytes/s", "changes", held)
+	r.addSlope(processor, "limiter", "processor", "seconds/s", "changes", held)
+	r.addSlope(bytes, "limiter", "bytes", "bytes/s", "changes", held)
 	return nil
 }
 
 // withList starts a limiter, waits until it has the list and does something with it.
-func (r *alone) withList(n, part int, do func(*residentList, *standin.Limiter) error) error {
-	d, err := newResidentList(n, part, "10.0.0.1:6379")
+func (r *residentRun) withLimiter(n, part int, do func(*listServer, *standin.Limiter) error) error {
+	d, err := newListServer(n, part, "10.0.0.1:6379")
 	if err != nil {
 		return err
 	}
 	defer d.close()
-	l, err := r.start(d, residentFleet, "127.0.0.1:1", "")
+	l, err := r.startLimiter(d, residentFleetSize, "127.0.0.1:1", "")
 	if err != nil {
 		return err
 	}
 	defer l.Kill()
-	if err := d.taken(r.ctx); err != nil {
+	if err := d.awaitTaken(r.ctx); err != nil {
 		return err
 	}
 	if err := do(d, l); err != nil {
@@ -288,20 +288,20 @@
 }
 
 // firms has many firms ask once within a minute, of a limiter with a few servers that answer.
-func (r *alone) firms() error {
+func (r *residentRun) sweepActiveFirms() error {
 	var memory residentPoints
-	for _, n := range r.sizes.Firms {
-		if err := r.withFirms(n, &memory); err != nil {
+	for _, n := range r.sizes.ActiveFirms {
+		if err := r.measureActiveFirms(n, &memory); err != nil {
 			return err
 		}
 	}
-	r.fit(memory, "limiter", "memory", "bytes", "tenants_active",
-		fmt.Sprintf("alone: each firm asks once within a minute through 3 of %d limiters, %d servers that answer, resident right after the last", residentAsked, residentServing))
+	r.addSlope(memory, "limiter", "memory", "bytes", "tenants_active",
+		fmt.Sprintf("alone: each firm asks once within a minute through 3 of %d limiters, %d servers that answer, resident right after the last", residentAskedFleetSize, residentAnsweringServers))
 	return nil
 }
 
-func (r *alone) withFirms(n int, memory *residentPoints) error {
-	servers, err := residentServers()
+func (r *residentRun) measureActiveFirms(n int, memory *residentPoints) error {
+	servers, err := startAnsweringServers()
 	if err != nil {
 		return err
 	}
@@ -312,26 +312,26 @@
 	if err != nil {
 		return err
 	}
-	d, err := newResidentList(residentServing, residentPart, servers.Addr().String())
+	d, err := newListServer(residentAnsweringServers, residentServersPerLine, servers.Addr().String())
 	if err != nil {
 		return err
 	}
 	defer d.close()
-	l, err := r.start(d, residentAsked, counter.Addr, "")
+	l, err := r.startLimiter(d, residentAskedFleetSize, counter.Addr, "")
 	if err != nil {
 		return err
 	}
 	defer l.Kill()
-	if err := d.taken(r.ctx); err != nil {
+	if err := d.awaitTaken(r.ctx); err != nil {
 		return err
 	}
 	began := time.Now()
-	served, err := residentAsk(l.Addr, n)
+	served, err := requestFromFirms(l.Addr, n)
 	if err != nil {
 		return err
 	}
 	took := time.Since(began)
-	rss, err := residentOf(l, "VmRSS")
+	rss, err := procStatusBytes(l, "VmRSS")
 	if err != nil {
 		return err
 	}
@@ -347,21 +347,21 @@
 }
 
 // known has the plan book name firms.
-func (r *alone) known() error {
+func (r *residentRun) sweepKnownFirms() error {
 	var memory residentPoints
-	for range r.sizes.Plays {
-		for _, n := range r.sizes.Known {
-			d, err := newResidentList(20, residentPart, "10.0.0.1:6379")
+	for range r.sizes.Repeats {
+		for _, n := range r.sizes.KnownFirms {
+			d, err := newListServer(20, residentServersPerLine, "10.0.0.1:6379")
 			if err != nil {
 				return err
 			}
-			l, err := r.start(d, residentFleet, "127.0.0.1:1", fmt.Sprintf(`t = tier(name = "regular", rate = 3, burst = 15)
+			l, err := r.startLimiter(d, residentFleetSize, "127.0.0.1:1", fmt.Sprintf(`t = tier(name = "regular", rate = 3, burst = 15)
 bramblefall(plans = [plan(number = 1, tiers = [t], firms = [firm(firm = "%%x" %% (k + 1), tier = "regular") for k in range(%d)])])
 `, n))
 			if err == nil {
 				time.Sleep(r.sizes.Settle)
 				var rss float64
-				if rss, err = residentOf(l, "VmRSS"); err == nil {
+				if rss, err = procStatusBytes(l, "VmRSS"); err == nil {
 					memory.add(float64(n), rss)
 					r.say("%d firms in the plan book: %.1f MB resident", n, rss/1e6)
 				}
@@ -373,50 +373,50 @@
 			}
 		}
 	}
-	r.fit(memory, "limiter", "memory", "bytes", "tenants_known", "alone: firms that the plan book's version in force names, from the operators' file, after a rest")
+	r.addSlope(memory, "limiter", "memory", "bytes", "tenants_known", "alone: firms that the plan book's version in force names, from the operators' file, after a rest")
 	return nil
 }
 
 // residentOf is one of the kernel's figures of a limiter, in bytes.
-func residentOf(l *standin.Limiter, what string) (float64, error) {
+func procStatusBytes(l *standin.Limiter, field string) (float64, error) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", l.Cmd.Process.Pid))
 	if err != nil {
 		return 0, err
 	}
 	for line := range strings.Lines(string(raw)) {
-		if rest, ok := strings.CutPrefix(line, what+":"); ok {
+		if rest, ok := strings.CutPrefix(line, field+":"); ok {
 			kb, err := strconv.ParseFloat(strings.TrimSuffix(strings.TrimSpace(rest), " kB"), 64)
 			return kb * 1024, err
 		}
 	}
-	return 0, fmt.Errorf("the kernel tells no %s", what)
+	return 0, fmt.Errorf("the kernel tells no %s", field)
 }
 
 // residentList is a discovery for one limiter. Once all is told it ends the watch: the next one says which version the
 // limiter has.
-type residentList struct {
-	addr    string
-	l       net.Listener
-	lines   [][]byte // chunks
-	longest int      // of the lines, in bytes
-	entry   func(k int, version int64, state string) discovery.Server
-	sent    atomic.Int64
-	has     chan struct{} // closed once the limiter has asked for what comes after the last line
-	hasIt   func()
-	changed chan []byte
-
-	mu      sync.Mutex
-	version int64
-	asked   int // watches from the beginning
+type listServer struct {
+	addr        string
+	listener    net.Listener
+	lines       [][]byte // chunks
+	longestLine int      // of the lines, in bytes
+	entry       func(k int, version int64, state string) discovery.Server
+	sentBytes   atomic.Int64
+	taken       chan struct{} // closed once the limiter has asked for what comes after the last line
+	markTaken   func()
+	changes     chan []byte
+
+	mu               sync.Mutex
+	version          int64
+	wholeListWatches int // watches from the beginning
 }
 
-func newResidentList(n, part int, addr string) (*residentList, error) {
+func newListServer(n, part int, addr string) (*listServer, error) {
 	l, err := loopback.Listen()
 	if err != nil {
 		return nil, err
 	}
 	has := make(chan struct{})
-	d := &residentList{addr: l.Addr().String(), l: l, has: has, hasIt: sync.OnceFunc(func() { close(has) }), changed: make(chan []byte, 64)}
+	d := &listServer{addr: l.Addr().String(), listener: l, taken: has, markTaken: sync.OnceFunc(func() { close(has) }), changes: make(chan []byte, 64)}
 	d.entry = func(k int, version int64, state string) discovery.Server {
 		return discovery.Server{ID: fmt.Sprintf("s-%08x", k), Addr: addr, Zone: []string{"hall-a", "hall-b"}[k%2], Kind: "std-3core", State: state,
 			Weight: 1, StartedMS: version}
@@ -441,42 +441,42 @@
 	return d, nil
 }
 
-func (d *residentList) close() { _ = d.l.Close() }
+func (d *listServer) close() { _ = d.listener.Close() }
 
-func (d *residentList) chunk(l discovery.List) []byte {
+func (d *listServer) chunk(l discovery.List) []byte {
 	raw, _ := json.Marshal(l)
-	d.longest = max(d.longest, len(raw)+1)
+	d.longestLine = max(d.longestLine, len(raw)+1)
 	return fmt.Appendf(nil, "%x\r\n%s\n\r\n", len(raw)+1, raw)
 }
 
 // change tells that a server has started anew.
-func (d *residentList) change(k int) {
+func (d *listServer) changeServer(k int) {
 	d.mu.Lock()
 	d.version++
 	text := d.chunk(discovery.List{Version: d.version, Servers: []discovery.Server{d.entry(k, d.version, "ready")}})
 	d.mu.Unlock()
-	d.changed <- text
+	d.changes <- text
 }
 
 // taken waits until the limiter has the whole list.
-func (d *residentList) taken(ctx context.Context) error {
-	limit := time.NewTimer(residentPatience)
+func (d *listServer) awaitTaken(ctx context.Context) error {
+	limit := time.NewTimer(residentTimeout)
 	defer limit.Stop()
 	for {
 		select {
-		case <-d.has:
+		case <-d.taken:
 			return nil
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-limit.C:
 			d.mu.Lock()
 			defer d.mu.Unlock()
-			return fmt.Errorf("%w within %s: a line of %d bytes, asked for %d times", errTakenNot, residentPatience, d.longest, d.asked)
+			return fmt.Errorf("%w within %s: a line of %d bytes, asked for %d times", errListNotTaken, residentTimeout, d.longestLine, d.wholeListWatches)
 		}
 	}
 }
 
-func (d *residentList) serve(conn net.Conn) {
+func (d *listServer) serve(conn net.Conn) {
 	defer conn.Close()
 	req, err := http.ReadRequest(bufio.NewReader(conn))
 	if err != nil {
@@ -485,7 +485,7 @@
 	from, _ := strconv.ParseInt(req.FormValue("from"), 10, 64)
 	send := func(b []byte) bool {
 		n, err := conn.Write(b)
-		d.sent.Add(int64(n))
+		d.sentBytes.Add(int64(n))
 		return err == nil
 	}
 	if !send([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")) {
@@ -493,7 +493,7 @@
 	}
 	if from < int64(len(d.lines)) {
 		d.mu.Lock()
-		d.asked++
+		d.wholeListWatches++
 		d.mu.Unlock()
 		for _, line := range d.lines[from:] {
 			if !send(line) {
@@ -503,17 +503,17 @@
 		if !send([]byte("0\r\n\r\n")) {
 			return
 		}
-		_ = conn.SetReadDeadline(time.Now().Add(residentPatience))
+		_ = conn.SetReadDeadline(time.Now().Add(residentTimeout))
 		_, _ = conn.Read(make([]byte, 1)) // until the limiter has read it all and leaves
 		return
 	}
-	d.hasIt()
-	beat := time.NewTicker(residentBeat)
+	d.markTaken()
+	beat := time.NewTicker(residentHeartbeat)
 	defer beat.Stop()
 	for {
 		text := []byte("1\r\n\n\r\n")
 		select {
-		case text = <-d.changed:
+		case text = <-d.changes:
 		case <-beat.C:
 		}
 		if !send(text) {
@@ -523,7 +523,7 @@
 }
 
 // residentServers answer each request at once.
-func residentServers() (net.Listener, error) {
+func startAnsweringServers() (net.Listener, error) {
 	l, err := loopback.Listen()
 	if err != nil {
 		return nil, err
@@ -564,8 +564,8 @@
 }
 
 // residentAsk sends one request of each of so many firms and tells how many were served.
-func residentAsk(addr string, firms int) (served int, err error) {
-	const clients, ahead = 8, 64
+func requestFromFirms(addr string, firms int) (served int, err error) {
+	const clients, pipelined = 8, 64
 	var wg sync.WaitGroup
 	var ok atomic.Int64
 	all := make(chan error, clients)
@@ -578,11 +578,11 @@
 			}
 			defer conn.Close()
 			in := bufio.NewReader(conn)
-			for from := c; from < firms; from += clients * ahead {
+			for from := c; from < firms; from += clients * pipelined {
 				var out bytes.Buffer
 				sent := 0
-				for k := from; k < min(firms, from+clients*ahead); k += clients {
-					out.Write(residentCommand(uint64(k + 1)))
+				for k := from; k < min(firms, from+clients*pipelined); k += clients {
+					out.Write(requestCommand(uint64(k + 1)))
 					sent++
 				}
 				if _, err := conn.Write(out.Bytes()); err != nil {
@@ -610,7 +610,7 @@
 	return int(ok.Load()), <-all
 }
 
-func residentCommand(firm uint64) []byte {
+func requestCommand(firm uint64) []byte {
 	words := []string{"Q.ASK", fmt.Sprintf("%016x", firm), fmt.Sprintf("%016x", firm), "c=balance-read,t=regular,d=1000,units=1,spread=3,first=0"}
 	out := fmt.Appendf(nil, "*%d\r\n", len(words))
 	for _, w := range words {
--- a/internal/scale/resident_test.go
+++ b/internal/scale/resident_test.go
@@ -17,8 +17,8 @@
 	}
 	binary, err := lab.Build(t.Context(), t.TempDir())
 	require.NoError(t, err)
-	sizes := ResidentSizes{Servers: []int{100, 6_000, 12_000}, Rates: []float64{0, 100}, Firms: []int{50, 1_000}, Module: []int{1_000, 20_000},
-		Known: []int{50, 5_000}, Plays: 1, Settle: 200e6}
+	sizes := ResidentSizes{ListedServers: []int{100, 6_000, 12_000}, ChangesPerSecond: []float64{0, 100}, ActiveFirms: []int{50, 1_000}, ModuleFirms: []int{1_000, 20_000},
+		KnownFirms: []int{50, 5_000}, Repeats: 1, Settle: 200e6}
 	slopes, refused, err := Resident(t.Context(), binary, sizes, nil, t.Logf)
 	require.NoError(t, err)
 	assert.Empty(t, refused)
@@ -41,10 +41,10 @@
 
 // A list of another form is not taken: the wait has an end, and says so.
 func TestAListThatIsNotTakenIsTold(t *testing.T) {
-	d, err := newResidentList(10, 10, "10.0.0.1:1")
+	d, err := newListServer(10, 10, "10.0.0.1:1")
 	require.NoError(t, err)
 	defer d.close()
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
-	assert.ErrorIs(t, d.taken(ctx), context.Canceled)
+	assert.ErrorIs(t, d.awaitTaken(ctx), context.Canceled)
 }
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -32,7 +32,7 @@
 	rigVar   = "BRAMBLEFALL_SCALE_RIG"
 )
 
-var binary struct {
+var limiterBinary struct {
 	once sync.Once
 	path string
 	err  error
@@ -47,66 +47,66 @@
 		return
 	}
 	if path := os.Getenv(rigVar); path != "" {
-		rig(path)
+		runRig(path)
 		return
 	}
 	code := m.Run()
-	if binary.path != "" {
-		_ = os.RemoveAll(filepath.Dir(binary.path))
+	if limiterBinary.path != "" {
+		_ = os.RemoveAll(filepath.Dir(limiterBinary.path))
 	}
 	os.Exit(code)
 }
 
 // rig runs until it is told to end. It writes its processes' ids once it has limiters.
-func rig(path string) {
+func runRig(path string) {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	o := small(path)
-	o.Hook = func(stage string, list Processes) {
+	o := smallRun(path)
+	o.OnStage = func(stage string, list ProcessIDs) {
 		if stage == "moments" {
 			raw, _ := json.Marshal(list)
 			fmt.Printf("%s\n", raw)
 		}
 	}
-	f, err := Run(ctx, o)
-	if err == nil || f == nil || f.Partial == "" {
+	figures, err := Run(ctx, o)
+	if err == nil || figures == nil || figures.Partial == "" {
 		os.Exit(3)
 	}
 	os.Exit(1)
 }
 
-func child(role string) *exec.Cmd {
+func startTestChild(role string) *exec.Cmd {
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), childVar+"="+role)
 	return cmd
 }
 
 // small is a run of counts: nothing in it is judged by its time.
-func small(binary string) Options {
-	return Options{Seed: 1, Binary: binary, Child: child, Say: func(string, ...any) {}, Sizes: Sizes{Real: 2, Fleet: []int{10, 20, 40}, FleetServers: 40,
-		Servers: []int{40, 80, 120}, Changes: []float64{5, 10, 20}, Rates: []float64{10, 20, 40}, Active: []int{10, 20}, Known: []int{10, 20}, Told: []int{1, 2, 4},
-		Services: []int{2, 4, 8}, Calls: 5, Window: 200 * time.Millisecond, Settle: 100 * time.Millisecond, Beside: 20, Grace: hollowGrace, HollowGrace: hollowGrace, small: true}}
+func smallRun(binary string) Options {
+	return Options{Seed: 1, Binary: binary, Child: startTestChild, Say: func(string, ...any) {}, Sizes: Sizes{RealLimiters: 2, HollowLimiters: []int{10, 20, 40}, ServersBesideFleet: 40,
+		ListedServers: []int{40, 80, 120}, ChangesPerSecond: []float64{5, 10, 20}, RequestsPerSecond: []float64{10, 20, 40}, ActiveFirms: []int{10, 20}, KnownFirms: []int{10, 20}, LimitersTold: []int{1, 2, 4},
+		Clusters: []int{2, 4, 8}, CallsPerSecond: 5, Window: 200 * time.Millisecond, Settle: 100 * time.Millisecond, BackgroundChangesPerSecond: 20, DrainGrace: hollowDrainGrace, HollowDrainGrace: hollowDrainGrace, countsOnly: true}}
 }
 
-func program(t *testing.T) string {
+func buildProgram(t *testing.T) string {
 	for _, sources := range []string{"../../go.*", "../../logic/*.go", "../*/*.go", "../../cmd/bramblefall*/*.go"} {
 		files, _ := filepath.Glob(sources)
 		for _, f := range files { // the program is built out of go test's sight: what is looked at counts in its cache
 			_, _ = os.Stat(f)
 		}
 	}
-	binary.once.Do(func() {
+	limiterBinary.once.Do(func() {
 		dir, err := os.MkdirTemp("", "scale")
 		if err == nil {
-			binary.path, err = lab.Build(context.Background(), dir)
+			limiterBinary.path, err = lab.Build(context.Background(), dir)
 		}
-		binary.err = err
+		limiterBinary.err = err
 	})
-	require.NoError(t, binary.err)
-	return binary.path
+	require.NoError(t, limiterBinary.err)
+	return limiterBinary.path
 }
 
-func alive(pid int) bool {
+func isRunning(pid int) bool {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return false
@@ -115,98 +115,100 @@
 	return !strings.HasPrefix(rest, "Z") // a dead process that nobody has waited for yet
 }
 
-func requireGone(t *testing.T, list Processes) {
+func requireGone(t *testing.T, list ProcessIDs) {
 	t.Helper()
 	require.NotEmpty(t, list)
 	for name, pid := range list {
-		require.Eventually(t, func() bool { return !alive(pid) }, 5*time.Second, 10*time.Millisecond, "%s is left", name)
+		require.Eventually(t, func() bool { return !isRunning(pid) }, 5*time.Second, 10*time.Millisecond, "%s is left", name)
 	}
 }
 
 // Forty hollow limiters and two real ones: each whole list, change, call and answer is counted once, all end with the same
 // version, and nothing is left running.
 func TestMessagesAreCountedExactly(t *testing.T) {
-	o := small(program(t))
+	o := smallRun(buildProgram(t))
 	const hollows, changes = 40, 25
-	r := &run{Options: o, f: newFamily(t.Context()), dir: t.TempDir(), binary: o.Binary, ledger: newLedger(), figures: &Figures{}}
-	var list Processes
-	r.Hook = func(_ string, l Processes) { list = l }
+	r := &run{Options: o, group: newProcessGroup(t.Context()), dir: t.TempDir(), binary: o.Binary, measurements: newMeasurements(), figures: &Figures{}}
+	var list ProcessIDs
+	r.OnStage = func(_ string, l ProcessIDs) { list = l }
 	func() {
-		defer r.f.close()
-		require.NoError(t, r.start())
-		require.NoError(t, r.grow(hollows))
-		var done Steadied
-		require.NoError(t, r.f.call(r.discovery, "Role.Steady", Steady{PerSecond: 50, For: changes * time.Second / 50, Among: 8}, &done))
+		defer r.group.close()
+		require.NoError(t, r.startProcesses())
+		require.NoError(t, r.growFleet(hollows))
+		var done ScheduleResult
+		require.NoError(t, r.group.call(r.discoveryProcess, "Role.RunSchedule", ChangeSchedule{ChangesPerSecond: 50, Duration: changes * time.Second / 50, ServersChanged: 8}, &done))
 		require.Equal(t, changes, done.Changes)
-		r.version = done.Last.Version
-		require.EqualValues(t, 1+changes, r.version)
-		at, behind, err := r.arrivals(hearLimit, r.hollow)
+		r.lastVersion = done.Last.Version
+		require.EqualValues(t, 1+changes, r.lastVersion)
+		at, behind, err := r.awaitVersion(deliveryTimeout, r.hollowProcesses)
 		require.NoError(t, err)
 		require.Zero(t, behind)
 		require.Len(t, at, hollows)
-		for _, p := range r.hollow { // nobody is ahead: all have the same
-			var a Arrived
-			require.NoError(t, r.f.call(p, "Role.Arrivals", r.version+1, &a))
+		for _, p := range r.hollowProcesses { // nobody is ahead: all have the same
+			var a FleetStatus
+			require.NoError(t, r.group.call(p, "Role.Arrivals", r.lastVersion+1, &a))
 			require.Equal(t, a.Limiters, a.Behind)
-			require.Len(t, a.Listed, a.Limiters)
-			require.NoError(t, r.f.call(p, "Role.Calls", 0.0, new(int)))
+			require.Len(t, a.ListedAt, a.Limiters)
+			require.NoError(t, r.group.call(p, "Role.Calls", 0.0, new(int)))
 		}
-		var got Loaded
-		require.NoError(t, r.f.call(r.load, "Role.Run", LoadRun{r.usual(40), 0, time.Second, 1}, &got))
+		var got LoadResult
+		require.NoError(t, r.group.call(r.loadProcess, "Role.Run", LoadRun{r.regularLoad(40), 0, time.Second, 1}, &got))
 		require.Positive(t, got.Sent)
-		require.Equal(t, Loaded{Sent: got.Sent, Served: got.Served, Refused: got.Refused, Timed: got.Served, P50: got.P50, P99: got.P99}, got, "none is lost")
+		require.Equal(t, LoadResult{Sent: got.Sent, Served: got.Served, Refused: got.Refused, Timed: got.Served, P50MS: got.P50MS, P99MS: got.P99MS}, got, "none is lost")
 		require.Equal(t, got.Sent, got.Served+got.Refused)
 		var took int64
-		require.NoError(t, r.f.call(r.servers, "Role.Took", 0, &took))
+		require.NoError(t, r.group.call(r.serverProcess, "Role.Requests", 0, &took))
 		require.GreaterOrEqual(t, took, int64(got.Served))
 
 		var s sample
 		require.Eventually(t, func() bool { // a real limiter may still be reading the last change
-			s, err = r.sample()
-			return err == nil && s.discovery.real().Changes == int64(len(r.real)*changes)
+			s, err = r.takeSample()
+			return err == nil && s.discovery.realTotal().Changes == int64(len(r.realLimiters)*changes)
 		}, 5*time.Second, 20*time.Millisecond)
 		h, real := s.discovery.Hollow, s.discovery.Real
-		assert.EqualValues(t, hollows, h.Opened)
-		assert.EqualValues(t, hollows, h.Wholes)
+		assert.EqualValues(t, hollows, h.ConnsOpened)
+		assert.EqualValues(t, hollows, h.WholeLists)
 		assert.EqualValues(t, hollows*changes, h.Changes)
-		assert.Equal(t, h.Opened+h.Wholes+h.Changes+h.Beats, h.Messages)
-		require.Len(t, real, len(r.real))
+		assert.Equal(t, h.ConnsOpened+h.WholeLists+h.Changes+h.Heartbeats, h.Messages)
+		require.Len(t, real, len(r.realLimiters))
 		for _, x := range real {
-			assert.EqualValues(t, 1, x.Opened)
-			assert.EqualValues(t, 1, x.Wholes)
+			assert.EqualValues(t, 1, x.ConnsOpened)
+			assert.EqualValues(t, 1, x.WholeLists)
 			assert.EqualValues(t, changes, x.Changes)
-			assert.Equal(t, x.Opened+x.Wholes+x.Changes+x.Beats, x.Messages)
+			assert.Equal(t, x.ConnsOpened+x.WholeLists+x.Changes+x.Heartbeats, x.Messages)
 		}
 		var calls, answered int64
-		for _, p := range r.hollow {
-			var a Arrived
-			require.NoError(t, r.f.call(p, "Role.Arrivals", r.version, &a))
+		for _, p := range r.hollowProcesses {
+			var a FleetStatus
+			require.NoError(t, r.group.call(p, "Role.Arrivals", r.lastVersion, &a))
 			calls, answered = calls+a.Calls, answered+a.Answered
 			require.Zero(t, a.Unsent+a.Lost)
 		}
 		require.Positive(t, calls)
 		require.Equal(t, calls, answered)
-		c := s.counts.Hollow
+		c := s.counter.Hollow
 		assert.Equal(t, calls, c.Changes)
-		assert.Equal(t, 2*(c.Changes+c.Beats), c.Messages)
-		assert.EqualValues(t, hollows, c.Opened)
-		r.stage("the end")
+		assert.Equal(t, 2*(c.Changes+c.Heartbeats), c.Messages)
+		assert.EqualValues(t, hollows, c.ConnsOpened)
+		r.enterStage("the end")
 	}()
-	require.Len(t, list, 5+hollowProcesses+len(r.real))
+	require.Len(t, list, 5+hollowProcessCount+len(r.realLimiters))
 	requireGone(t, list)
 }
 
 func TestSizesThatContradictAreRefused(t *testing.T) {
 	for name, change := range map[string]func(*Sizes){
-		"real limiters":       func(s *Sizes) { s.Real = 7 },
-		"at least 100":        func(s *Sizes) { s.Fleet = []int{10, 50} },
-		"processes are":       func(s *Sizes) { s.Real = 290 },
-		"a list only grows":   func(s *Sizes) { s.Servers = []int{20, 60} },
-		"descriptors":         func(s *Sizes) { s.Fleet = []int{10, 30_000} },
-		"of the machine's me": func(s *Sizes) { s.FleetServers, s.Servers, s.Fleet = 1_000_000, []int{1_000_000}, []int{10_000} },
-		"servers beside":      func(s *Sizes) { s.FleetServers = 5 },
+		"real limiters":     func(s *Sizes) { s.RealLimiters = 7 },
+		"at least 100":      func(s *Sizes) { s.HollowLimiters = []int{10, 50} },
+		"processes are":     func(s *Sizes) { s.RealLimiters = 290 },
+		"a list only grows": func(s *Sizes) { s.ListedServers = []int{20, 60} },
+		"descriptors":       func(s *Sizes) { s.HollowLimiters = []int{10, 30_000} },
+		"of the machine's me": func(s *Sizes) {
+			s.ServersBesideFleet, s.ListedServers, s.HollowLimiters = 1_000_000, []int{1_000_000}, []int{10_000}
+		},
+		"servers beside": func(s *Sizes) { s.ServersBesideFleet = 5 },
 	} {
-		o := small("/nowhere")
+		o := smallRun("/nowhere")
 		o.Sizes = QuickSizes()
 		change(&o.Sizes)
 		f, err := Run(t.Context(), o)
@@ -218,7 +220,7 @@
 		s := QuickSizes()
 		require.Error(t, s.Set(bad[0], bad[1], bad[2], bad[3]), bad)
 	}
-	o := small("/nowhere")
+	o := smallRun("/nowhere")
 	o.Listen = "0.0.0.0:0"
 	_, err := Run(t.Context(), o)
 	require.ErrorContains(t, err, "no loopback address")
@@ -228,14 +230,14 @@
 	l, err := loopback.Listen()
 	require.NoError(t, err)
 	defer l.Close()
-	o := small(program(t))
+	o := smallRun(buildProgram(t))
 	o.Listen = l.Addr().String()
-	var list Processes
-	r := &run{Options: o, f: newFamily(t.Context()), dir: t.TempDir(), binary: o.Binary, ledger: newLedger(), figures: &Figures{}}
-	r.Hook = func(_ string, l Processes) { list = l }
-	err = r.start()
-	r.stage("the port is taken")
-	r.f.close()
+	var list ProcessIDs
+	r := &run{Options: o, group: newProcessGroup(t.Context()), dir: t.TempDir(), binary: o.Binary, measurements: newMeasurements(), figures: &Figures{}}
+	r.OnStage = func(_ string, l ProcessIDs) { list = l }
+	err = r.startProcesses()
+	r.enterStage("the port is taken")
+	r.group.close()
 	require.ErrorContains(t, err, "address already in use")
 	require.NotContains(t, err.Error(), "\n")
 	requireGone(t, list)
@@ -248,9 +250,9 @@
 // What was measured before a process died is kept, and says that it is partial.
 func TestAProcessThatDiesEndsTheRunAndItsFiguresAreKept(t *testing.T) {
 	for _, role := range []string{"limiter-1", "hollow-3", discoveryRole} {
-		o := small(program(t))
-		var list Processes
-		o.Hook = func(stage string, l Processes) {
+		o := smallRun(buildProgram(t))
+		var list ProcessIDs
+		o.OnStage = func(stage string, l ProcessIDs) {
 			if stage == "moments" {
 				list = l
 				require.NoError(t, syscall.Kill(l[role], syscall.SIGKILL))
@@ -260,11 +262,11 @@
 		require.ErrorContains(t, err, "the process "+role+" ended by itself")
 		require.NotContains(t, err.Error(), "\n")
 		require.Equal(t, err.Error(), f.Partial)
-		_, ok := find(f.Slopes, slopeKey{"limiter", "messages", "requests"})
+		_, ok := findSlope(f.Slopes, slopeKey{"limiter", "messages", "requests"})
 		require.True(t, ok)
-		_, ok = find(f.Slopes, slopeKey{"hollow", "memory", "limiters"})
+		_, ok = findSlope(f.Slopes, slopeKey{"hollow", "memory", "limiters"})
 		require.True(t, ok)
-		require.Len(t, list, 5+hollowProcesses+2)
+		require.Len(t, list, 5+hollowProcessCount+2)
 		requireGone(t, list)
 
 		dir := t.TempDir()
@@ -283,11 +285,11 @@
 func TestNothingIsLeftOfARigThatIsEnded(t *testing.T) {
 	for _, s := range []syscall.Signal{syscall.SIGINT, syscall.SIGTERM, syscall.SIGKILL} {
 		cmd := exec.Command(os.Args[0])
-		cmd.Env = append(os.Environ(), rigVar+"="+program(t))
+		cmd.Env = append(os.Environ(), rigVar+"="+buildProgram(t))
 		out, err := cmd.StdoutPipe()
 		require.NoError(t, err)
 		require.NoError(t, cmd.Start())
-		var list Processes
+		var list ProcessIDs
 		raw, err := bufio.NewReader(out).ReadBytes('\n')
 		require.NoError(t, err)
 		require.NoError(t, json.Unmarshal(raw, &list))
@@ -302,20 +304,20 @@
 }
 
 func TestLineFindsSlopeAndError(t *testing.T) {
-	intercept, slope, failing := line([]float64{1, 2, 3, 4}, []float64{5, 7, 9, 11})
+	intercept, slope, failing := fitLine([]float64{1, 2, 3, 4}, []float64{5, 7, 9, 11})
 	require.InDelta(t, 3, intercept, 1e-9)
 	require.InDelta(t, 2, slope, 1e-9)
 	require.InDelta(t, 0, failing, 1e-9)
-	_, slope, failing = line([]float64{0, 1, 2, 3}, []float64{0, 2, 1, 3}) // by hand: residuals -0.3, 0.9, -0.9, 0.3; Sxx 5
+	_, slope, failing = fitLine([]float64{0, 1, 2, 3}, []float64{0, 2, 1, 3}) // by hand: residuals -0.3, 0.9, -0.9, 0.3; Sxx 5
 	require.InDelta(t, 0.8, slope, 1e-9)
 	require.InDelta(t, 1.8/2/5, failing*failing, 1e-9)
 }
 
 func TestBarsBreakOnWhatTheyAreFor(t *testing.T) {
 	good := func() *run {
-		r := &run{Options: Options{Sizes: Sizes{Fleet: []int{10}}}, figures: &Figures{Hollow: 10, Moments: []Moment{{Name: "change", Last: 0.1}}}}
-		for _, key := range sure {
-			r.figures.Slopes = append(r.figures.Slopes, Slope{Role: key.role, What: key.what, Against: key.against, PerUnit: 1, Error: 0.1})
+		r := &run{Options: Options{Sizes: Sizes{HollowLimiters: []int{10}}}, figures: &Figures{Hollow: 10, Moments: []Moment{{Name: "change", Last: 0.1}}}}
+		for _, key := range requiredSlopes {
+			r.figures.Slopes = append(r.figures.Slopes, Slope{Role: key.role, What: key.quantity, Against: key.against, PerUnit: 1, Error: 0.1})
 		}
 		for range 3 {
 			r.figures.Added = append(r.figures.Added, AddedTime{Control: true, P99: 1})
@@ -323,14 +325,14 @@
 		return r
 	}
 	r := good()
-	r.bars()
+	r.checkBars()
 	require.Empty(t, r.figures.Broken())
 	for name, spoil := range map[string]func(*run){
 		"all hollow":  func(r *run) { r.figures.Hollow = 9 },
-		"every hollo": func(r *run) { r.figures.Moments[0].Note = "1 hollow limiters " + unheard },
+		"every hollo": func(r *run) { r.figures.Moments[0].Note = "1 hollow limiters " + notHeardNote },
 		"the last li": func(r *run) { r.figures.Moments[0].Last = 3.1 },
-		"no request ": func(r *run) { r.lost = 1 },
-		"every call ": func(r *run) { r.unanswered = 1 },
+		"no request ": func(r *run) { r.lostRequests = 1 },
+		"every call ": func(r *run) { r.unansweredCalls = 1 },
 		"slope of ho": func(r *run) { r.figures.Slopes[0].PerUnit = -1 },
 		"slope of di": func(r *run) { r.figures.Slopes[3].Error = 0.5 },
 		"99 in 100 r": func(r *run) { r.figures.Added[1].P99 = 3 },
@@ -338,7 +340,7 @@
 	} {
 		r := good()
 		spoil(r)
-		r.bars()
+		r.checkBars()
 		broken := r.figures.Broken()
 		require.Len(t, broken, 1, name)
 		require.Contains(t, broken[0], name)
@@ -348,9 +350,9 @@
 // Whoever asks from a version gets what came after it, and from none the whole list, with an answer's head before either.
 func TestDiscoveryTellsWhatCameAfterAVersion(t *testing.T) {
 	d := &Discovery{ctx: t.Context()}
-	var at Places
+	var at Addresses
 	require.NoError(t, d.Start(DiscoveryStart{Servers: 10, Addrs: []string{"127.0.0.1:1"}, Zones: zones}, &at))
-	var told Told
+	var told AppliedChange
 	for range 3 { // versions 2 to 4
 		require.NoError(t, d.Change(Change{To: 2, State: "ready"}, &told))
 	}
@@ -375,7 +377,7 @@
 // counter that stands still for longer loses those that were out, and each of them is told.
 func TestCallsAreLostWhereTheCounterStandsStillForLongerThanAConnectionIsAwaited(t *testing.T) {
 	const limiters, rate, stands = 40, 10.0, 900 * time.Millisecond
-	var at, listed Places
+	var at, listed Addresses
 	require.NoError(t, new(Counter).Start(0, &at))
 	d := &Discovery{ctx: t.Context()}
 	require.NoError(t, d.Start(DiscoveryStart{Servers: 1, Addrs: []string{"127.0.0.1:1"}, Zones: zones}, &listed))
@@ -383,14 +385,14 @@
 	require.NoError(t, err)
 	t.Cleanup(link.Close)
 	h := newHollow(t.Context())
-	require.NoError(t, h.Add(HollowAdd{Limiters: limiters, Discovery: listed.Hollow, Counter: link.Addr, Fleet: limiters, Calls: rate, Grace: usualGrace}, new(int)))
+	require.NoError(t, h.Add(HollowAdd{Limiters: limiters, Discovery: listed.Hollow, Counter: link.Addr, FleetSize: limiters, CallsPerSecond: rate, DrainGrace: defaultDrainGrace}, new(int)))
 	time.Sleep(time.Second)
 	link.Set(standin.Conditions{CutDown: true})
 	time.Sleep(stands)
 	link.Set(standin.Conditions{})
 	time.Sleep(500 * time.Millisecond)
 	require.NoError(t, h.Calls(0, new(int)))
-	var a Arrived
+	var a FleetStatus
 	require.Eventually(t, func() bool {
 		require.NoError(t, h.Arrivals(0, &a))
 		return a.Calls == a.Answered+a.Unsent+a.Lost
--- a/internal/scale/servers.go
+++ b/internal/scale/servers.go
@@ -14,8 +14,8 @@
 // Servers are hollow servers: any number of entries of the list share a few listeners. What they serve tells how long it
 // lay with them, so that the rest of a request's time is known.
 type Servers struct {
-	took atomic.Int64
-	work time.Duration
+	requests atomic.Int64
+	work     time.Duration
 }
 
 // ServersStart is what hollow servers begin with.
@@ -47,8 +47,8 @@
 }
 
 // Took is how many requests have come.
-func (s *Servers) Took(_ int, out *int64) error {
-	*out = s.took.Load()
+func (s *Servers) Requests(_ int, out *int64) error {
+	*out = s.requests.Load()
 	return nil
 }
 
@@ -61,7 +61,7 @@
 		if err != nil {
 			return
 		}
-		came := now()
+		receivedAt := now()
 		p.Feed(buf[:n])
 		for {
 			args, ok, bad := p.Command()
@@ -73,9 +73,9 @@
 			}
 			answer := resp.AppendBulk(nil, []byte("inflight=1,queue=0,util=0.1"))
 			if name := string(args[0]); name == "Q.ASK" || name == "Q.DO" {
-				s.took.Add(1)
+				s.requests.Add(1)
 				time.Sleep(s.work)
-				answer = standin.Value(strconv.FormatInt(int64(now()-came), 10))
+				answer = standin.Value(strconv.FormatInt(int64(now()-receivedAt), 10))
 			}
 			if _, err := conn.Write(answer); err != nil {
 				return
--- a/internal/scale/sweeps.go
+++ b/internal/scale/sweeps.go
@@ -12,182 +12,182 @@
 )
 
 const (
-	activeRate   = 1000.0 // requests a second of a limiter while firms become active
-	toldFirms    = 100    // that a change names while the limiters that are told grow
-	ofEach       = 57     // endpoints of a cluster: the target's servers by its services
-	clusterSeen  = 1500 * time.Millisecond
-	clusterIdle  = time.Second
-	freshAsks    = 5 * time.Second // of a limiter started beside the longest list
-	mayBeTooLong = 2 << 20         // bytes of a line
-	listTooLong  = "list is too long"
-	clusterType  = "type.googleapis.com/envoy.config.cluster.v3.Cluster"
-	clusterNamed = "c-0"
+	activeRequestsPerSecond = 1000.0 // requests a second of a limiter while firms become active
+	planChangeFirms         = 100    // that a change names while the limiters that are told grow
+	endpointsPerCluster     = 57     // endpoints of a cluster: the target's servers by its services
+	clusterReloadWait       = 1500 * time.Millisecond
+	clusterIdleTime         = time.Second
+	freshLimiterTime        = 5 * time.Second // of a limiter started beside the longest list
+	longListBytes           = 2 << 20         // bytes of a line
+	listTooLongText         = "list is too long"
+	clusterType             = "type.googleapis.com/envoy.config.cluster.v3.Cluster"
+	limiterCluster          = "c-0"
 )
 
 // tenants sweeps the firms that ask and the firms that the plan book names, each size on a real limiter of its own: a book
 // keeps what it held before, and a firm is remembered for minutes.
-func (r *run) tenants() error {
-	sizes := r.Sizes.Active
-	sizes = sizes[max(0, len(sizes)-len(r.real)):]
-	r.ledger.held["tenants_active"] = fmt.Sprintf("each size on a real limiter of its own; %g requests a second of each, of a plan that bounds nothing; %d servers, no change; memory is what came on top", activeRate, r.listed)
+func (r *run) sweepTenants() error {
+	sizes := r.Sizes.ActiveFirms
+	sizes = sizes[max(0, len(sizes)-len(r.realLimiters)):]
+	r.measurements.heldConstant["tenants_active"] = fmt.Sprintf("each size on a real limiter of its own; %g requests a second of each, of a plan that bounds nothing; %d servers, no change; memory is what came on top", activeRequestsPerSecond, r.listedServers)
 	var targets []LoadTarget
 	var before []float64
 	for k := range sizes { // at first one firm each: what the rate itself takes is not the firms'
-		targets = append(targets, LoadTarget{Addr: r.real[k].addr, PerSecond: activeRate, Firms: 1, FirstFirm: uint64(k+100) << 20, Spread: firmSpread, First: k, Tier: tiers[1].Name, InTurn: true})
+		targets = append(targets, LoadTarget{Addr: r.realLimiters[k].addr, RequestsPerSecond: activeRequestsPerSecond, Firms: 1, FirstFirmID: uint64(k+100) << 20, LimitersPerFirm: limitersPerFirm, FirstLimiter: k, Tier: tiers[1].Name, RoundRobin: true})
 	}
-	if _, _, err := r.window(r.Sizes.Window, targets, nil); err != nil {
+	if _, _, err := r.measureWindow(r.Sizes.Window, targets, nil); err != nil {
 		return err
 	}
 	for k, n := range sizes {
-		before = append(before, resident(r.real[k].pid))
+		before = append(before, residentBytes(r.realLimiters[k].pid))
 		targets[k].Firms = n
 	}
-	lasts := max(r.Sizes.Window, time.Duration(1.1*float64(sizes[len(sizes)-1])/activeRate*float64(time.Second))-r.Sizes.Settle)
-	x, _, err := r.window(lasts, targets, nil)
+	duration := max(r.Sizes.Window, time.Duration(1.1*float64(sizes[len(sizes)-1])/activeRequestsPerSecond*float64(time.Second))-r.Sizes.Settle)
+	x, _, err := r.measureWindow(duration, targets, nil)
 	if err != nil {
 		return err
 	}
 	for k, n := range sizes {
-		r.ledger.note("limiter", "memory", "tenants_active", float64(n), resident(r.real[k].pid)-before[k])
-		r.ledger.note("limiter", "processor", "tenants_active", float64(n), x.limiter[k])
-		r.ledger.note("limiter", "messages", "tenants_active", float64(n), x.limiterTraffic[k][0])
-		r.ledger.note("limiter", "bytes", "tenants_active", float64(n), x.limiterTraffic[k][1])
+		r.measurements.add("limiter", "memory", "tenants_active", float64(n), residentBytes(r.realLimiters[k].pid)-before[k])
+		r.measurements.add("limiter", "processor", "tenants_active", float64(n), x.limiterProcessor[k])
+		r.measurements.add("limiter", "messages", "tenants_active", float64(n), x.limiterRates[k][0])
+		r.measurements.add("limiter", "bytes", "tenants_active", float64(n), x.limiterRates[k][1])
 	}
 	return nil
 }
 
 // tools sweeps what operators do: a change of plans against the firms that it names and the limiters that are told, and a look.
-func (r *run) tools() error {
-	const known, told = "tenants_known", "limiters"
-	r.ledger.held[known] = fmt.Sprintf("one change of plans told to one real limiter, each size to one of its own, %d servers on its list; limiter's memory is what came on top", r.listed)
-	for k, n := range r.Sizes.Known[max(0, len(r.Sizes.Known)-len(r.real)):] {
-		l := r.real[k]
-		memory, used := resident(l.pid), processor(l.pid)
-		done, err := r.order(Order{Sockets: []string{l.socket}, Firms: n, Tiers: tiers})
+func (r *run) sweepOperators() error {
+	const againstFirms, againstLimiters = "tenants_known", "limiters"
+	r.measurements.heldConstant[againstFirms] = fmt.Sprintf("one change of plans told to one real limiter, each size to one of its own, %d servers on its list; limiter's memory is what came on top", r.listedServers)
+	for k, n := range r.Sizes.KnownFirms[max(0, len(r.Sizes.KnownFirms)-len(r.realLimiters)):] {
+		l := r.realLimiters[k]
+		memory, used := residentBytes(l.pid), processorTime(l.pid)
+		done, err := r.execute(Order{Sockets: []string{l.socket}, Firms: n, Tiers: tiers})
 		if err != nil {
 			return err
 		}
 		if done.Firms != n {
 			return fmt.Errorf("a book names %d firms, it was told %d", done.Firms, n)
 		}
-		r.ledger.notePer("seconds/change", "limiter", "processor", known, float64(n), (processor(l.pid) - used).Seconds())
-		r.ledger.note("limiter", "memory", known, float64(n), resident(l.pid)-memory)
-		if err := r.orderPoint("distribution", "/change", known, n, done); err != nil {
+		r.measurements.addWithUnit("seconds/change", "limiter", "processor", againstFirms, float64(n), (processorTime(l.pid) - used).Seconds())
+		r.measurements.add("limiter", "memory", againstFirms, float64(n), residentBytes(l.pid)-memory)
+		if err := r.recordOrder("distribution", "/change", againstFirms, n, done); err != nil {
 			return err
 		}
-		if done, err = r.order(Order{Sockets: []string{l.socket}}); err != nil {
+		if done, err = r.execute(Order{Sockets: []string{l.socket}}); err != nil {
 			return err
 		}
-		if err := r.orderPoint("tools", "/look", known, n, done); err != nil {
+		if err := r.recordOrder("tools", "/look", againstFirms, n, done); err != nil {
 			return err
 		}
 	}
-	p, err := r.f.child("books", hollowRole, r.Child)
+	p, err := r.group.startChild("books", hollowRole, r.Child)
 	if err != nil {
 		return err
 	}
-	defer r.f.kill(p)
+	defer r.group.kill(p)
 	dir := filepath.Join(r.dir, "books")
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		return err
 	}
 	var sockets []string
-	for _, n := range r.Sizes.Told {
+	for _, n := range r.Sizes.LimitersTold {
 		var more []string
-		if err := r.f.call(p, "Role.Admin", Admins{dir, n - len(sockets), tiers}, &more); err != nil {
+		if err := r.group.call(p, "Role.StartAdmins", AdminStart{dir, n - len(sockets), tiers}, &more); err != nil {
 			return err
 		}
 		sockets = append(sockets, more...)
-		done, err := r.order(Order{Sockets: sockets, Firms: toldFirms, Tiers: tiers})
+		done, err := r.execute(Order{Sockets: sockets, Firms: planChangeFirms, Tiers: tiers})
 		if err != nil {
 			return err
 		}
-		if err := r.orderPoint("distribution", "/change", told, n, done); err != nil {
+		if err := r.recordOrder("distribution", "/change", againstLimiters, n, done); err != nil {
 			return err
 		}
-		r.say("a change of plans that names %d firms is with %d limiters after %.0f ms", toldFirms, n, 1000*done.Took.Seconds())
-		if done, err = r.order(Order{Sockets: sockets}); err != nil {
+		r.say("a change of plans that names %d firms is with %d limiters after %.0f ms", planChangeFirms, n, 1000*done.Elapsed.Seconds())
+		if done, err = r.execute(Order{Sockets: sockets}); err != nil {
 			return err
 		}
-		if err := r.orderPoint("tools", "/look", told, n, done); err != nil {
+		if err := r.recordOrder("tools", "/look", againstLimiters, n, done); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (r *run) order(o Order) (done Done, err error) {
-	err = r.f.call(r.operators, "Role.Do", o, &done)
+func (r *run) execute(o Order) (done OrderResult, err error) {
+	err = r.group.call(r.operatorProcess, "Role.Execute", o, &done)
 	return done, err
 }
 
-func (r *run) orderPoint(role, per, against string, size int, done Done) error {
-	if err := r.f.call(r.operators, "Peer.Collect", 0, new(int)); err != nil {
+func (r *run) recordOrder(role, per, against string, size int, done OrderResult) error {
+	if err := r.group.call(r.operatorProcess, "Peer.Collect", 0, new(int)); err != nil {
 		return err
 	}
 	n := float64(size)
-	r.ledger.note(role, "memory", against, n, resident(r.operators.pid))
-	r.ledger.notePer("seconds"+per, role, "processor", against, n, done.Processor.Seconds())
-	r.ledger.notePer("1"+per, role, "messages", against, n, float64(done.Messages))
-	r.ledger.notePer("bytes"+per, role, "bytes", against, n, float64(done.Bytes))
+	r.measurements.add(role, "memory", against, n, residentBytes(r.operatorProcess.pid))
+	r.measurements.addWithUnit("seconds"+per, role, "processor", against, n, done.Processor.Seconds())
+	r.measurements.addWithUnit("1"+per, role, "messages", against, n, float64(done.Messages))
+	r.measurements.addWithUnit("bytes"+per, role, "bytes", against, n, float64(done.Bytes))
 	return nil
 }
 
 // clustersDone is what a limiter used that follows a file of clusters, by their number.
-type clustersDone struct {
+type clusterResult struct {
 	points [][3]float64 // clusters, memory, seconds for a change
 	err    error
 }
 
 // followClusters has a real limiter of its own follow a file of clusters that grows.
-func (r *run) followClusters() (done clustersDone) {
+func (r *run) followClusters() (result clusterResult) {
 	dir := filepath.Join(r.dir, "services")
-	if done.err = os.Mkdir(dir, 0o700); done.err != nil {
-		return done
+	if result.err = os.Mkdir(dir, 0o700); result.err != nil {
+		return result
 	}
 	file := filepath.Join(dir, "clusters.json")
-	sizes := r.Sizes.Services
-	if done.err = writeClusters(file, sizes[0]); done.err != nil {
-		return done
+	sizes := r.Sizes.Clusters
+	if result.err = writeClusters(file, sizes[0]); result.err != nil {
+		return result
 	}
-	l, err := r.followed(dir, file)
+	l, err := r.startClusterLimiter(dir, file)
 	if err != nil {
-		done.err = err
-		return done
+		result.err = err
+		return result
 	}
-	if done.err = r.f.wait(clusterIdle); done.err != nil {
-		return done
+	if result.err = r.group.sleep(clusterIdleTime); result.err != nil {
+		return result
 	}
-	from := processor(l.pid)
-	if done.err = r.f.wait(clusterIdle); done.err != nil {
-		return done
+	processorBefore := processorTime(l.pid)
+	if result.err = r.group.sleep(clusterIdleTime); result.err != nil {
+		return result
 	}
-	idle := (processor(l.pid) - from).Seconds() / clusterIdle.Seconds()
+	idle := (processorTime(l.pid) - processorBefore).Seconds() / clusterIdleTime.Seconds()
 	for _, n := range sizes {
-		used := processor(l.pid)
-		if done.err = writeClusters(file, n); done.err != nil {
-			return done
+		processorBefore := processorTime(l.pid)
+		if result.err = writeClusters(file, n); result.err != nil {
+			return result
 		}
-		if done.err = r.f.wait(clusterSeen); done.err != nil {
-			return done
+		if result.err = r.group.sleep(clusterReloadWait); result.err != nil {
+			return result
 		}
-		done.points = append(done.points, [3]float64{float64(n), resident(l.pid), max(0, (processor(l.pid)-used).Seconds()-idle*clusterSeen.Seconds())})
+		result.points = append(result.points, [3]float64{float64(n), residentBytes(l.pid), max(0, (processorTime(l.pid)-processorBefore).Seconds()-idle*clusterReloadWait.Seconds())})
 	}
-	if text := l.said.all(); strings.Contains(text, "cannot be used") {
-		done.err = fmt.Errorf("the limiter cannot use its clusters: %.300s", l.said.last())
+	if text := l.stderr.String(); strings.Contains(text, "cannot be used") {
+		result.err = fmt.Errorf("the limiter cannot use its clusters: %.300s", l.stderr.lastLine())
 	}
-	r.f.kill(l.process)
-	return done
+	r.group.kill(l.process)
+	return result
 }
 
-func (r *run) followed(dir, file string) (*limiter, error) {
+func (r *run) startClusterLimiter(dir, file string) (*limiter, error) {
 	listen, err := loopback.AnyPort()
 	if err != nil {
 		return nil, err
 	}
-	script := fmt.Sprintf(`bramblefall(ratelimit = ratelimit(listen = %q, others = others(cluster = %q, clusters = %q, endpoints = %q)))`+"\n", listen, clusterNamed, file, file)
-	return r.f.limiter(r.binary, filepath.Join(dir, "limiter"), "limiter-services", map[string]any{"name": "services", "listen": listen,
-		"seed": "1", "limits": map[string]any{"cores": 1.0, "memory_mb": 512, "sockets": 1024}, "settings": r.Sizes.settings(1, 0)}, script)
+	script := fmt.Sprintf(`bramblefall(ratelimit = ratelimit(listen = %q, others = others(cluster = %q, clusters = %q, endpoints = %q)))`+"\n", listen, limiterCluster, file, file)
+	return r.group.startLimiter(r.binary, filepath.Join(dir, "limiter"), "limiter-services", map[string]any{"name": "services", "listen": listen,
+		"seed": "1", "limits": map[string]any{"cores": 1.0, "memory_mb": 512, "sockets": 1024}, "settings": r.Sizes.limiterSettings(1, 0)}, script)
 }
 
 // writeClusters puts a file of so many clusters in the place of the one before.
@@ -196,7 +196,7 @@
 	var list []object
 	for k := range n {
 		var ends []object
-		for e := range ofEach {
+		for e := range endpointsPerCluster {
 			ends = append(ends, object{"endpoint": object{"address": object{"socket_address": object{"address": fmt.Sprintf("127.%d.%d.%d", 1+k>>8, k&255, 1+e), "port_value": 9}}}})
 		}
 		list = append(list, object{"@type": clusterType, "name": fmt.Sprintf("c-%d", k), "type": "STATIC",
@@ -213,56 +213,56 @@
 }
 
 // services takes in what the limiter that follows clusters used.
-func (r *run) services() error {
-	r.ledger.held["services"] = fmt.Sprintf("Envoy's clusters in a file, %d endpoints each, of which the limiter uses one; messages do not arise", ofEach)
-	done := <-r.clusters
-	if done.err != nil {
-		return done.err
+func (r *run) collectClusters() error {
+	r.measurements.heldConstant["services"] = fmt.Sprintf("Envoy's clusters in a file, %d endpoints each, of which the limiter uses one; messages do not arise", endpointsPerCluster)
+	result := <-r.clusterResults
+	if result.err != nil {
+		return result.err
 	}
-	for _, p := range done.points {
-		r.ledger.note("limiter", "memory", "services", p[0], p[1])
-		r.ledger.notePer("seconds/change", "limiter", "processor", "services", p[0], p[2])
+	for _, p := range result.points {
+		r.measurements.add("limiter", "memory", "services", p[0], p[1])
+		r.measurements.addWithUnit("seconds/change", "limiter", "processor", "services", p[0], p[2])
 	}
 	return nil
 }
 
 // fresh starts a limiter beside the longest list and sees whether it takes it in at the first ask.
-func (r *run) fresh() error {
-	before, err := r.sample()
+func (r *run) startBesideLongestList() error {
+	before, err := r.takeSample()
 	if err != nil {
 		return err
 	}
-	l, err := r.limiter(len(r.real), r.believed(), "") // it asks where the first one does, which has its list
+	l, err := r.startLimiter(len(r.realLimiters), r.configuredFleetSize(), "") // it asks where the first one does, which has its list
 	if err != nil {
 		return err
 	}
-	defer r.f.kill(l.process)
-	if err := r.f.wait(freshAsks); err != nil {
+	defer r.group.kill(l.process)
+	if err := r.group.sleep(freshLimiterTime); err != nil {
 		return err
 	}
-	after, err := r.sample()
+	after, err := r.takeSample()
 	if err != nil {
 		return err
 	}
 	var size [2]int
-	if err := r.f.call(r.discovery, "Role.Size", 0, &size); err != nil {
+	if err := r.group.call(r.discoveryProcess, "Role.ListSize", 0, &size); err != nil {
 		return err
 	}
-	told := after.discovery.Real[0].Wholes - before.discovery.Real[0].Wholes
-	r.say("a limiter that starts beside %d servers asked for the whole list, a line of %d bytes, %d times in %s", size[1], size[0], told, freshAsks)
-	if told != 1 {
+	wholeLists := after.discovery.Real[0].WholeLists - before.discovery.Real[0].WholeLists
+	r.say("a limiter that starts beside %d servers asked for the whole list, a line of %d bytes, %d times in %s", size[1], size[0], wholeLists, freshLimiterTime)
+	if wholeLists != 1 {
 		why := "its log does not say why"
-		if strings.Contains(l.said.all(), listTooLong) {
-			why = "its log says: " + listTooLong
+		if strings.Contains(l.stderr.String(), listTooLongText) {
+			why = "its log says: " + listTooLongText
 		}
 		r.figures.Missing = append(r.figures.Missing, Missing{"limiter", "start", "servers", fmt.Sprintf(
-			"a limiter that starts beside %d servers does not take the whole list, one line of %d bytes, at the first ask: it asked %d times in %s; %s. Those measured here grew into it by changes", size[1], size[0], told, freshAsks, why)})
+			"a limiter that starts beside %d servers does not take the whole list, one line of %d bytes, at the first ask: it asked %d times in %s; %s. Those measured here grew into it by changes", size[1], size[0], wholeLists, freshLimiterTime, why)})
 	}
 	return nil
 }
 
 // missing is what today's program has no notion of.
-func missing() []Missing {
+func knownMissing() []Missing {
 	return []Missing{
 		{"limiter", "all", "routes", "the program has no routes: what it is told of a request is its firm, tier and class"},
 		{"discovery", "all", "services", "the list has no services: all servers are one group; a limiter's other group is read from a file, which is measured"},
--- a/internal/scale/window.go
+++ b/internal/scale/window.go
@@ -7,52 +7,52 @@
 
 // sample is what all roles have used at a moment.
 type sample struct {
-	at                time.Duration
-	processor         map[string]time.Duration
-	real              []time.Duration
-	discovery, counts Sides
+	at                 time.Duration
+	processor          map[string]time.Duration
+	realProcessor      []time.Duration
+	discovery, counter GroupTraffic
 }
 
-func (r *run) sample() (s sample, err error) {
-	if err := r.f.call(r.discovery, "Role.Traffic", 0, &s.discovery); err != nil {
+func (r *run) takeSample() (s sample, err error) {
+	if err := r.group.call(r.discoveryProcess, "Role.Traffic", 0, &s.discovery); err != nil {
 		return s, err
 	}
-	if err := r.f.call(r.counter, "Role.Traffic", 0, &s.counts); err != nil {
+	if err := r.group.call(r.counterProcess, "Role.Traffic", 0, &s.counter); err != nil {
 		return s, err
 	}
 	s.at = now()
-	s.processor = map[string]time.Duration{"discovery": processor(r.discovery.pid), "counter": processor(r.counter.pid)}
-	for _, p := range r.hollow {
-		s.processor["hollow"] += processor(p.pid)
+	s.processor = map[string]time.Duration{"discovery": processorTime(r.discoveryProcess.pid), "counter": processorTime(r.counterProcess.pid)}
+	for _, p := range r.hollowProcesses {
+		s.processor["hollow"] += processorTime(p.pid)
 	}
-	for _, l := range r.real {
-		s.real = append(s.real, processor(l.pid))
+	for _, l := range r.realLimiters {
+		s.realProcessor = append(s.realProcessor, processorTime(l.pid))
 	}
 	return s, nil
 }
 
 // rates is what was used a second between two samples.
 type rates struct {
-	seconds                    float64
-	processor                  map[string]float64
-	limiter                    []float64  // processor
-	discovery, counter         [2]float64 // messages, bytes
-	limiterTraffic             [][2]float64
-	discoveryTold, counterTold Sides
+	seconds                          float64
+	processor                        map[string]float64
+	limiterProcessor                 []float64  // processor
+	discoveryRates, counterRates     [2]float64 // messages, bytes
+	limiterRates                     [][2]float64
+	discoveryTraffic, counterTraffic GroupTraffic
 }
 
-func between(a, b sample) (x rates) {
+func ratesBetween(a, b sample) (x rates) {
 	s := (b.at - a.at).Seconds()
 	x.seconds, x.processor = s, map[string]float64{}
 	for role := range b.processor {
 		x.processor[role] = (b.processor[role] - a.processor[role]).Seconds() / s
 	}
-	x.discoveryTold, x.counterTold = b.discovery.less(a.discovery), b.counts.less(a.counts)
+	x.discoveryTraffic, x.counterTraffic = b.discovery.minus(a.discovery), b.counter.minus(a.counter)
 	per := func(t Traffic) [2]float64 { return [2]float64{float64(t.Messages) / s, float64(t.Bytes) / s} }
-	x.discovery, x.counter = per(x.discoveryTold.all()), per(x.counterTold.all())
-	for k := range b.real {
-		x.limiter = append(x.limiter, (b.real[k]-a.real[k]).Seconds()/s)
-		x.limiterTraffic = append(x.limiterTraffic, per(x.discoveryTold.Real[k].and(x.counterTold.Real[k])))
+	x.discoveryRates, x.counterRates = per(x.discoveryTraffic.total()), per(x.counterTraffic.total())
+	for k := range b.realProcessor {
+		x.limiterProcessor = append(x.limiterProcessor, (b.realProcessor[k]-a.realProcessor[k]).Seconds()/s)
+		x.limiterRates = append(x.limiterRates, per(x.discoveryTraffic.Real[k].plus(x.counterTraffic.Real[k])))
 	}
 	return x
 }
@@ -66,123 +66,123 @@
 }
 
 // window lets a load and a steady rate of changes run for a window and measures what they cost.
-func (r *run) window(lasts time.Duration, targets []LoadTarget, steady []Steady) (x rates, got Loaded, err error) {
+func (r *run) measureWindow(duration time.Duration, targets []LoadTarget, schedules []ChangeSchedule) (x rates, load LoadResult, err error) {
 	var wg sync.WaitGroup
-	var first onceErr
+	var first firstError
 	if len(targets) > 0 {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
 			// A bit longer than the window at its beginning: connections are up when it starts.
-			first.set(r.f.call(r.load, "Role.Run", LoadRun{targets, r.Sizes.Settle, lasts + r.Sizes.Settle, r.Seed}, &got))
+			first.set(r.group.call(r.loadProcess, "Role.Run", LoadRun{targets, r.Sizes.Settle, duration + r.Sizes.Settle, r.Seed}, &load))
 		}()
-		if err := r.f.wait(r.Sizes.Settle); err != nil {
-			return x, got, err
+		if err := r.group.sleep(r.Sizes.Settle); err != nil {
+			return x, load, err
 		}
 	}
-	a, err := r.sample()
+	a, err := r.takeSample()
 	if err != nil {
-		return x, got, err
-	}
-	var told []Steadied
-	for _, s := range steady {
-		var t Steadied
-		s.Among = r.listed / 2
-		if err := r.f.call(r.discovery, "Role.Steady", s, &t); err != nil {
-			return x, got, err
+		return x, load, err
+	}
+	var results []ScheduleResult
+	for _, s := range schedules {
+		var t ScheduleResult
+		s.ServersChanged = r.listedServers / 2
+		if err := r.group.call(r.discoveryProcess, "Role.RunSchedule", s, &t); err != nil {
+			return x, load, err
 		}
-		told = append(told, t)
+		results = append(results, t)
 	}
-	if left := lasts - (now() - a.at); left > 0 {
-		if err := r.f.wait(left); err != nil {
-			return x, got, err
+	if left := duration - (now() - a.at); left > 0 {
+		if err := r.group.sleep(left); err != nil {
+			return x, load, err
 		}
 	}
-	b, err := r.sample()
+	b, err := r.takeSample()
 	if err != nil {
-		return x, got, err
+		return x, load, err
 	}
 	wg.Wait()
 	if first.err != nil {
-		return x, got, first.err
+		return x, load, first.err
 	}
-	for _, t := range told {
+	for _, t := range results {
 		if t.Changes > 0 {
-			r.version = max(r.version, t.Last.Version)
+			r.lastVersion = max(r.lastVersion, t.Last.Version)
 		}
 	}
-	r.lost, r.refused, r.sent = r.lost+got.Lost, r.refused+got.Refused, r.sent+got.Sent
-	if r.lostWhy == "" {
-		r.lostWhy = got.Why
+	r.lostRequests, r.refusedRequests, r.sentRequests = r.lostRequests+load.Lost, r.refusedRequests+load.Refused, r.sentRequests+load.Sent
+	if r.lostReason == "" {
+		r.lostReason = load.LostReason
 	}
-	return between(a, b), got, nil
+	return ratesBetween(a, b), load, nil
 }
 
 // usual is the load of firms that stay within their quotas.
-func (r *run) usual(rate float64) (list []LoadTarget) {
-	for k, l := range r.real {
-		list = append(list, LoadTarget{Addr: l.addr, PerSecond: rate, Firms: max(int(firmsPerRate*rate), 1), FirstFirm: uint64(k+1) << 20, Spread: firmSpread, First: k, Tier: tiers[0].Name})
+func (r *run) regularLoad(rate float64) (list []LoadTarget) {
+	for k, l := range r.realLimiters {
+		list = append(list, LoadTarget{Addr: l.addr, RequestsPerSecond: rate, Firms: max(int(firmsPerRequestRate*rate), 1), FirstFirmID: uint64(k+1) << 20, LimitersPerFirm: limitersPerFirm, FirstLimiter: k, Tier: tiers[0].Name})
 	}
 	return list
 }
 
-func (r *run) straight(rate float64) (list []LoadTarget) {
-	for k := range r.real {
-		list = append(list, LoadTarget{Addr: r.serverAddrs[k%len(r.serverAddrs)], PerSecond: rate, Firms: 1, Spread: 1, Tier: tiers[0].Name})
+func (r *run) directLoad(rate float64) (list []LoadTarget) {
+	for k := range r.realLimiters {
+		list = append(list, LoadTarget{Addr: r.serverAddrs[k%len(r.serverAddrs)], RequestsPerSecond: rate, Firms: 1, LimitersPerFirm: 1, Tier: tiers[0].Name})
 	}
 	return list
 }
 
-func (r *run) added(rate float64, control bool, got Loaded) {
-	r.figures.Added = append(r.figures.Added, AddedTime{PerSecond: rate, Control: control, P50: got.P50, P99: got.P99, Requests: got.Timed,
-		Limiters: r.hollows() + len(r.real), Servers: r.listed, Refused: got.Refused, Lost: got.Lost})
-	r.say("%g requests a second of each limiter: 99 in 100 wait %.2f ms longer (half: %.2f); %d refused, %d lost", rate, got.P99, got.P50, got.Refused, got.Lost)
+func (r *run) recordAddedTime(rate float64, control bool, got LoadResult) {
+	r.figures.Added = append(r.figures.Added, AddedTime{PerSecond: rate, Control: control, P50: got.P50MS, P99: got.P99MS, Requests: got.Timed,
+		Limiters: r.hollowLimiterCount() + len(r.realLimiters), Servers: r.listedServers, Refused: got.Refused, Lost: got.Lost})
+	r.say("%g requests a second of each limiter: 99 in 100 wait %.2f ms longer (half: %.2f); %d refused, %d lost", rate, got.P99MS, got.P50MS, got.Refused, got.Lost)
 }
 
 // limiterPoint notes what a real limiter used at a size.
-func (r *run) limiterPoint(against string, size float64, x rates) {
+func (r *run) recordLimiters(against string, size float64, x rates) {
 	var memory, messages, bytes []float64
-	for k, l := range r.real {
-		memory = append(memory, resident(l.pid))
-		messages, bytes = append(messages, x.limiterTraffic[k][0]), append(bytes, x.limiterTraffic[k][1])
-	}
-	r.ledger.note("limiter", "memory", against, size, mean(memory))
-	r.ledger.note("limiter", "processor", against, size, mean(x.limiter))
-	r.ledger.note("limiter", "messages", against, size, mean(messages))
-	r.ledger.note("limiter", "bytes", against, size, mean(bytes))
+	for k, l := range r.realLimiters {
+		memory = append(memory, residentBytes(l.pid))
+		messages, bytes = append(messages, x.limiterRates[k][0]), append(bytes, x.limiterRates[k][1])
+	}
+	r.measurements.add("limiter", "memory", against, size, mean(memory))
+	r.measurements.add("limiter", "processor", against, size, mean(x.limiterProcessor))
+	r.measurements.add("limiter", "messages", against, size, mean(messages))
+	r.measurements.add("limiter", "bytes", against, size, mean(bytes))
 }
 
 // rolePoint notes what control roles used at a size.
-func (r *run) rolePoint(against string, size float64, x rates, roles ...string) {
+func (r *run) recordRoles(against string, size float64, x rates, roles ...string) {
 	for _, role := range roles {
-		p, t := r.discovery, x.discovery
+		p, t := r.discoveryProcess, x.discoveryRates
 		if role == counterRole {
-			p, t = r.counter, x.counter
+			p, t = r.counterProcess, x.counterRates
 		}
-		r.ledger.note(role, "memory", against, size, resident(p.pid))
-		r.ledger.note(role, "processor", against, size, x.processor[role])
-		r.ledger.note(role, "messages", against, size, t[0])
-		r.ledger.note(role, "bytes", against, size, t[1])
+		r.measurements.add(role, "memory", against, size, residentBytes(p.pid))
+		r.measurements.add(role, "processor", against, size, x.processor[role])
+		r.measurements.add(role, "messages", against, size, t[0])
+		r.measurements.add(role, "bytes", against, size, t[1])
 	}
 }
 
-func (r *run) collect() error {
-	for _, p := range append([]*process{r.discovery, r.counter}, r.hollow...) {
-		if err := r.f.call(p, "Peer.Collect", 0, new(int)); err != nil {
+func (r *run) collectGarbage() error {
+	for _, p := range append([]*process{r.discoveryProcess, r.counterProcess}, r.hollowProcesses...) {
+		if err := r.group.call(p, "Peer.Collect", 0, new(int)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (r *run) hollowPoint(against string, size float64, x rates) {
+func (r *run) recordHollow(against string, size float64, x rates) {
 	memory := 0.0
-	for _, p := range r.hollow {
-		memory += resident(p.pid)
-	}
-	r.ledger.note("hollow", "memory", against, size, memory)
-	r.ledger.note("hollow", "processor", against, size, x.processor["hollow"])
-	d, c := x.discoveryTold.Hollow, x.counterTold.Hollow
-	r.ledger.note("hollow", "messages", against, size, float64(d.Messages+c.Messages)/x.seconds)
-	r.ledger.note("hollow", "bytes", against, size, float64(d.Bytes+c.Bytes)/x.seconds)
+	for _, p := range r.hollowProcesses {
+		memory += residentBytes(p.pid)
+	}
+	r.measurements.add("hollow", "memory", against, size, memory)
+	r.measurements.add("hollow", "processor", against, size, x.processor["hollow"])
+	d, c := x.discoveryTraffic.Hollow, x.counterTraffic.Hollow
+	r.measurements.add("hollow", "messages", against, size, float64(d.Messages+c.Messages)/x.seconds)
+	r.measurements.add("hollow", "bytes", against, size, float64(d.Bytes+c.Bytes)/x.seconds)
 }
