--- a/internal/scale/bars.go
+++ b/internal/scale/bars.go
@@ -7,13 +7,14 @@
 )
 
 const (
-	maxRelativeSlopeError = 0.25 // of a slope, relative
+	maxRelativeSlopeError = 0.25 // standard error over the slope
 	maxLostRequests       = 0
 	notHeardNote          = "had not heard of it in time"
-	maxChangeSeconds      = 3.0 // seconds until a change is in force everywhere
+	maxChangeSeconds      = 3.0 // until the last hollow limiter has a change
 )
 
-// sure are the slopes that have to be there, positive and known to errorBound.
+// requiredSlopes are the slopes that every run has to measure, that have to be positive and whose standard error must not
+// exceed maxRelativeSlopeError.
 var requiredSlopes = []slopeKey{
 	{"hollow", "memory", "limiters"},
 	{"hollow", "messages", "limiters"},
@@ -37,7 +38,7 @@
 	r.figures.Bars = append(r.figures.Bars, Bar{name, holds, fmt.Sprintf(format, args...)})
 }
 
-// bars holds the figures of a whole run against what they have to be.
+// checkBars checks the figures of a complete run against their bounds and records a Bar for each.
 func (r *run) checkBars() {
 	f := r.figures
 	r.addBar(f.Hollow == r.Sizes.HollowLimiters[len(r.Sizes.HollowLimiters)-1], "all hollow limiters ran", "%d", f.Hollow)
@@ -76,6 +77,7 @@
 	r.addBar(controlMeasurements == 3, "added time is measured with control", "%d times", controlMeasurements)
 }
 
+// findSlope returns the slope of a key, and whether there is one.
 func findSlope(list []Slope, key slopeKey) (Slope, bool) {
 	for _, s := range list {
 		if s.Role == key.role && s.What == key.quantity && s.Against == key.against {
@@ -85,7 +87,7 @@
 	return Slope{}, false
 }
 
-// Broken names the bars that do not hold.
+// Broken lists the bars that do not hold, with what was measured.
 func (f *Figures) Broken() (list []string) {
 	for _, b := range f.Bars {
 		if !b.Holds {
@@ -95,7 +97,7 @@
 	return list
 }
 
-// Main is the main figure in a line.
+// Main sums up the run's main figures in one line.
 func (f *Figures) Main() string {
 	worst, memory, messages := 0.0, Slope{}, Slope{}
 	for _, a := range f.Added {
--- a/internal/scale/counter.go
+++ b/internal/scale/counter.go
@@ -12,28 +12,30 @@
 const (
 	counterShards  = 64
 	maxTTLMS       = 60_000
-	idleTimeout    = 10 * time.Second // a connection that is unused for so long is closed, as the platform's counter does
-	callsPerExpiry = 4096             // calls of a shard between two looks for names whose life is up
+	idleTimeout    = 10 * time.Second // an idle connection is closed after it, as by the platform's counter
+	callsPerExpiry = 4096             // calls of a shard between two removals of its expired totals
 )
 
-// Counter is the stand-in for the quota counter of a large fleet. Names are forgotten when their life is up.
+// Counter is the role of the stand-in quota counter of a large fleet. Totals are removed some time after they have expired.
 type Counter struct {
 	meters groupMeters
 	shards [counterShards]shard
 }
 
+// shard holds a part of the totals under a lock of its own.
 type shard struct {
 	mu     sync.Mutex
 	totals map[string]total
 	calls  int
 }
 
+// total is the sum counted under a name.
 type total struct {
 	sum       float64
-	expiresAt time.Duration
+	expiresAt time.Duration // by now()
 }
 
-// Start begins to serve hollow limiters and so many real ones.
+// Start begins to serve hollow limiters and the given number of real ones.
 func (c *Counter) Start(real int, out *Addresses) (err error) {
 	c.meters = make(groupMeters, real+1)
 	for k := range c.shards {
@@ -43,12 +45,13 @@
 	return err
 }
 
-// Traffic tells what was counted so far. Changes are calls answered, Beats are pings.
+// Traffic returns the traffic so far. Its Changes are the calls that were answered, its Heartbeats the pings.
 func (c *Counter) Traffic(_ int, out *GroupTraffic) error {
 	*out = c.meters.read()
 	return nil
 }
 
+// serve answers the calls on one connection of a group of limiters (0: hollow ones, k: the k-th real one).
 func (c *Counter) serve(raw net.Conn, group int) {
 	m := &c.meters[group]
 	conn := countingConn{raw, m}
@@ -79,6 +82,7 @@
 	}
 }
 
+// answer carries out one call and appends its reply to out.
 func (c *Counter) answer(out, line []byte, m *meter) []byte {
 	line = bytes.TrimRight(line, "\r\n")
 	if string(line) == "ping" {
--- a/internal/scale/family.go
+++ b/internal/scale/family.go
@@ -22,35 +22,36 @@
 
 const (
 	startTimeout   = 20 * time.Second
-	maxStderrBytes = 64 << 10 // bytes kept of what a process writes to standard error
+	maxStderrBytes = 64 << 10 // kept of each process
 )
 
-// family starts processes and ends them all, by their ids. One that ends by itself ends the run.
+// processGroup starts the processes of a run and ends all of them, each by its process id. A process that exits on its own
+// cancels the run.
 type processGroup struct {
 	ctx    context.Context
 	cancel context.CancelCauseFunc
 
-	starts    chan func()
+	starts    chan func() // run one after the other on the thread that starts all children
 	mu        sync.Mutex
 	processes []*process
-	closed    bool
+	closed    bool // no more processes may be started
 }
 
 type process struct {
 	name         string
 	cmd          *exec.Cmd
-	client       *rpc.Client // nil: a real limiter
+	client       *rpc.Client // nil for a real limiter, which takes no calls of the rig
 	pid          int
 	exited       chan struct{}
-	exitExpected atomic.Bool // that it ends
+	exitExpected atomic.Bool // set before the rig kills it
 	stderr       outputTail
 }
 
-// said keeps the last that a process wrote.
+// outputTail keeps the most recent output of a process, at most maxStderrBytes.
 type outputTail struct {
 	mu     sync.Mutex
 	text   []byte
-	onLine func(line string)
+	onLine func(line string) // called for each line; nil: nothing is called
 }
 
 func (s *outputTail) add(line string) {
@@ -80,7 +81,8 @@
 	group := &processGroup{starts: make(chan func())}
 	group.ctx, group.cancel = context.WithCancelCause(ctx)
 	go func() {
-		// The kernel ends a child when the thread ends that started it, so all are started by one that stays.
+		// Pdeathsig kills a child when the thread that started it exits, not only when the process does. All children are
+		// therefore started on this one locked thread, which lives as long as the group.
 		runtime.LockOSThread()
 		for start := range group.starts {
 			start()
@@ -89,7 +91,8 @@
 	return group
 }
 
-// start starts a process that ends with the rig however that ends, and apart from its terminal's signals.
+// start starts a process that the kernel kills when the rig ends, however that ends. The process has a process group of its
+// own, so that the terminal's signals reach only the rig.
 func (f *processGroup) start(name string, cmd *exec.Cmd, onLine func(string)) (*process, error) {
 	p := &process{name: name, cmd: cmd, exited: make(chan struct{})}
 	p.stderr.onLine = onLine
@@ -130,7 +133,7 @@
 	return p, nil
 }
 
-// child starts a process of the rig's own in a role.
+// startChild starts one of the rig's own processes in a role and connects to it by RPC over its standard input and output.
 func (f *processGroup) startChild(name, role string, command func(role string) *exec.Cmd) (*process, error) {
 	cmd := command(role)
 	in, err := cmd.StdinPipe()
@@ -149,18 +152,19 @@
 	return p, nil
 }
 
+// stdioPipes joins a child's standard output and input into one RPC connection.
 type stdioPipes struct {
 	io.Reader
 	io.WriteCloser
 }
 
-// call makes a call of a child, and gives up when the run ends.
+// call calls a method of a child process and returns early when the run is cancelled.
 func (f *processGroup) call(p *process, method string, args, out any) error {
 	c := p.client.Go(method, args, out, make(chan *rpc.Call, 1))
 	select {
 	case <-c.Done:
 		if c.Error != nil {
-			select { // the end of a process says more than the call that it ended
+			select { // the exit of the process, where it is noticed shortly after, explains more than the failed call
 			case <-f.ctx.Done():
 				return context.Cause(f.ctx)
 			case <-time.After(100 * time.Millisecond):
@@ -173,7 +177,7 @@
 	}
 }
 
-// wait waits unless the run ends.
+// sleep waits for d, or until the run is cancelled.
 func (f *processGroup) sleep(d time.Duration) error {
 	select {
 	case <-time.After(d):
@@ -183,14 +187,14 @@
 	}
 }
 
-// kill ends one process and waits for its end.
+// kill kills one process and waits until it has exited.
 func (f *processGroup) kill(p *process) {
 	p.exitExpected.Store(true)
 	_ = p.cmd.Process.Kill()
 	<-p.exited
 }
 
-// close ends all.
+// close kills all processes, waits until they have exited and cancels the run.
 func (f *processGroup) close() {
 	f.mu.Lock()
 	f.closed = true
@@ -207,13 +211,14 @@
 	close(f.starts)
 }
 
-// limiter is a real one.
+// limiter is a process that runs the real program.
 type limiter struct {
 	*process
-	addr, socket string
+	addr, socket string // where it serves requests, and the path of its admin socket
 }
 
-// limiter starts the real program and waits until it serves.
+// startLimiter writes a limiter's configuration and operator script into dir, starts the real program and waits until its log
+// says that it serves.
 func (f *processGroup) startLimiter(binary, dir, name string, config map[string]any, script string) (*limiter, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
@@ -246,8 +251,9 @@
 	case <-f.ctx.Done():
 		return nil, context.Cause(f.ctx)
 	case <-time.After(startTimeout):
-		return nil, fmt.Errorf("%s does not serve within %s: %.200s", name, startTimeout, p.stderr.lastLine())
+		return nil, fmt.Errorf("%s is not serving after %s; its last line: %.200s", name, startTimeout, p.stderr.lastLine())
 	}
 }
 
+// indexedName names the k-th of several processes of the same kind.
 func indexedName(prefix string, k int) string { return prefix + "-" + strconv.Itoa(k) }
--- a/internal/scale/figures.go
+++ b/internal/scale/figures.go
@@ -1,18 +1,20 @@
-// Package scale measures what the control side of a large fleet costs: hollow limiters beside real ones, slopes over sizes,
-// moments. Nothing of it is in the limiter.
+// Package scale measures what the control side of a large fleet costs: discovery, the quota counter and the distribution of
+// plans. It runs hollow limiters, which only follow discovery and call the counter, beside a few real ones, and measures how
+// costs grow with sizes (slopes) and how long single events take to reach all limiters (moments). No part of the package is
+// built into the limiter.
 package scale
 
-// Figures is what a run of the rig measured. Its JSON is what docs/CAPACITY.md is checked from.
+// Figures is what a run of the rig measured. docs/CAPACITY.md is checked against its JSON.
 type Figures struct {
-	Version  int          `json:"version"` // of this form: 1
+	Version  int          `json:"version"` // of this format: 1
 	Seed     uint64       `json:"seed"`
 	Quick    bool         `json:"quick"`
-	Partial  string       `json:"partial,omitempty"` // why the run ended before its end; "": it is whole
+	Partial  string       `json:"partial,omitempty"` // why the run ended early; "": the figures are complete
 	Cores    int          `json:"cores"`
 	MemoryMB int          `json:"memory_mb"` // the machine's
-	Hollow   int          `json:"hollow"`    // the most hollow limiters at once
+	Hollow   int          `json:"hollow"`    // the most hollow limiters that ran at once
 	Real     int          `json:"real"`      // real limiters
-	Seconds  float64      `json:"seconds"`   // that the run took
+	Seconds  float64      `json:"seconds"`   // duration of the run
 	Slopes   []Slope      `json:"slopes"`
 	Quota    []QuotaError `json:"quota"`
 	Moments  []Moment     `json:"moments"`
@@ -21,75 +23,77 @@
 	Bars     []Bar        `json:"bars"`
 }
 
-// Slope is a straight line through what was measured at several sizes.
+// Slope is the straight line fitted through a quantity measured at several sizes.
 type Slope struct {
 	Role      string    `json:"role"`    // limiter, hollow (all of them together), counter, discovery, distribution or tools
-	What      string    `json:"what"`    // memory, processor, messages, bytes; list: the whole list's line
-	Unit      string    `json:"unit"`    // bytes, seconds/s, 1/s, bytes/s; /change or /look instead of /s where it is for one of these
-	Against   string    `json:"against"` // limiters, servers, services, tenants_known, tenants_active, routes, changes, requests
+	What      string    `json:"what"`    // the quantity: memory, processor, messages, bytes, or list, the length of the whole list's line
+	Unit      string    `json:"unit"`    // bytes, seconds/s, 1/s, bytes/s; with /change or /look instead of /s where it is the cost of one of these
+	Against   string    `json:"against"` // the size: limiters, servers, services, tenants_known, tenants_active, routes, changes, requests
 	Sizes     []float64 `json:"sizes"`
 	Values    []float64 `json:"values"`
 	Intercept float64   `json:"intercept"`
-	PerUnit   float64   `json:"per_unit"`
-	Error     float64   `json:"error"` // standard error of PerUnit
-	Held      string    `json:"held"`  // what the other sizes were
+	PerUnit   float64   `json:"per_unit"` // the slope: Unit for one more of Against
+	Error     float64   `json:"error"`    // standard error of PerUnit
+	Held      string    `json:"held"`     // what the other sizes were meanwhile, in words
 }
 
-// QuotaError is how far quotas were missed in the model, by plan.
+// QuotaError is how far quotas were missed in the model: what was sent on beyond them, and what was refused though there was
+// room. There is a row for each plan and one for all.
 type QuotaError struct {
 	Plan            string  `json:"plan"`
 	Limiters        int     `json:"limiters"`
 	Counters        int     `json:"counters"`
-	Speed           float64 `json:"speed"` // of a counter, in times the platform's; 0: unlimited
-	Beyond          float64 `json:"beyond"`
-	RefusedWithRoom float64 `json:"refused_with_room"` // share of the tries refused with half of the quota unused
-	CallsPerRequest float64 `json:"calls_per_request"`
-	Unanswered      float64 `json:"unanswered"` // share of the calls without an answer in time, the limit of the settings
+	Speed           float64 `json:"speed"`             // of a counter, as a multiple of the platform's; 0: unlimited
+	Beyond          float64 `json:"beyond"`            // share of the units sent on that were beyond quotas
+	RefusedWithRoom float64 `json:"refused_with_room"` // share of the tries that were refused while half of the quota was unused
+	CallsPerRequest float64 `json:"calls_per_request"` // to the counter
+	Unanswered      float64 `json:"unanswered"`        // share of the calls without an answer within the settings' timeout
 	Seeds           int     `json:"seeds"`
-	BeyondDeviation float64 `json:"spread"` // of Beyond over the seeds, standard deviation
+	BeyondDeviation float64 `json:"spread"` // standard deviation of Beyond over the seeds
 
-	Set                      string  `json:"set"`            // the load: what is held while limiters grow
-	Held                     string  `json:"held,omitempty"` // in words, in the row of all plans
-	Free                     bool    `json:"free"`           // without the module's own budget of calls
-	PerSecond                float64 `json:"per_second"`     // requests that the clients of all plans began
-	Calls                    float64 `json:"calls"`          // a second, of all limiters
-	Lost                     float64 `json:"lost"`           // share of the calls that brought nothing of use at all, turned away or too late
-	Tries                    int     `json:"tries"`          // of this plan, over the seeds
-	InsideRefusedShare       float64 `json:"inside_refused"` // share refused of the tries of requests that were inside the quota as asked for
-	RefusedWithRoomDeviation float64 `json:"room_spread"`    // of RefusedWithRoom over the seeds, standard deviation
+	Set                      string  `json:"set"`            // name of the load, which stays the same while limiters are added
+	Held                     string  `json:"held,omitempty"` // the load in words; only in the row of all plans
+	Free                     bool    `json:"free"`           // true: the module's own budget of calls is lifted
+	PerSecond                float64 `json:"per_second"`     // new requests a second by the clients of all plans
+	Calls                    float64 `json:"calls"`          // to the counter a second, by all limiters
+	Lost                     float64 `json:"lost"`           // share of the calls without any usable answer: turned away, or answered too late
+	Tries                    int     `json:"tries"`          // of this plan, summed over the seeds
+	InsideRefusedShare       float64 `json:"inside_refused"` // refused share of those tries whose requests were inside the quota as asked for
+	RefusedWithRoomDeviation float64 `json:"room_spread"`    // standard deviation of RefusedWithRoom over the seeds
 }
 
-// Moment is one event that all limiters have to hear of, or to bear.
+// Moment is a single event that has to reach all limiters or that all have to withstand. The comments below are about moments
+// measured on sockets; for modelled ones Note says what P99, Last, Messages and Bytes are.
 type Moment struct {
-	Name     string  `json:"name"` // change, rack, zone, restart, regions, day
+	Name     string  `json:"name"` // change, rack, zone, restart, growth, regions, day
 	Limiters int     `json:"limiters"`
 	Servers  int     `json:"servers"`
-	P99      float64 `json:"p99_s"`
-	Last     float64 `json:"last_s"`
-	Messages float64 `json:"messages"`
-	Bytes    float64 `json:"bytes"`
-	Model    bool    `json:"model"` // in the model's time, not on sockets
+	P99      float64 `json:"p99_s"`    // seconds until 99 of 100 hollow limiters had it
+	Last     float64 `json:"last_s"`   // seconds until the last hollow limiter had it
+	Messages float64 `json:"messages"` // to and from discovery, by all limiters
+	Bytes    float64 `json:"bytes"`    // to and from discovery, by all limiters
+	Model    bool    `json:"model"`    // measured in the model's time, not on sockets
 	Note     string  `json:"note,omitempty"`
 
-	Values map[string]float64 `json:"values,omitempty"` // what else was measured, by its name
-	Cost   map[string]float64 `json:"cost,omitempty"`   // processor time: the one thing of the model that differs by run
+	Values map[string]float64 `json:"values,omitempty"` // other measurements by their names
+	Cost   map[string]float64 `json:"cost,omitempty"`   // processor times by their names: the only figures of the model that differ from run to run
 }
 
-// AddedTime is what a real limiter adds to a request.
+// AddedTime is the time that a real limiter adds to a request.
 type AddedTime struct {
 	PerSecond float64 `json:"per_second"` // requests of each real limiter
-	Control   bool    `json:"control"`    // with the control side at the target's rate
+	Control   bool    `json:"control"`    // while the list changed at the target's rate
 	P50       float64 `json:"p50_ms"`
 	P99       float64 `json:"p99_ms"`
-	Requests  int     `json:"requests"`
-	Limiters  int     `json:"limiters"`        // in all, hollow ones among them
-	Servers   int     `json:"servers"`         // listed
-	Straight  float64 `json:"straight_p99_ms"` // the same measure straight to the servers: the sockets' and the machine's part
+	Requests  int     `json:"requests"`        // whose time was measured
+	Limiters  int     `json:"limiters"`        // in all, hollow ones included
+	Servers   int     `json:"servers"`         // on the list
+	Straight  float64 `json:"straight_p99_ms"` // the same measurement without a limiter: the part of sockets and the machine
 	Refused   int     `json:"refused"`
 	Lost      int     `json:"lost"` // neither served nor refused
 }
 
-// Missing is a slope that was not measured, and why.
+// Missing is a slope that was not measured, and the reason.
 type Missing struct {
 	Role     string `json:"role"`
 	Quantity string `json:"what"`
@@ -97,9 +101,9 @@
 	Why      string `json:"why"`
 }
 
-// Bar is a bound on a run, and whether it held.
+// Bar is a bound that a run has to keep, and whether it did.
 type Bar struct {
 	Name  string `json:"name"`
 	Holds bool   `json:"holds"`
-	Was   string `json:"was"`
+	Was   string `json:"was"` // what was measured, in words
 }
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -8,8 +8,8 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// line fits a straight line by least squares and gives the standard error of its slope; with fewer than three points there
-// is none, and the error is infinite.
+// fitLine fits a straight line by least squares and returns the standard error of its slope. Fewer than three points have no
+// such error: the line is then zero and the error infinite.
 func fitLine(x, y []float64) (intercept, slope, slopeError float64) {
 	if len(x) < 3 {
 		return 0, 0, math.Inf(1)
@@ -24,19 +24,21 @@
 	return intercept, slope, math.Sqrt(squaredResiduals / float64(len(x)-2) / squaredDeviations)
 }
 
+// slopeKey identifies a slope: whose quantity was measured, and against which size.
 type slopeKey struct{ role, quantity, against string }
 
-// ledger collects what is measured at sizes.
+// measurements collects the values measured at each size.
 type measurements struct {
-	points       map[slopeKey][][2]float64
-	heldConstant map[string]string // by against
-	units        map[slopeKey]string
+	points       map[slopeKey][][2]float64 // pairs of size and value
+	heldConstant map[string]string         // by slopeKey.against: what did not vary in that sweep, in words
+	units        map[slopeKey]string       // where they differ from defaultUnits
 }
 
 func newMeasurements() *measurements {
 	return &measurements{map[slopeKey][][2]float64{}, map[string]string{}, map[slopeKey]string{}}
 }
 
+// defaultUnits are the units of quantities that are measured per second; memory is an amount.
 var defaultUnits = map[string]string{"memory": "bytes", "processor": "seconds/s", "messages": "1/s", "bytes": "bytes/s"}
 
 func (l *measurements) add(role, quantity, against string, size, value float64) {
@@ -44,13 +46,13 @@
 	l.points[key] = append(l.points[key], [2]float64{size, value})
 }
 
-// notePer is note for a value that is not for a second.
+// addWithUnit is add for a value in a unit other than the default one, such as seconds per change.
 func (l *measurements) addWithUnit(unit, role, quantity, against string, size, value float64) {
 	l.units[slopeKey{role, quantity, against}] = unit
 	l.add(role, quantity, against, size, value)
 }
 
-// slopes fits what was measured at three sizes or more.
+// slopes fits a line for each quantity that was measured at three sizes or more, in a fixed order.
 func (l *measurements) slopes() (list []Slope) {
 	for key, points := range l.points {
 		s := Slope{Role: key.role, What: key.quantity, Unit: defaultUnits[key.quantity], Against: key.against, Held: l.heldConstant[key.against]}
--- a/internal/scale/growth.go
+++ b/internal/scale/growth.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// grow brings the fleet of hollow limiters to a size, evenly over its processes, and waits until all have the list.
+// growFleet starts hollow limiters until there are as many as given, evenly over their processes, and waits until all have the
+// list.
 func (r *run) growFleet(to int) error {
 	for len(r.hollowProcesses) < hollowProcessCount {
 		p, err := r.group.startChild(indexedName(hollowRole, len(r.hollowProcesses)), hollowRole, r.Child)
@@ -11,7 +12,7 @@
 		}
 		r.hollowProcesses, r.hollowCounts = append(r.hollowProcesses, p), append(r.hollowCounts, 0)
 	}
-	for some := true; some; { // a few at once: a machine that thousands share does not start them all
+	for some := true; some; { // at most maxHollowPerStart at once in each process: a machine that thousands share cannot start all at the same time
 		some = false
 		for k := range r.hollowProcesses {
 			n := to / hollowProcessCount
@@ -32,15 +33,16 @@
 	return nil
 }
 
-// listedAll waits until all hollow limiters have the list.
+// awaitLists waits until all hollow limiters have the list.
 func (r *run) awaitLists() error {
 	_, behind, err := r.awaitVersion(deliveryTimeout, r.hollowProcesses)
 	if err == nil && behind > 0 {
-		err = fmt.Errorf("%d of %d hollow limiters have no list after %s", behind, r.hollowLimiterCount(), deliveryTimeout)
+		err = fmt.Errorf("%d of %d hollow limiters do not have the list after %s", behind, r.hollowLimiterCount(), deliveryTimeout)
 	}
 	return err
 }
 
+// addHollow starts n more hollow limiters in the k-th process.
 func (r *run) addHollow(k, n int) error {
 	if n <= 0 {
 		return nil
@@ -49,7 +51,8 @@
 	return r.group.call(r.hollowProcesses[k], "Role.Add", HollowAdd{n, r.discoveryAddrs.Hollow, r.counterAddrs.Hollow, r.totalLimiters(), r.Sizes.CallsPerSecond, r.Sizes.HollowDrainGrace}, new(int))
 }
 
-// shrink ends all hollow limiters, when their calls are answered.
+// stopHollow stops the calls of all hollow limiters, waits a moment for their answers, counts calls without one, and kills the
+// processes.
 func (r *run) stopHollow() error {
 	for _, p := range r.hollowProcesses {
 		if err := r.group.call(p, "Role.Calls", 0.0, new(int)); err != nil {
@@ -75,7 +78,7 @@
 	return nil
 }
 
-// fleet sweeps the number of limiters.
+// sweepLimiters sweeps the number of hollow limiters.
 func (r *run) sweepLimiters() error {
 	r.measurements.heldConstant["limiters"] = fmt.Sprintf("%d servers, %g changes a second, %g calls a second of each hollow limiter, %g requests a second of each of %d real limiters",
 		r.listedServers, r.Sizes.BackgroundChangesPerSecond, r.Sizes.CallsPerSecond, targetRequestsPerSecond, len(r.realLimiters))
@@ -108,7 +111,7 @@
 	return nil
 }
 
-// lists sweeps the servers on the list, which only grows, and ends with a zone of the longest.
+// sweepServers sweeps the number of listed servers, which only grows, and ends with the measurements on the longest list.
 func (r *run) sweepServers() error {
 	r.measurements.heldConstant["servers"] = fmt.Sprintf("%d hollow limiters, %d real ones without requests, %g changes a second", fewHollowLimiters, len(r.realLimiters), r.Sizes.BackgroundChangesPerSecond)
 	for _, n := range r.Sizes.ListedServers {
@@ -137,7 +140,7 @@
 	return r.measureLongestList()
 }
 
-// lengthen has the list grow and waits until the real limiters read no more of it.
+// growList has discovery add servers to the list and waits until the real limiters have read all of them.
 func (r *run) growList(to int) error {
 	from := now()
 	m, err := r.measureChange(Change{GrowTo: to}, deliveryTimeout)
@@ -170,6 +173,8 @@
 	return nil
 }
 
+// measureLongestList measures the outage of a zone, the added time and, where the list is long enough to be refused, the start
+// of a limiter, all on the longest list.
 func (r *run) measureLongestList() error {
 	if err := r.measureOutage("zone", Change{To: r.listedServers, Step: len(zones)}, r.Sizes.Settle); err != nil {
 		return err
--- a/internal/scale/load.go
+++ b/internal/scale/load.go
@@ -15,56 +15,58 @@
 )
 
 const (
-	requestDeadline  = 4 * time.Second // of a request, as the class balance-read has it
-	clientTimeout    = requestDeadline + time.Second
-	minRecordedNanos = int64(time.Microsecond)
+	requestDeadline  = 4 * time.Second               // the deadline of the class balance-read
+	clientTimeout    = requestDeadline + time.Second // an answer at the deadline still arrives
+	minRecordedNanos = int64(time.Microsecond)       // resolution of the histograms
 	maxRecordedNanos = int64(10 * time.Second)
 )
 
-// Load sends requests to real limiters, open loop: arrivals wait for no answer.
+// Load is the role that sends requests to real limiters in an open loop: arrivals do not wait for earlier answers.
 type Load struct{ nextRequest atomic.Uint64 }
 
-// LoadTarget is one limiter under load.
+// LoadTarget is one limiter under load, and the requests that it gets.
 type LoadTarget struct {
 	Addr              string
 	RequestsPerSecond float64
-	Firms             int // in turn by chance; FirstFirm is the first one's number
-	FirstFirmID       uint64
-	LimitersPerFirm   int
-	FirstLimiter      int // of the firms' set of limiters
+	Firms             int    // numbered from FirstFirmID on; each request is of one of them at random
+	FirstFirmID       uint64 // of the firms
+	LimitersPerFirm   int    // the option spread of a request
+	FirstLimiter      int    // the option first of a request: where the firms' set of limiters begins
 	Tier              string
-	RoundRobin        bool // every firm is asked for once before one is twice
+	RoundRobin        bool // the firms send requests in turn instead of at random
 }
 
-// LoadRun is a load for a time.
+// LoadRun is a load on several targets for a given time.
 type LoadRun struct {
 	Targets  []LoadTarget
-	Warmup   time.Duration // at the beginning, while connections come up: counted, but not timed
+	Warmup   time.Duration // at the beginning, while connections are opened: requests are counted, but their time is not
 	Duration time.Duration
 	Seed     uint64
 }
 
-// Loaded is what became of the requests.
+// LoadResult is what became of the requests.
 type LoadResult struct {
 	Sent, Served, Refused, Lost int
-	Timed                       int
-	P50MS, P99MS                float64 // ms that a timed request took beyond its time with the server
-	LostReason                  string  // of the first that was lost
+	Timed                       int     // served requests whose time was recorded
+	P50MS, P99MS                float64 // percentiles of what a timed request took beyond its time at the server
+	LostReason                  string  // of a lost request
 }
 
+// clientPool holds the idle connections to one target, and its results.
 type clientPool struct {
 	mu        sync.Mutex
 	idle      []*client
 	results   LoadResult
-	addedTime *hdrhistogram.Histogram
+	addedTime *hdrhistogram.Histogram // in nanoseconds
 }
 
+// client is a connection that carries one request at a time.
 type client struct {
 	conn   net.Conn
 	parser resp.Parser
 }
 
-// Run sends until the time is up, then waits for what is out.
+// Run sends requests until the time is up, waits for their answers and sums up the results of all targets.
 func (l *Load) Run(r LoadRun, out *LoadResult) error {
 	all := hdrhistogram.New(minRecordedNanos, maxRecordedNanos, 3)
 	var wg sync.WaitGroup
@@ -97,6 +99,7 @@
 	return nil
 }
 
+// runTarget sends requests to one target at random intervals, for the given time.
 func (l *Load) runTarget(pool *clientPool, t LoadTarget, warmup, duration time.Duration, rng *rand.Rand) {
 	if t.RequestsPerSecond <= 0 {
 		return
@@ -130,8 +133,8 @@
 	do(&g.results)
 }
 
-// ask sends one request. A limiter may close a connection between requests: where that crosses a request, it is sent once
-// more, on a new connection.
+// send sends one request and records its result. A limiter may close an idle connection just as a request is sent on it: the
+// request is then sent again, on a new connection.
 func (l *Load) send(pool *clientPool, t LoadTarget, firm uint64, timed bool) {
 	options := fmt.Sprintf("c=balance-read,t=%s,d=%d,units=1,spread=%d,first=%d", t.Tier, requestDeadline.Milliseconds(), t.LimitersPerFirm, t.FirstLimiter)
 	command := resp.AppendCommand(nil, []byte("Q.ASK"), fmt.Appendf(nil, "%016x", firm), fmt.Appendf(nil, "%016x", l.nextRequest.Add(1)), []byte(options))
@@ -172,6 +175,7 @@
 	}
 }
 
+// bulkText is the text of a bulk string, or of the first element of an array.
 func bulkText(r resp.Reply) string {
 	if len(r.Elems) > 0 {
 		return string(r.Elems[0].Text)
@@ -179,6 +183,7 @@
 	return string(r.Text)
 }
 
+// acquire returns an idle connection (reused), or opens one; fresh asks for a new one in any case.
 func (g *clientPool) acquire(addr string, fresh bool) (c *client, reused bool, err error) {
 	g.mu.Lock()
 	if n := len(g.idle); n > 0 && !fresh {
@@ -195,7 +200,7 @@
 	return &client{conn: conn}, false, nil
 }
 
-// exchange writes a command and reads its answer. silent: the connection ended without a byte.
+// exchange writes a command and reads its reply. silent means that the connection ended before any byte of a reply.
 func (c *client) exchange(command []byte) (r resp.Reply, silent bool, err error) {
 	_ = c.conn.SetDeadline(time.Now().Add(clientTimeout))
 	_, err = c.conn.Write(command)
--- a/internal/scale/model.go
+++ b/internal/scale/model.go
@@ -5,14 +5,15 @@
 	"errors"
 )
 
-// modelled is what was measured in the model's time.
+// modelResult holds what was measured in the model's simulated time.
 type modelResult struct {
 	quota   []QuotaError
 	moments []Moment
 	err     error
 }
 
-// think starts the model's part. In the short form it runs beside the sweep of changes, which judges no time.
+// startModel starts the model's measurements in the background. In a quick run they share the machine with the sweep over
+// change rates, none of whose figures is held against a time limit.
 func (r *run) startModel() {
 	r.modelResults = make(chan modelResult, 1)
 	go func() {
@@ -25,7 +26,8 @@
 	}()
 }
 
-// model takes in the model's part: the quota's error, regions cut, the day of changes.
+// collectModel waits for the model's measurements (quota error, separated regions, a day of changes) and adds them to the
+// figures. It starts the model if it is not running yet.
 func (r *run) collectModel() error {
 	if !r.Model {
 		r.figures.Missing = append(r.figures.Missing, Missing{"model", "quota, regions, day", "limiters", "the run was told to leave the model out: bramblelab quota measures it by itself"})
--- a/internal/scale/modelled.go
+++ b/internal/scale/modelled.go
@@ -18,7 +18,8 @@
 	"bramblefall/logic"
 )
 
-// Modelled plays the moments that real sockets cannot: regions cut from each other for an hour, and a day of changes.
+// Modelled measures in the model the moments that cannot be played on real sockets: regions that are cut off from each other
+// for an hour, and a day of changes. The result holds those that were complete when an error ended it.
 func Modelled(ctx context.Context, seed uint64, quick bool, progress func(string)) ([]Moment, error) {
 	if progress == nil {
 		progress = func(string) {}
@@ -36,16 +37,19 @@
 
 // ---- regions
 
-// window is what came between two instants of a run.
+// interval is a span of a modelled run, by the results at its beginning and its end.
 type interval struct {
 	seconds  float64
 	from, to model.Result
 }
 
-func (w interval) sent() float64   { return w.to.SentUnits - w.from.SentUnits }
+// sent is the number of units sent on to servers in the interval.
+func (w interval) sent() float64 { return w.to.SentUnits - w.from.SentUnits }
+
+// beyond is the share of those units that was beyond quotas.
 func (w interval) beyond() float64 { return (w.to.BeyondUnits - w.from.BeyondUnits) / max(w.sent(), 1) }
 
-// put notes a window's figures under its name.
+// record adds the interval's figures to values, under names that begin with the interval's.
 func (w interval) record(values map[string]float64, name string) {
 	for k := range w.to.Halls {
 		values[fmt.Sprintf("%s, region %d, units/s", name, k)] = (w.to.Halls[k].Units - w.from.Halls[k].Units) / w.seconds
@@ -57,9 +61,13 @@
 	values[name+", calls/s"] = float64(w.to.Calls-w.from.Calls) / w.seconds
 }
 
-const healStepSeconds, healObservedSeconds = 5.0, 60.0 // seconds: a window after the healing, and how long they are looked at
+const (
+	healStepSeconds     = 5.0  // length of each interval that is compared after the cut
+	healObservedSeconds = 60.0 // after the cut, in such intervals
+)
 
-// regionPlay is one seed's: by name what it came to.
+// playRegions plays the scenario with one seed, with the regions cut off from each other at cutAt for cutFor seconds, and
+// returns the figures of its intervals by name.
 func playRegions(ctx context.Context, s model.Scenario, seed uint64, cutAt, cutFor float64) map[string]float64 {
 	s.Faults = []model.Fault{{Kind: model.FaultRegions, At: cutAt, For: cutFor}}
 	w := model.New(s, seed, model.Own(), false)
@@ -67,7 +75,7 @@
 	last := w.Play(at)
 	playUntil := func(end float64) interval {
 		v := interval{end - at, last, last}
-		for at < end && ctx.Err() == nil { // in steps, so that it can be stopped
+		for at < end && ctx.Err() == nil { // in steps, so that a cancelled run stops soon
 			at = min(at+60, end)
 			last = w.Play(at)
 		}
@@ -100,6 +108,7 @@
 	return values
 }
 
+// measureRegions plays the cut between regions with several seeds and returns the means of their figures.
 func measureRegions(ctx context.Context, seed uint64, quick bool, progress func(string)) (Moment, error) {
 	s := model.Base()
 	s.Limiters, s.Nodes, s.Firms.Count, s.Warm = 10, 24, 60, 10
@@ -149,10 +158,14 @@
 
 // ---- a day of changes
 
-const changesPerDay, secondsPerDay = 33_000, 86_400
+const (
+	changesPerDay = 33_000
+	secondsPerDay = 86_400
+)
 
-// drawDay draws the instants of a day's changes, in order. Half of them come in releases, most of them in working hours: a
-// release touches some hundred servers, some in a second. The others come one by one.
+// drawDayChanges draws the times of a day's changes, in seconds and in order. Half of them belong to releases, which come in
+// working hours; a release changes a few hundred servers, several of them a second. The others come one by one, about half of
+// them in working hours too.
 func drawDayChanges(seed uint64) (at []float64) {
 	rng := rand.New(rand.NewPCG(seed, 0x646179))
 	workingHour := func() float64 { return 3600 * (8 + 10*rng.Float64()) }
@@ -174,7 +187,7 @@
 	return at
 }
 
-// worst is the most changes within any span of so many seconds, and where it begins.
+// busiestSpan returns the largest number of changes within any span of the given seconds, and when that span begins.
 func busiestSpan(at []float64, span float64) (most int, from float64) {
 	first := 0
 	for k := range at {
@@ -188,13 +201,15 @@
 	return most, from
 }
 
-// changeBytes is the length of a change of one server as discovery tells it.
+// changeBytes is the length in bytes of discovery's line for a change of one server.
 func changeBytes() float64 {
 	raw, _ := json.Marshal(discovery.List{Version: 1_033_000, Servers: []discovery.Server{{ID: "node-2-0417-3", Addr: "10.12.34.56:7001",
 		Zone: "hall-b", Kind: "std-3core", Cell: 2, State: "draining", Weight: 1, StartedMS: 1_800_000_000_000}}})
 	return float64(len(raw) + 1)
 }
 
+// measureDay draws days of changes to find the busiest second and minute, plays the busiest span of the first day in the model
+// and measures the processor time that a change takes.
 func measureDay(ctx context.Context, seed uint64, quick bool, progress func(string)) (Moment, error) {
 	limiters, servers, days, span := 30, 3000, 20, 60.0
 	if quick {
@@ -249,7 +264,7 @@
 			limiters, firms, servers)}, nil
 }
 
-// playBurst plays the span of a day in which the most changes come, and the same time without any.
+// playBurst plays the span of the seed's day in which the most changes come (burst), and the same time without any (calm).
 func playBurst(ctx context.Context, seed uint64, limiters, servers int, span float64) (burst, calm model.Result, firms int, err error) {
 	at := drawDayChanges(seed)
 	_, from := busiestSpan(at, span)
@@ -258,7 +273,8 @@
 	s.Firms.Spread = model.Range{float64(limiters), float64(limiters)}
 	s.Seconds = s.Warm + span + 10
 	quiet := s
-	// A server that is replaced is three changes: it drains, is gone, and another comes.
+	// Replacing a server takes three changes: it drains, it is gone, and another one is ready. Each third change is thus played
+	// as the drain of one server.
 	n := 0
 	for _, t := range at {
 		if t >= from && t < from+span {
@@ -274,8 +290,8 @@
 	return list[0].Result, list[1].Result, s.Firms.Count, nil
 }
 
-// changeCost is the processor time, in us, that the reducer takes for a change of one server among many: the mean, and the
-// 99th percentile. all is that of a whole list without a change, in ms.
+// measureChangeCost measures how long the reducer takes for a change of one server among many: the mean and the 99th
+// percentile, in microseconds. wholeListMS is how long it takes for a whole list without a change, in milliseconds.
 func measureChangeCost(servers, times int) (meanMicros, p99Micros, wholeListMS float64) {
 	r, now := newCostReducer()
 	var list []logic.Server
@@ -290,7 +306,7 @@
 		effects = r.Reduce(at, ev, effects[:0])
 		took := time.Since(began)
 		for _, e := range effects {
-			if t, ok := e.(core.SetTimer); ok { // without requests there is one timer, the tick
+			if t, ok := e.(core.SetTimer); ok { // the tick is the only timer while there are no requests
 				tick = t
 			}
 		}
@@ -304,7 +320,7 @@
 	for range times {
 		k := rng.IntN(len(list))
 		line := &list[k]
-		switch line.State { // each is drained, then gone, then there is another in its place
+		switch line.State { // each server drains, is gone, and is replaced by another one
 		case logic.Ready:
 			line.State = logic.Draining
 		case logic.Draining:
@@ -313,7 +329,7 @@
 			*line = logic.Server{ID: next, Weight: 1, Zone: k % 2, State: logic.Ready, Started: now}
 			next++
 		}
-		for now += time.Second / 50; tick.At <= now; { // ticks go on, and are not the changes'
+		for now += time.Second / 50; tick.At <= now; { // ticks go on as usual; their time is not counted as that of the change
 			reduce(tick.At, tick.Timer)
 		}
 		changed := reduce(now, core.UpstreamGroup{ServerList: logic.ServerList{Servers: []logic.Server{*line}}})
@@ -324,6 +340,7 @@
 	return meanMicros, took[len(took)*99/100], wholeListMS
 }
 
+// newCostReducer returns a reducer with the settings of a usual limiter, and the time at which it starts.
 func newCostReducer() (*core.Reducer, time.Duration) {
 	s := model.Base()
 	set := logic.Settings{Gateways: 300, Zones: 2, Plans: s.Tiers, HasCounter: true, CounterLimit: 30 * time.Millisecond, MostUnits: 1,
@@ -333,7 +350,7 @@
 	return core.New(set, 1, plans.New(set.Plans, plans.DefaultLimits)), 1_800_000_000 * time.Second
 }
 
-// MomentTable is moments as a table: a row for each figure.
+// MomentTable returns moments as a table with a row for each figure.
 func MomentTable(list []Moment) *lab.Table {
 	t := &lab.Table{Name: "moments", Head: []string{"moment", "what", "figure"}}
 	for _, m := range list {
--- a/internal/scale/module.go
+++ b/internal/scale/module.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
 	"runtime"
 	"time"
@@ -13,14 +12,15 @@
 )
 
 const (
-	moduleRequestsPerSecond = 10_000 // requests a second: 510,000 firms within a minute
+	moduleRequestsPerSecond = 10_000 // lets the largest size, 510,000 firms, ask once each within a minute
 	moduleLimiters          = 3
 	moduleServers           = 100
 	moduleRequestTTL        = time.Second
 )
 
-// moduleMemory is the heap that the decision module holds, after a collection, when so many firms have each asked once within
-// a minute; it grows with the firms that are active. Answers come at once.
+// moduleMemory returns the heap bytes that the decision module holds, after a garbage collection, once the given number of
+// firms have each sent one request within a minute. The heap grows with the number of active firms. Servers and the counter
+// answer every call immediately.
 func moduleMemory(firms int) (heapGrowth float64, err error) {
 	raw, err := json.Marshal(lab.Settings(moduleLimiters, 0, []logic.Plan{{Name: "regular", Rate: 1e6, Burst: 1e6, Price: 1, OverCost: 0.5}}))
 	if err != nil {
@@ -33,14 +33,15 @@
 	heap := func() float64 {
 		var m runtime.MemStats
 		runtime.GC()
-		runtime.GC() // what finalizers and pools held until the first
+		runtime.GC() // frees what finalizers and sync.Pools kept alive through the first collection
 		runtime.ReadMemStats(&m)
 		return float64(m.HeapAlloc)
 	}
 	before := heap()
 	gateway := logic.New(settings, 1)
 	now := time.Second
-	timers, timersDue := map[uint32]time.Duration{}, map[time.Duration][]uint32{} // by token; by the millisecond in which they ring
+	// timers holds the due time of each token; timersDue holds the tokens by the millisecond in which they are due.
+	timers, timersDue := map[uint32]time.Duration{}, map[time.Duration][]uint32{}
 	served := 0
 	var handle func(logic.Event)
 	handle = func(e logic.Event) {
@@ -66,7 +67,7 @@
 	for k := range firms {
 		dueAt := now.Truncate(time.Millisecond)
 		for _, token := range timersDue[dueAt] {
-			if timers[token] == dueAt { // it may have been set anew
+			if timers[token] == dueAt { // skips a timer that was set to a later time since
 				delete(timers, token)
 				handle(logic.Timer{Token: token})
 			}
@@ -78,12 +79,12 @@
 	heapGrowth = heap() - before
 	runtime.KeepAlive(gateway)
 	if served < firms/2 {
-		return 0, errors.New("less than half of the requests were served")
+		return 0, fmt.Errorf("the module served %d requests of %d firms, want at least half", served, firms)
 	}
 	return heapGrowth, nil
 }
 
-// module measures the module's memory against firms.
+// sweepModule measures the decision module's heap against the number of active firms.
 func (r *residentRun) sweepModule() error {
 	var memory residentPoints
 	for _, n := range r.sizes.ModuleFirms {
--- a/internal/scale/moments.go
+++ b/internal/scale/moments.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// change tells one change and waits until the hollow limiters have it.
+// measureChange makes one change of the list, waits until the hollow limiters have it and returns how long that took.
 func (r *run) measureChange(c Change, limit time.Duration) (m Moment, err error) {
 	before, err := r.takeSample()
 	if err != nil {
@@ -31,7 +31,7 @@
 	return m, nil
 }
 
-// moment is how long arrivals took.
+// newMoment sums up how long after from a version arrived at limiters; behind is how many did not get it in time.
 func (r *run) newMoment(at []time.Duration, from time.Duration, behind int) (m Moment) {
 	slices.Sort(at)
 	m.Limiters, m.Servers = r.hollowLimiterCount()+len(r.realLimiters), r.listedServers
@@ -45,13 +45,14 @@
 }
 
 const (
-	maxIdleBytes    = 1000 // of a real limiter's watch in quietFor, where nothing is told but empty lines
-	idlePeriod      = 300 * time.Millisecond
-	pollInterval    = 20 * time.Millisecond
-	deliveryTimeout = 20 * time.Second // until the last has a change or a list
+	maxIdleBytes    = 1000                   // of a real limiter's watch in idlePeriod when only heartbeats are sent
+	idlePeriod      = 300 * time.Millisecond // without more than that the list counts as read
+	pollInterval    = 20 * time.Millisecond  // between two looks at how far limiters are
+	deliveryTimeout = 20 * time.Second       // until the last limiter has a change or a list
 )
 
-// arrivals waits until the hollow limiters of these processes have the last version.
+// awaitVersion waits until the hollow limiters of the given processes have the last version, or until the limit is over. It
+// returns when each got it and how many have not.
 func (r *run) awaitVersion(limit time.Duration, from []*process) (at []time.Duration, behind int, err error) {
 	for began := now(); ; {
 		at, behind = nil, 0
@@ -72,7 +73,8 @@
 	}
 }
 
-// moments has a rack and a zone go and come back, and a tenth of the limiters restart, with the real ones under load.
+// measureMoments measures the outage and return of a rack and of a zone, with the real limiters under load, and the restart of
+// a tenth of the hollow limiters.
 func (r *run) measureMoments() error {
 	if err := r.measureOutage("rack", Change{To: max(r.listedServers/20, 2)}, r.Sizes.Settle); err != nil {
 		return err
@@ -83,7 +85,7 @@
 	return r.measureRestart()
 }
 
-// goAndComeBack tells that servers are gone, and a moment later that they are ready again, under load.
+// measureOutage reports servers as gone and, after the given time, as ready again, while the real limiters are under load.
 func (r *run) measureOutage(name string, c Change, between time.Duration) error {
 	var load LoadResult
 	done := make(chan error, 1)
@@ -115,6 +117,7 @@
 	return nil
 }
 
+// joinNotes joins two notes, either of which may be empty.
 func joinNotes(a, b string) string {
 	if a == "" || b == "" {
 		return a + b
@@ -122,7 +125,8 @@
 	return a + "; " + b
 }
 
-// restart ends one of the hollow processes, a tenth of the limiters, and starts it anew: all its limiters ask at once.
+// measureRestart kills one of the hollow processes, which holds a tenth of the hollow limiters, and starts it again, so that all
+// its limiters ask for the whole list at the same time.
 func (r *run) measureRestart() error {
 	before, err := r.takeSample()
 	if err != nil {
@@ -157,13 +161,14 @@
 	return nil
 }
 
-// changes sweeps the changes a second, with a small fleet and no requests: what the control side alone costs a limiter.
+// sweepChanges sweeps the rate of changes with a small fleet and no requests, to measure what the control side alone costs a
+// limiter.
 func (r *run) sweepChanges() error {
 	if err := r.stopHollow(); err != nil {
 		return err
 	}
 	r.clusterResults = make(chan clusterResult, 1)
-	go func() { r.clusterResults <- r.followClusters() }() // it waits for a file to be seen, mostly
+	go func() { r.clusterResults <- r.followClusters() }() // in parallel, as it mostly waits for the limiter to read its file
 	if err := r.growFleet(fewHollowLimiters); err != nil {
 		return err
 	}
--- a/internal/scale/operators.go
+++ b/internal/scale/operators.go
@@ -24,26 +24,26 @@
 	firstFirmID        = 0x100000
 )
 
-// Operators gives changes of plans to limiters and looks at their books, over the operators' service, as the sub-commands of
-// the limiter's program do.
-type Operators struct{ lastNumber uint64 }
+// Operators is the role that changes the plans of limiters and reads their plan books through the operators' service, as the
+// limiter program's sub-commands do.
+type Operators struct{ lastNumber uint64 } // of the last version of the plans
 
-// Order is a change for limiters, or a look at them.
+// Order is a change of the plans of limiters, or a read of their plan books.
 type Order struct {
-	Sockets []string
-	Firms   int          // that the version names
-	Tiers   []logic.Plan // none: only look
+	Sockets []string     // admin sockets of the limiters
+	Firms   int          // that the new version names
+	Tiers   []logic.Plan // of the new version; none: the plan books are only read
 }
 
-// Done is what an order cost.
+// OrderResult is what an order cost.
 type OrderResult struct {
-	Messages, Bytes int64
-	Processor       time.Duration
+	Messages, Bytes int64         // to and from limiters
+	Processor       time.Duration // processor time of the operators' process
 	Elapsed         time.Duration
-	Firms           int // that the last book named
+	Firms           int // that the plan book of the limiter named that answered last
 }
 
-// Do carries out an order.
+// Execute carries out an order on all its limiters, at most maxConcurrentCalls at a time.
 func (o *Operators) Execute(order Order, out *OrderResult) error {
 	var version *adminpb.Version
 	if len(order.Tiers) > 0 {
@@ -78,7 +78,8 @@
 	return first.err
 }
 
-// one tells one limiter, or looks at it.
+// callLimiter applies a version of the plans at one limiter, or with none reads its plan book. It returns how many firms the
+// book names.
 func callLimiter(path string, version *adminpb.Version, m *meter) (firms int, err error) {
 	ctx, stop := context.WithTimeout(context.Background(), callTimeout)
 	defer stop()
@@ -92,7 +93,7 @@
 		return 0, err
 	}
 	defer conn.Close()
-	m.messages.Add(2) // the call and its answer
+	m.messages.Add(2) // the call and its reply
 	client := adminpb.NewAdminClient(conn)
 	if version == nil {
 		book, err := client.ShowPlans(ctx, &adminpb.ShowPlansRequest{})
@@ -102,6 +103,7 @@
 	return len(answer.GetBook().GetCurrent().GetFirms()), err
 }
 
+// ownProcessorTime is the processor time that this process has used so far.
 func ownProcessorTime() time.Duration {
 	var u unix.Rusage
 	_ = unix.Getrusage(unix.RUSAGE_SELF, &u)
--- a/internal/scale/page.go
+++ b/internal/scale/page.go
@@ -14,10 +14,10 @@
 	"bramblefall/internal/lab"
 )
 
-// File is the name of the figures in a run's directory.
+// File is the name of the file with the figures in a run's output directory.
 const File = "figures.json"
 
-// Tables are the figures as tables.
+// Tables returns the figures as tables; the one of quotas only where they were measured.
 func (f *Figures) Tables() []*lab.Table {
 	slopes := &lab.Table{Name: "scale-slopes", Head: []string{"role", "what", "against", "unit", "sizes", "each more", "error", "at none"}}
 	for _, s := range f.Slopes {
@@ -62,7 +62,7 @@
 	return list
 }
 
-// charts are one for each thing measured against one size, a line for each role.
+// charts returns a chart for each quantity and the size that it was measured against, with a line for each role and unit.
 func (f *Figures) charts() (list []lab.Chart) {
 	at := map[string]int{}
 	for _, s := range f.Slopes {
@@ -82,7 +82,7 @@
 	return list
 }
 
-// Keep writes the figures, their tables, charts and page into a directory.
+// Keep writes the figures, their tables and charts and a page that shows them into a directory.
 func (f *Figures) Keep(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
--- a/internal/scale/quota.go
+++ b/internal/scale/quota.go
@@ -11,18 +11,19 @@
 	"bramblefall/internal/model"
 )
 
-// AllPlans is the plan's name in a row that sums over all plans.
+// AllPlans stands in place of a plan's name in a row about all plans together.
 const AllPlans = "all"
 
-// quotaLoad is a load under which the quota's error is measured while limiters grow.
+// quotaLoad is a load under which the quota error is measured for several numbers of limiters.
 type quotaLoad struct {
 	name, held    string
 	counters      []counterKind
-	warmupSeconds float64 // seconds
+	warmupSeconds float64 // with more than maxDenseLimiters limiters
 	scenario      func(limiters int) (model.Scenario, error)
 }
 
-// counterKind is a counter of some times the platform's speed, 0: unlimited, and whether limiters' own budget of calls is lifted.
+// counterKind is a kind of quota counter: its speed as a multiple of the platform's (0: unlimited), and whether the limiters'
+// own budget of calls is lifted.
 type counterKind struct {
 	speed      float64
 	unbudgeted bool
@@ -31,19 +32,19 @@
 var (
 	allCounters = []counterKind{{speed: 1}, {speed: 2}, {speed: 8}, {speed: 0}, {speed: 0, unbudgeted: true}}
 	keyCounters = []counterKind{{speed: 1}, {speed: 0}, {speed: 0, unbudgeted: true}}
-	slowCounter = counterKind{speed: 0.25} // crowded where the total is held, too
+	slowCounter = counterKind{speed: 0.25} // overloaded even where the total load stays the same
 )
 
-// A limiter begins with a third of its calls and takes up the others by some fifty answers, which takes the longer the fewer
-// requests it sees: what is measured is the time after that.
+// A limiter begins with a third of its budget of calls and gets the rest in the course of some fifty answers, which takes
+// longer the fewer requests it sees. Only the time after that is measured.
 const (
-	sparseWarmupSeconds, denseWarmupSeconds = 50.0, 15.0 // seconds; thin: through more limiters than that the total is thin
-	maxDenseLimiters                        = 30
-	measuredSeconds                         = 25.0
+	sparseWarmupSeconds = 50.0 // where a limiter sees few requests
+	denseWarmupSeconds  = 15.0
+	maxDenseLimiters    = 30 // beyond it a load with a fixed total leaves each limiter few requests
+	measuredSeconds     = 25.0
 )
 
-// quotaLoads are the loads. Nodes have room for twice what is asked for and more, so that what is refused is refused by
-// quotas.
+// quotaLoads returns the loads. Nodes can serve at least twice what is asked for, so that all refusals are due to quotas.
 func quotaLoads() []quotaLoad {
 	return []quotaLoad{
 		{"total, all", "360 firms with their quotas and about 550 requests a second in all; a firm comes through every limiter",
@@ -72,6 +73,8 @@
 	}
 }
 
+// quotaScenario is the model's usual scenario with other sizes; spread is the number of limiters through which each firm
+// comes (0: 2 to 4).
 func quotaScenario(limiters, firms, nodes, spread int) model.Scenario {
 	s := model.Base()
 	s.Limiters, s.Nodes, s.Firms.Count = limiters, nodes, firms
@@ -82,27 +85,28 @@
 	return s
 }
 
+// unitsScenario is a scenario with requests of several units.
 func unitsScenario(limiters int) (model.Scenario, error) {
 	s, err := lab.LoadScenario("booking")
 	if err != nil {
 		return s, err
 	}
 	s.Limiters, s.Nodes, s.Firms.Count = limiters, 100, 480
-	s.Units.Mean = 1.25 // rounded to whole units and at least one: 1.5 on the mean
+	s.Units.Mean = 1.25 // after rounding to whole units, at least one, the mean is 1.5
 	s.Firms.Spread = model.Range{float64(limiters), float64(limiters)}
 	return s, nil
 }
 
-// quotaPoint is one size, load and counter.
+// quotaPoint is one combination of load, number of limiters and counter.
 type quotaPoint struct {
 	load       quotaLoad
 	limiters   int
-	speed      float64 // 0: unlimited
+	speed      float64 // see counterKind
 	unbudgeted bool
 }
 
-// quotaPoints are the points of a run. Those that tell most come first, so that a run that is ended early tells them:
-// the counter as it is and an unlimited one, the smallest fleets first.
+// quotaPoints returns the points of a run. The most informative ones come first, so that they are known even if the run is
+// stopped early: those with the counter as it is and with an unlimited one, beginning with the smallest fleets.
 func quotaPoints(quick bool) (all []quotaPoint) {
 	sizes := []int{3, 10, 30, 100, 300}
 	if quick {
@@ -124,18 +128,18 @@
 	return all
 }
 
-// inOrder sorts figures by load, limiters and counter, whatever their turn was.
+// sortRows sorts figures by load, limiters and counter, whatever order they were measured in.
 func sortRows(list []QuotaError) []QuotaError {
 	loads := quotaLoads()
 	rank := func(q QuotaError) int {
 		load := slices.IndexFunc(loads, func(l quotaLoad) bool { return l.name == q.Set })
-		return (load*1000+q.Limiters)*10 + slices.Index(allCounters, counterKind{q.Speed, q.Free}) // a slower one is none of the ladder, and the first
+		return (load*1000+q.Limiters)*10 + slices.Index(allCounters, counterKind{q.Speed, q.Free}) // slowCounter is not in allCounters: its index is -1, so it comes first
 	}
 	slices.SortStableFunc(list, func(a, b QuotaError) int { return cmp.Compare(rank(a), rank(b)) })
 	return list
 }
 
-// scenario is the point's.
+// scenario returns the scenario and the policy that measure the point.
 func (p quotaPoint) scenario(quick bool) (model.Scenario, model.Policy, error) {
 	s, err := p.load.scenario(p.limiters)
 	s.Name = fmt.Sprintf("%s, %d limiters, %s", p.load.name, p.limiters, counterName(p.speed, p.unbudgeted))
@@ -157,6 +161,7 @@
 	return s, policy, err
 }
 
+// counterName names a kind of counter in tables and progress lines.
 func counterName(speed float64, free bool) string {
 	switch {
 	case free:
@@ -167,8 +172,8 @@
 	return fmt.Sprintf("%gx", speed)
 }
 
-// Quota measures in the model how far quotas are missed against the number of limiters and the counter's speed: what is
-// sent on beyond them, and what is refused with half of one unused, by plan.
+// Quota measures in the model how far quotas are missed, by plan, depending on the number of limiters and the speed of the
+// counter: the share sent on beyond quotas, and the share refused while half of a quota is unused.
 func Quota(ctx context.Context, seed uint64, quick bool, progress func(string)) ([]QuotaError, error) {
 	seeds := 3
 	if quick {
@@ -177,6 +182,8 @@
 	return measureQuota(ctx, seed, seeds, quick, quotaPoints(quick), progress)
 }
 
+// measureQuota measures the given points with several seeds each. When ctx ends early it returns the points that are complete,
+// and the error.
 func measureQuota(ctx context.Context, seed uint64, seeds int, quick bool, points []quotaPoint, progress func(string)) (all []QuotaError, err error) {
 	var jobs []lab.Job
 	for _, p := range points {
@@ -195,13 +202,13 @@
 				100*r.OverQuota(), 100*float64(r.RoomRefused)/float64(max(r.Tries, 1)), d.Wall.Seconds()))
 		}
 	})
-	for k := 0; k+seeds <= len(done); k += seeds { // whole points alone
+	for k := 0; k+seeds <= len(done); k += seeds { // only points of which all seeds are done
 		all = append(all, points[k/seeds].rows(done[k:k+seeds])...)
 	}
 	return sortRows(all), ctx.Err()
 }
 
-// rows sums up the seeds of a point: a row for all plans, and one for each.
+// rows averages the seeds of a point: one row for all plans together, then one for each plan.
 func (p quotaPoint) rows(done []lab.Done) (all []QuotaError) {
 	s := done[0].Scenario
 	for tier := -1; tier < len(s.Tiers); tier++ {
@@ -242,6 +249,7 @@
 	return all
 }
 
+// meanAndDeviation returns the mean and the sample standard deviation, which is 0 for fewer than two values.
 func meanAndDeviation(values []float64) (mean, deviation float64) {
 	for _, v := range values {
 		mean += v / float64(len(values))
@@ -255,7 +263,7 @@
 	return mean, math.Sqrt(deviation / float64(len(values)-1))
 }
 
-// QuotaTable is the figures as a table: the sums over plans, or those of each plan.
+// QuotaTable returns the figures as a table, either the rows of all plans together or those of each plan.
 func QuotaTable(list []QuotaError, byPlan bool) *lab.Table {
 	t := &lab.Table{Name: "quota", Head: []string{"load", "limiters", "counter", "requests/s", "beyond %", "±", "refused with room %", "±", "refused inside %",
 		"calls a request", "calls/s", "unanswered %", "lost %"}}
--- a/internal/scale/room.go
+++ b/internal/scale/room.go
@@ -12,23 +12,24 @@
 
 const (
 	maxProcesses            = 300
-	helperProcesses         = 6 // discovery, counter, servers, load, operators and one for hollow admin services
-	spareDescriptors        = 200
-	maxDescriptors          = 20_000
+	helperProcesses         = 6      // discovery, counter, servers, load, operators and one for hollow admin services
+	spareDescriptors        = 200    // of a process, besides its connections to limiters
+	maxDescriptors          = 20_000 // of a process, also where the system allows more
 	helperProcessBytes      = 16 << 20
 	realLimiterBytes        = 24 << 20
-	realBytesPerServer      = 900 // bytes of a real limiter for a server of the list
+	realBytesPerServer      = 900 // of each listed server in a real limiter
 	hollowLimiterBytes      = 110 << 10
-	hollowBytesPerServer    = 420 // bytes of a hollow limiter for a server of the list
+	hollowBytesPerServer    = 420 // of each listed server in a hollow limiter
 	discoveryBytesPerServer = 700
 	minRealLimiters         = 8
-	minHollowLimiters       = 100 // hollow ones: a size spans a factor of ten, for each of ten processes
+	minHollowLimiters       = 100 // at the largest size: each of ten processes then has ten, so that the sizes can span a factor of ten
 	minListedServers        = 40
-	hollowProcessCount      = 10 // each a tenth of the hollow limiters, so that a tenth can be restarted
-	fewHollowLimiters       = 20 // beside large lists
+	hollowProcessCount      = 10 // each has a tenth of the hollow limiters, so that a tenth can be restarted at once
+	fewHollowLimiters       = 20 // run where the list's length or its changes are swept
 )
 
-// room tells why sizes do not fit this machine, or contradict each other; nil: they fit.
+// checkFit returns an error that says why the sizes contradict each other or need more processes, descriptors or memory than
+// this machine has.
 func (s Sizes) checkFit() error {
 	limiters := s.HollowLimiters[len(s.HollowLimiters)-1]
 	switch {
@@ -42,14 +43,14 @@
 		return fmt.Errorf("%d servers at most, but %d beside the fleet: a list only grows", s.ListedServers[len(s.ListedServers)-1], s.ServersBesideFleet)
 	}
 	if n := s.RealLimiters + hollowProcessCount + helperProcesses; n > maxProcesses {
-		return fmt.Errorf("%d processes are needed, the rig may have %d", n, maxProcesses)
+		return fmt.Errorf("%d processes are needed, the rig may start %d at most", n, maxProcesses)
 	}
 	var files unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &files); err != nil {
 		return err
 	}
 	most := min(int(min(files.Cur, maxDescriptors)), maxDescriptors)
-	if n := limiters + 2*s.RealLimiters + spareDescriptors; n > most { // at discovery, and at the counter
+	if n := limiters + 2*s.RealLimiters + spareDescriptors; n > most { // discovery and the counter each hold a connection of every limiter
 		return fmt.Errorf("%d limiters need %d descriptors of one process, it may hold %d", limiters, n, most)
 	}
 	all, err := machineMemory()
@@ -77,7 +78,8 @@
 	return minRealLimiters
 }
 
-// memory is the most that a run is expected to need at once, in bytes: with the largest fleet, or with the longest list.
+// peakMemory is the most memory in bytes that a run is expected to need at once: either with the largest fleet or with the
+// longest list.
 func (s Sizes) peakMemory() int64 {
 	limiters, servers := int64(s.HollowLimiters[len(s.HollowLimiters)-1]), int64(s.ListedServers[len(s.ListedServers)-1])
 	at := func(limiters, servers int64) int64 {
@@ -87,7 +89,7 @@
 	return max(at(limiters, int64(s.ServersBesideFleet)), at(fewHollowLimiters, servers))
 }
 
-// machineMemory is the machine's memory, or what the control group has of it.
+// machineMemory is the machine's memory in bytes, or the limit of the control group where that is lower.
 func machineMemory() (int64, error) {
 	all, err := meminfoBytes("MemTotal")
 	if err != nil {
@@ -100,7 +102,7 @@
 	if err != nil {
 		return 0, err
 	}
-	if n, err := strconv.ParseInt(strings.TrimSpace(string(raw)), 10, 64); err == nil { // else it says max
+	if n, err := strconv.ParseInt(strings.TrimSpace(string(raw)), 10, 64); err == nil { // without a limit the file holds the word max
 		all = min(all, n)
 	}
 	return all, nil
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -16,20 +16,20 @@
 	"bramblefall/internal/loopback"
 )
 
-// Options are a run's.
+// Options configure a run.
 type Options struct {
 	Seed    uint64
 	Quick   bool
 	Sizes   Sizes
-	Model   bool                             // the quota's error and the moments in the model's time, too
-	Binary  string                           // the limiter's program, its evaluator beside it; "": built from here
-	Listen  string                           // where the stand-in discovery listens for hollow limiters; "": a free port of loopback
-	Child   func(role string) *exec.Cmd      // starts a child process of the rig
-	Say     func(format string, a ...any)    // progress
-	OnStage func(stage string, r ProcessIDs) // for tests: told at each stage; nil: nobody
+	Model   bool                             // also measure the quota's error and the modelled moments
+	Binary  string                           // path of the limiter's program, with its evaluator beside it; "": both are built from these sources
+	Listen  string                           // loopback address at which the stand-in discovery listens for hollow limiters; "": a free port
+	Child   func(role string) *exec.Cmd      // prepares the command of one of the rig's child processes
+	Say     func(format string, a ...any)    // reports progress
+	OnStage func(stage string, r ProcessIDs) // for tests: called as each stage begins; may be nil
 }
 
-// Processes names what runs, by id.
+// ProcessIDs holds the process id of each running process by its name.
 type ProcessIDs map[string]int
 
 type run struct {
@@ -39,25 +39,26 @@
 	binary       string
 	figures      *Figures
 	measurements *measurements
-	startedAt    time.Duration
+	startedAt    time.Duration // by now()
 
 	discoveryProcess, counterProcess, serverProcess, loadProcess, operatorProcess *process
 	discoveryAddrs, counterAddrs                                                  Addresses
-	serverAddrs                                                                   []string
+	serverAddrs                                                                   []string // of the stand-in servers
 	hollowProcesses                                                               []*process
-	hollowCounts                                                                  []int
+	hollowCounts                                                                  []int // hollow limiters by process
 	realLimiters                                                                  []*limiter
-	listedServers                                                                 int
-	lastVersion                                                                   int64 // the last that discovery told
+	listedServers                                                                 int   // on discovery's list now
+	lastVersion                                                                   int64 // of the list, the last that discovery sent
 	lostRequests, refusedRequests, sentRequests                                   int
-	unansweredCalls                                                               int      // calls of hollow limiters
-	unansweredReasons                                                             []string // by their process
-	lostReason                                                                    string
+	unansweredCalls                                                               int      // by the counter, of hollow limiters
+	unansweredReasons                                                             []string // one of each hollow process with unanswered calls
+	lostReason                                                                    string   // of the first lost request
 	clusterResults                                                                chan clusterResult
-	modelResults                                                                  chan modelResult // nil: the model has not begun
+	modelResults                                                                  chan modelResult // nil: the model has not been started
 }
 
-// Run measures. The figures are those that there are, also where it gives an error: then they are partial and say why.
+// Run carries out a run and returns its figures. Where it fails after it has started processes it returns both an error and
+// the figures measured so far, whose field Partial says why they are incomplete.
 func Run(ctx context.Context, o Options) (*Figures, error) {
 	memoryBytes, err := machineMemory()
 	if err != nil {
@@ -89,7 +90,7 @@
 	return r.figures, nil
 }
 
-// requireLoopback tells whether an address may be listened at: the rig is reached from this machine alone.
+// requireLoopback returns an error for an address outside loopback: the rig must be reachable from this machine only.
 func requireLoopback(addr string) error {
 	if addr == "" {
 		return nil
@@ -99,14 +100,14 @@
 		return err
 	}
 	if ip := net.ParseIP(host); ip == nil || !ip.IsLoopback() {
-		return fmt.Errorf("%s is no loopback address", addr)
+		return fmt.Errorf("%s is no loopback address: the rig listens on loopback only", addr)
 	}
 	return nil
 }
 
 func (r *run) say(format string, args ...any) { r.Say(format, args...) }
 
-// stage tells where the run is.
+// enterStage reports the stage that begins, and the processes that run, to Say and OnStage.
 func (r *run) enterStage(name string) {
 	r.say("%s", name)
 	if r.OnStage == nil {
@@ -215,7 +216,7 @@
 		"counter": r.counterAddrs.Real[k%r.Sizes.RealLimiters], "discovery": r.discoveryAddrs.Real[k%r.Sizes.RealLimiters]}, script)
 }
 
-// requests sweeps the rate of requests, with no change and no hollow limiter.
+// sweepRequests sweeps the rate of requests, without changes of the list and without hollow limiters.
 func (r *run) sweepRequests() error {
 	r.measurements.heldConstant["requests"] = fmt.Sprintf("%d real limiters of a fleet of %d by the settings, no hollow one, %d servers, no change, %.3g firms for each request a second, within their quotas",
 		len(r.realLimiters), r.configuredFleetSize(), r.listedServers, firmsPerRequestRate)
@@ -224,7 +225,7 @@
 		if err != nil {
 			return err
 		}
-		served := float64(got.Sent) / float64(len(r.realLimiters)) / (r.Sizes.Window + r.Sizes.Settle).Seconds() // as sent
+		served := float64(got.Sent) / float64(len(r.realLimiters)) / (r.Sizes.Window + r.Sizes.Settle).Seconds() // sent, whatever the answer
 		r.recordLimiters("requests", served, x)
 		r.recordRoles("requests", served*float64(len(r.realLimiters)), x, counterRole)
 		if rate == targetRequestsPerSecond || rate == heavyLoadFactor*targetRequestsPerSecond {
@@ -237,7 +238,8 @@
 	return nil
 }
 
-// besideServers measures straight to the servers what the last added time measured through limiters.
+// measureDirect sends the load of the last added time directly to the servers and records its 99th percentile beside that: the
+// part of the time that is due to sockets and the machine, not to limiters.
 func (r *run) measureDirect(rate float64) error {
 	var got LoadResult
 	if err := r.group.call(r.loadProcess, "Role.Run", LoadRun{r.directLoad(rate), r.Sizes.Settle, r.Sizes.Settle + r.Sizes.Window/2, r.Seed}, &got); err != nil {
@@ -247,11 +249,12 @@
 	return nil
 }
 
-// withControl measures the added time with the whole fleet and the target's rate of changes.
+// measureWithControl measures the added time while the list changes at the target's rate: in a full run beside the whole
+// fleet, and always beside at most maxHollowForAddedTime hollow limiters.
 func (r *run) measureWithControl() error {
 	if n := r.hollowLimiterCount(); n > maxHollowForAddedTime {
-		// A change told to all of them takes all of this machine for a moment, which is not what a limiter has a machine of its
-		// own for: what bounds are held against is measured beside few.
+		// A change that all hollow limiters take in occupies the whole machine for a moment. A limiter of a real fleet has a
+		// machine of its own, so the added time that is held against its bound is measured beside few hollow limiters.
 		if !r.Quick {
 			if err := r.measureControlled(targetRequestsPerSecond); err != nil {
 				return err
@@ -272,7 +275,7 @@
 	return nil
 }
 
-// controlled measures the added time at a rate of requests with the target's changes.
+// measureControlled measures the added time at a rate of requests while the list changes at the target's rate.
 func (r *run) measureControlled(rate float64) error {
 	lasts := max(r.Sizes.Window, burstDuration+time.Second)
 	_, got, err := r.measureWindow(lasts, r.regularLoad(rate), r.targetChanges(lasts))
--- a/internal/scale/servers.go
+++ b/internal/scale/servers.go
@@ -11,20 +11,20 @@
 	"bramblefall/internal/standin"
 )
 
-// Servers are hollow servers: any number of entries of the list share a few listeners. What they serve tells how long it
-// lay with them, so that the rest of a request's time is known.
+// Servers is the role of the stand-in servers: all entries of the list share a few listeners. Each answer says how long the
+// request was at the server, so that the load can tell the time added on the way.
 type Servers struct {
 	requests atomic.Int64
 	work     time.Duration
 }
 
-// ServersStart is what hollow servers begin with.
+// ServersStart configures the stand-in servers.
 type ServersStart struct {
 	Listeners int
-	Work      time.Duration // of a request
+	Work      time.Duration // time that each request takes
 }
 
-// Start begins to serve.
+// Start begins to serve and returns the listeners' addresses.
 func (s *Servers) Start(a ServersStart, out *[]string) error {
 	s.work = a.Work
 	for range a.Listeners {
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// Took is how many requests have come.
+// Requests returns how many requests were received so far.
 func (s *Servers) Requests(_ int, out *int64) error {
 	*out = s.requests.Load()
 	return nil
--- a/internal/scale/sweeps.go
+++ b/internal/scale/sweeps.go
@@ -12,27 +12,27 @@
 )
 
 const (
-	activeRequestsPerSecond = 1000.0 // requests a second of a limiter while firms become active
-	planChangeFirms         = 100    // that a change names while the limiters that are told grow
-	endpointsPerCluster     = 57     // endpoints of a cluster: the target's servers by its services
-	clusterReloadWait       = 1500 * time.Millisecond
-	clusterIdleTime         = time.Second
-	freshLimiterTime        = 5 * time.Second // of a limiter started beside the longest list
-	longListBytes           = 2 << 20         // bytes of a line
-	listTooLongText         = "list is too long"
+	activeRequestsPerSecond = 1000.0                  // of each limiter while the active firms are swept
+	planChangeFirms         = 100                     // named by the change of plans while the limiters that get it are swept
+	endpointsPerCluster     = 57                      // the target's servers divided by its services
+	clusterReloadWait       = 1500 * time.Millisecond // from a new file until the limiter has taken it in
+	clusterIdleTime         = time.Second             // over which the processor time without a change is measured
+	freshLimiterTime        = 5 * time.Second         // for a limiter that starts beside the longest list to take it in
+	longListBytes           = 2 << 20                 // from this length of its line on, a new limiter may refuse the whole list
+	listTooLongText         = "list is too long"      // in the log of a limiter that refuses it
 	clusterType             = "type.googleapis.com/envoy.config.cluster.v3.Cluster"
-	limiterCluster          = "c-0"
+	limiterCluster          = "c-0" // the one cluster of the file that the limiter uses
 )
 
-// tenants sweeps the firms that ask and the firms that the plan book names, each size on a real limiter of its own: a book
-// keeps what it held before, and a firm is remembered for minutes.
+// sweepTenants sweeps the firms that send requests. Each size is measured on a real limiter of its own, because a limiter
+// remembers a firm for minutes and would still hold those of the size before.
 func (r *run) sweepTenants() error {
 	sizes := r.Sizes.ActiveFirms
 	sizes = sizes[max(0, len(sizes)-len(r.realLimiters)):]
 	r.measurements.heldConstant["tenants_active"] = fmt.Sprintf("each size on a real limiter of its own; %g requests a second of each, of a plan that bounds nothing; %d servers, no change; memory is what came on top", activeRequestsPerSecond, r.listedServers)
 	var targets []LoadTarget
 	var before []float64
-	for k := range sizes { // at first one firm each: what the rate itself takes is not the firms'
+	for k := range sizes { // one firm each at first, so that the cost of the rate itself is not counted as that of the firms
 		targets = append(targets, LoadTarget{Addr: r.realLimiters[k].addr, RequestsPerSecond: activeRequestsPerSecond, Firms: 1, FirstFirmID: uint64(k+100) << 20, LimitersPerFirm: limitersPerFirm, FirstLimiter: k, Tier: tiers[1].Name, RoundRobin: true})
 	}
 	if _, _, err := r.measureWindow(r.Sizes.Window, targets, nil); err != nil {
@@ -56,7 +56,9 @@
 	return nil
 }
 
-// tools sweeps what operators do: a change of plans against the firms that it names and the limiters that are told, and a look.
+// sweepOperators measures what operators do, changing the plans and reading a plan book, against the firms that the change
+// names and against the limiters that get it. Each number of firms is measured on a real limiter of its own, because a book
+// keeps the plans it held before.
 func (r *run) sweepOperators() error {
 	const againstFirms, againstLimiters = "tenants_known", "limiters"
 	r.measurements.heldConstant[againstFirms] = fmt.Sprintf("one change of plans told to one real limiter, each size to one of its own, %d servers on its list; limiter's memory is what came on top", r.listedServers)
@@ -68,7 +70,7 @@
 			return err
 		}
 		if done.Firms != n {
-			return fmt.Errorf("a book names %d firms, it was told %d", done.Firms, n)
+			return fmt.Errorf("the plan book names %d firms after a change that names %d", done.Firms, n)
 		}
 		r.measurements.addWithUnit("seconds/change", "limiter", "processor", againstFirms, float64(n), (processorTime(l.pid) - used).Seconds())
 		r.measurements.add("limiter", "memory", againstFirms, float64(n), residentBytes(l.pid)-memory)
@@ -116,11 +118,13 @@
 	return nil
 }
 
+// execute has the operators' process carry out an order.
 func (r *run) execute(o Order) (done OrderResult, err error) {
 	err = r.group.call(r.operatorProcess, "Role.Execute", o, &done)
 	return done, err
 }
 
+// recordOrder records what an order cost the operators' process; per is what the units are for, such as "/change".
 func (r *run) recordOrder(role, per, against string, size int, done OrderResult) error {
 	if err := r.group.call(r.operatorProcess, "Peer.Collect", 0, new(int)); err != nil {
 		return err
@@ -133,13 +137,13 @@
 	return nil
 }
 
-// clustersDone is what a limiter used that follows a file of clusters, by their number.
+// clusterResult is what a limiter that follows a file of clusters used, by the number of clusters.
 type clusterResult struct {
-	points [][3]float64 // clusters, memory, seconds for a change
+	points [][3]float64 // number of clusters, resident bytes, seconds of processor time for taking in a changed file
 	err    error
 }
 
-// followClusters has a real limiter of its own follow a file of clusters that grows.
+// followClusters starts a separate real limiter that follows a file of clusters, and measures it while the file grows.
 func (r *run) followClusters() (result clusterResult) {
 	dir := filepath.Join(r.dir, "services")
 	if result.err = os.Mkdir(dir, 0o700); result.err != nil {
@@ -174,12 +178,13 @@
 		result.points = append(result.points, [3]float64{float64(n), residentBytes(l.pid), max(0, (processorTime(l.pid)-processorBefore).Seconds()-idle*clusterReloadWait.Seconds())})
 	}
 	if text := l.stderr.String(); strings.Contains(text, "cannot be used") {
-		result.err = fmt.Errorf("the limiter cannot use its clusters: %.300s", l.stderr.lastLine())
+		result.err = fmt.Errorf("the limiter rejected its file of clusters; the last line of its log: %.300s", l.stderr.lastLine())
 	}
 	r.group.kill(l.process)
 	return result
 }
 
+// startClusterLimiter starts a limiter whose external group, for the rate limit service, is a cluster read from file.
 func (r *run) startClusterLimiter(dir, file string) (*limiter, error) {
 	listen, err := loopback.AnyPort()
 	if err != nil {
@@ -190,7 +195,7 @@
 		"seed": "1", "limits": map[string]any{"cores": 1.0, "memory_mb": 512, "sockets": 1024}, "settings": r.Sizes.limiterSettings(1, 0)}, script)
 }
 
-// writeClusters puts a file of so many clusters in the place of the one before.
+// writeClusters replaces the file at path atomically by one with n clusters.
 func writeClusters(path string, n int) error {
 	type object = map[string]any
 	var list []object
@@ -212,7 +217,7 @@
 	return os.Rename(path+".new", path)
 }
 
-// services takes in what the limiter that follows clusters used.
+// collectClusters waits for followClusters and records what it measured.
 func (r *run) collectClusters() error {
 	r.measurements.heldConstant["services"] = fmt.Sprintf("Envoy's clusters in a file, %d endpoints each, of which the limiter uses one; messages do not arise", endpointsPerCluster)
 	result := <-r.clusterResults
@@ -226,13 +231,14 @@
 	return nil
 }
 
-// fresh starts a limiter beside the longest list and sees whether it takes it in at the first ask.
+// startBesideLongestList starts a limiter beside the longest list and checks whether it takes in the whole list at its first
+// request for it; where it does not, that is noted as Missing.
 func (r *run) startBesideLongestList() error {
 	before, err := r.takeSample()
 	if err != nil {
 		return err
 	}
-	l, err := r.startLimiter(len(r.realLimiters), r.configuredFleetSize(), "") // it asks where the first one does, which has its list
+	l, err := r.startLimiter(len(r.realLimiters), r.configuredFleetSize(), "") // it shares the discovery address of the first limiter, which has its list and does not ask for it again
 	if err != nil {
 		return err
 	}
@@ -261,7 +267,7 @@
 	return nil
 }
 
-// missing is what today's program has no notion of.
+// knownMissing lists the slopes that cannot be measured because the program has nothing that they would depend on.
 func knownMissing() []Missing {
 	return []Missing{
 		{"limiter", "all", "routes", "the program has no routes: what it is told of a request is its firm, tier and class"},
--- a/internal/scale/window.go
+++ b/internal/scale/window.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// sample is what all roles have used at a moment.
+// sample is what each role has used by one point in time.
 type sample struct {
 	at                 time.Duration
 	processor          map[string]time.Duration
@@ -13,6 +13,7 @@
 	discovery, counter GroupTraffic
 }
 
+// takeSample reads the traffic and processor time that all roles have used so far.
 func (r *run) takeSample() (s sample, err error) {
 	if err := r.group.call(r.discoveryProcess, "Role.Traffic", 0, &s.discovery); err != nil {
 		return s, err
@@ -31,12 +32,12 @@
 	return s, nil
 }
 
-// rates is what was used a second between two samples.
+// rates is what was used per second between two samples.
 type rates struct {
-	seconds                          float64
+	seconds                          float64 // between the samples
 	processor                        map[string]float64
-	limiterProcessor                 []float64  // processor
-	discoveryRates, counterRates     [2]float64 // messages, bytes
+	limiterProcessor                 []float64  // seconds of processor time a second, of each real limiter
+	discoveryRates, counterRates     [2]float64 // messages a second, bytes a second
 	limiterRates                     [][2]float64
 	discoveryTraffic, counterTraffic GroupTraffic
 }
@@ -65,7 +66,8 @@
 	return sum / float64(max(len(list), 1))
 }
 
-// window lets a load and a steady rate of changes run for a window and measures what they cost.
+// measureWindow runs a load and, one after the other, schedules of changes for a given time and measures what all roles used
+// meanwhile.
 func (r *run) measureWindow(duration time.Duration, targets []LoadTarget, schedules []ChangeSchedule) (x rates, load LoadResult, err error) {
 	var wg sync.WaitGroup
 	var first firstError
@@ -73,7 +75,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			// A bit longer than the window at its beginning: connections are up when it starts.
+			// The load begins earlier than the window, so that its connections are open when the window begins.
 			first.set(r.group.call(r.loadProcess, "Role.Run", LoadRun{targets, r.Sizes.Settle, duration + r.Sizes.Settle, r.Seed}, &load))
 		}()
 		if err := r.group.sleep(r.Sizes.Settle); err != nil {
@@ -118,7 +120,7 @@
 	return ratesBetween(a, b), load, nil
 }
 
-// usual is the load of firms that stay within their quotas.
+// regularLoad is a load at the given rate on each real limiter, by firms that stay within their quotas.
 func (r *run) regularLoad(rate float64) (list []LoadTarget) {
 	for k, l := range r.realLimiters {
 		list = append(list, LoadTarget{Addr: l.addr, RequestsPerSecond: rate, Firms: max(int(firmsPerRequestRate*rate), 1), FirstFirmID: uint64(k+1) << 20, LimitersPerFirm: limitersPerFirm, FirstLimiter: k, Tier: tiers[0].Name})
@@ -126,6 +128,7 @@
 	return list
 }
 
+// directLoad is the same rate sent to the stand-in servers, without a limiter in between.
 func (r *run) directLoad(rate float64) (list []LoadTarget) {
 	for k := range r.realLimiters {
 		list = append(list, LoadTarget{Addr: r.serverAddrs[k%len(r.serverAddrs)], RequestsPerSecond: rate, Firms: 1, LimitersPerFirm: 1, Tier: tiers[0].Name})
@@ -133,13 +136,14 @@
 	return list
 }
 
+// recordAddedTime adds the result of a load to the figures; control says whether the list changed meanwhile.
 func (r *run) recordAddedTime(rate float64, control bool, got LoadResult) {
 	r.figures.Added = append(r.figures.Added, AddedTime{PerSecond: rate, Control: control, P50: got.P50MS, P99: got.P99MS, Requests: got.Timed,
 		Limiters: r.hollowLimiterCount() + len(r.realLimiters), Servers: r.listedServers, Refused: got.Refused, Lost: got.Lost})
 	r.say("%g requests a second of each limiter: 99 in 100 wait %.2f ms longer (half: %.2f); %d refused, %d lost", rate, got.P99MS, got.P50MS, got.Refused, got.Lost)
 }
 
-// limiterPoint notes what a real limiter used at a size.
+// recordLimiters records the mean of what the real limiters used at a size.
 func (r *run) recordLimiters(against string, size float64, x rates) {
 	var memory, messages, bytes []float64
 	for k, l := range r.realLimiters {
@@ -152,7 +156,7 @@
 	r.measurements.add("limiter", "bytes", against, size, mean(bytes))
 }
 
-// rolePoint notes what control roles used at a size.
+// recordRoles records what discovery or the counter used at a size.
 func (r *run) recordRoles(against string, size float64, x rates, roles ...string) {
 	for _, role := range roles {
 		p, t := r.discoveryProcess, x.discoveryRates
@@ -166,6 +170,7 @@
 	}
 }
 
+// collectGarbage has discovery, the counter and the hollow limiters return unused memory, so that sizes can be compared.
 func (r *run) collectGarbage() error {
 	for _, p := range append([]*process{r.discoveryProcess, r.counterProcess}, r.hollowProcesses...) {
 		if err := r.group.call(p, "Peer.Collect", 0, new(int)); err != nil {
@@ -175,6 +180,7 @@
 	return nil
 }
 
+// recordHollow records what all hollow limiters together used at a size.
 func (r *run) recordHollow(against string, size float64, x rates) {
 	memory := 0.0
 	for _, p := range r.hollowProcesses {
