--- a/internal/scale/counter.go
+++ b/internal/scale/counter.go
@@ -36,12 +36,12 @@
 }
 
 // Start begins to serve hollow limiters and the given number of real ones.
-func (c *Counter) Start(real int, out *Addresses) (err error) {
-	c.meters = make(groupMeters, real+1)
+func (c *Counter) Start(realLimiters int, out *Addresses) (err error) {
+	c.meters = make(groupMeters, realLimiters+1)
 	for k := range c.shards {
 		c.shards[k].totals = map[string]total{}
 	}
-	*out, err = listenForLimiters("", real, c.serve)
+	*out, err = listenForLimiters("", realLimiters, c.serve)
 	return err
 }
 
--- a/internal/scale/discovery.go
+++ b/internal/scale/discovery.go
@@ -17,45 +17,46 @@
 )
 
 const (
-	heartbeatInterval  = 2 * time.Second // an empty line, as the platform's discovery sends it
-	maxServersPerLine  = 5000            // servers that one change names: a line has a bound
+	heartbeatInterval  = 2 * time.Second // between the empty lines that the platform's discovery also sends
+	maxServersPerLine  = 5000            // limiters accept lines up to a certain length only
 	requestBufferBytes = 512
 )
 
-// Discovery is the stand-in for discovery of a large fleet: to each watch it tells the whole list once, and then changes as
-// changes. A server's start carries the version that last named it (as a time long ago), so that who follows the list can
-// tell how far it is.
+// Discovery is the role of the stand-in discovery of a large fleet. It sends each watch the whole list once and then only
+// changes. The start time of a server (in milliseconds, so a time long ago) is the version of the list that last named it: from
+// that a limiter that follows the list can tell which version it has.
 type Discovery struct {
 	ctx              context.Context
 	meters           groupMeters
-	changesScheduled int // of steady changes
+	changesScheduled int // made by RunSchedule so far
 
 	mu        sync.Mutex
 	version   int64
 	servers   []discovery.Server
 	addrs     []string
 	zones     []string
-	wholeList []byte // the list as a chunk; nil: to be made
-	changeLog [][]byte
-	changed   chan struct{}
+	wholeList []byte        // the current list as a chunk; nil: has to be encoded again
+	changeLog [][]byte      // each change as a chunk; the one at index k made version k+2
+	changed   chan struct{} // closed and replaced with each change
 }
 
-// DiscoveryStart is what a stand-in discovery begins with.
+// DiscoveryStart configures the stand-in discovery.
 type DiscoveryStart struct {
-	HollowListen string // for hollow limiters; "": a free port of loopback
-	Servers      int
-	Addrs        []string // of the servers, in turn
-	Zones        []string
-	RealLimiters int // limiters
+	HollowListen string   // address for hollow limiters; "": a free port of loopback
+	Servers      int      // on the list at first
+	Addrs        []string // of the stand-in servers, given to the listed servers in turn
+	Zones        []string // given to the listed servers in turn
+	RealLimiters int      // number of them, each of which gets an address of its own
 }
 
-// Places is where a role listens: for hollow limiters and for each real one, so that it can tell them apart.
+// Addresses are where a role listens: one address for all hollow limiters and one for each real limiter, so that the role can
+// tell their connections apart.
 type Addresses struct {
 	Hollow string
 	Real   []string
 }
 
-// listenAt opens the listener for a limiter, or for all hollow ones (0), at the address that is named for these, if any.
+// listenForGroup opens the listener of a group of limiters: 0 is the hollow ones, for which an address may be given.
 func listenForGroup(hollow string, limiter int) (net.Listener, error) {
 	if limiter == 0 && hollow != "" {
 		return net.Listen("tcp", hollow)
@@ -63,9 +64,10 @@
 	return loopback.Listen()
 }
 
-// listenFor takes connections of hollow limiters at first ("": a free port) and of so many real ones at ports of their own.
-func listenForLimiters(hollowAddr string, real int, serve func(conn net.Conn, group int)) (p Addresses, err error) {
-	for k := range real + 1 {
+// listenForLimiters accepts connections of hollow limiters at hollowAddr ("": a free port), and of each real limiter at a port
+// of its own. serve is called with the group of the limiter: 0 is the hollow ones, k the k-th real one.
+func listenForLimiters(hollowAddr string, realLimiters int, serve func(conn net.Conn, group int)) (p Addresses, err error) {
+	for k := range realLimiters + 1 {
 		l, err := listenForGroup(hollowAddr, k)
 		if err != nil {
 			return p, err
@@ -88,7 +90,7 @@
 	return p, nil
 }
 
-// Start begins to serve.
+// Start begins to serve watches and returns the addresses.
 func (d *Discovery) Start(s DiscoveryStart, out *Addresses) (err error) {
 	d.version, d.addrs, d.zones, d.changed = 1, s.Addrs, s.Zones, make(chan struct{})
 	d.addServers(s.Servers)
@@ -97,6 +99,7 @@
 	return err
 }
 
+// addServers lengthens the list to the given number of servers and returns the new ones. d.mu is held, or nothing is served yet.
 func (d *Discovery) addServers(to int) (added []discovery.Server) {
 	from := len(d.servers)
 	for k := from; k < to; k++ {
@@ -106,22 +109,23 @@
 	return d.servers[from:]
 }
 
-// Change is one step of the list.
+// Change is a change of the list: either its growth to GrowTo servers, or where that is 0 a new State of the servers From,
+// From+Step, ... below To. A server that is gone is remembered and may come back.
 type Change struct {
-	GrowTo int    // to so many servers; 0: as they are
-	From   int    // or the servers From, From+Step, ... below To
-	To     int    //
-	Step   int    //
-	State  string // get this state; gone ones stay in mind and may come back
+	GrowTo int // servers on the list afterwards
+	From   int
+	To     int
+	Step   int // 0: 1
+	State  string
 }
 
-// Told is when a change was written to the log, and the version that it made.
+// AppliedChange is the version that a change made, and when it was made.
 type AppliedChange struct {
 	Version   int64
-	AppliedAt time.Duration
+	AppliedAt time.Duration // by now()
 }
 
-// Change changes the list and tells all watches. A growth beyond what a line bears is told in several.
+// Change changes the list and notifies all watches. A growth by more than maxServersPerLine is sent as several changes.
 func (d *Discovery) Change(c Change, out *AppliedChange) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -135,20 +139,21 @@
 		return nil
 	}
 	d.version++
-	var named []discovery.Server
+	var changed []discovery.Server
 	for k := c.From; k < min(c.To, len(d.servers)); k += max(c.Step, 1) {
 		d.servers[k].State, d.servers[k].StartedMS = c.State, d.version
-		named = append(named, d.servers[k])
+		changed = append(changed, d.servers[k])
 	}
-	if len(named) == 0 {
-		return fmt.Errorf("a change that names no server: %+v", c)
+	if len(changed) == 0 {
+		return fmt.Errorf("the change %+v names none of %d servers", c, len(d.servers))
 	}
-	d.logChange(named)
+	d.logChange(changed)
 	out.Version = d.version
 	return nil
 }
 
-// Steady tells changes at a rate for a time: servers drain and are ready again, in turn. It gives how many and the last.
+// RunSchedule makes changes at a rate for a given time: servers are drained and made ready again, one after the other. It
+// returns the number of changes and the last one.
 func (d *Discovery) RunSchedule(s ChangeSchedule, out *ScheduleResult) error {
 	began := now()
 	for {
@@ -162,7 +167,7 @@
 			return d.ctx.Err()
 		}
 		for range max(s.ChangesAtOnce, 1) {
-			// Each server is drained by one change and ready by the next: no server stays out.
+			// One change drains a server and the next makes it ready again, so that no server stays out of service.
 			k, state := d.changesScheduled/2%s.ServersChanged, "draining"
 			if d.changesScheduled%2 == 1 {
 				state = "ready"
@@ -176,21 +181,22 @@
 	}
 }
 
-// Steady is a rate of changes for a time.
+// ChangeSchedule is a rate of changes for a given time.
 type ChangeSchedule struct {
 	ChangesPerSecond float64
-	FirstAfter       time.Duration // until the first
+	FirstAfter       time.Duration // from the beginning until the first change
 	Duration         time.Duration
-	ServersChanged   int // servers that change
-	ChangesAtOnce    int // changes at once; 0: one
+	ServersChanged   int // the first so many servers of the list are changed in turn
+	ChangesAtOnce    int // made each time one is due; 0: one
 }
 
-// Steadied is what came of it.
+// ScheduleResult is the number of changes that a schedule made, and the last of them.
 type ScheduleResult struct {
 	Changes int
 	Last    AppliedChange
 }
 
+// logChange appends a change to the log under the current version and wakes all watches. d.mu is held.
 func (d *Discovery) logChange(changed []discovery.Server) {
 	d.wholeList = nil
 	d.changeLog = append(d.changeLog, encodeChunk(discovery.List{Version: d.version, Servers: changed}))
@@ -198,15 +204,17 @@
 	d.changed = make(chan struct{})
 }
 
+// encodeChunk encodes a list as a line in a chunk of HTTP's chunked transfer encoding.
 func encodeChunk(l discovery.List) []byte {
 	raw, _ := json.Marshal(l)
 	b := strconv.AppendInt(make([]byte, 0, len(raw)+12), int64(len(raw)+1), 16)
 	return append(append(append(b, "\r\n"...), raw...), "\n\r\n"...)
 }
 
+// heartbeatChunk is a chunk with an empty line.
 var heartbeatChunk = []byte("1\r\n\n\r\n")
 
-// list is the whole list as a chunk. d.mu is held.
+// encodeList returns the whole list as a chunk, without servers that are gone. d.mu is held.
 func (d *Discovery) encodeList() []byte {
 	if d.wholeList == nil {
 		l := discovery.List{Version: d.version, Full: true}
@@ -220,7 +228,7 @@
 	return d.wholeList
 }
 
-// Size is the length of the whole list's line, and how many servers there are.
+// ListSize returns the length in bytes of the whole list's chunk, and the number of servers, gone ones included.
 func (d *Discovery) ListSize(_ int, out *[2]int) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -228,13 +236,13 @@
 	return nil
 }
 
-// Traffic tells what was counted so far.
+// Traffic returns the traffic so far.
 func (d *Discovery) Traffic(_ int, out *GroupTraffic) error {
 	*out = d.meters.read()
 	return nil
 }
 
-// counted is a connection whose bytes are counted.
+// countingConn counts the bytes of a connection in both directions.
 type countingConn struct {
 	net.Conn
 	meter *meter
@@ -252,6 +260,7 @@
 	return n, err
 }
 
+// serve serves one watch of a limiter of the given group.
 func (d *Discovery) serve(raw net.Conn, group int) {
 	m := &d.meters[group]
 	conn := countingConn{raw, m}
@@ -267,7 +276,7 @@
 	head := []byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 	d.mu.Lock()
 	logIndex := len(d.changeLog)
-	if from < 2 || from > d.version { // versions begin at 1, and it takes one change to make 2
+	if from < 2 || from > d.version { // the log begins with the change that made version 2
 		head = append(head, d.encodeList()...)
 		m.wholeLists.Add(1)
 	} else {
@@ -283,7 +292,7 @@
 		return
 	}
 	disconnected := make(chan struct{})
-	go func() { // a watch that its limiter has left must not stay
+	go func() { // ends the watch when the limiter closes its connection
 		_, _ = raw.Read(make([]byte, 1))
 		close(disconnected)
 	}()
@@ -319,7 +328,7 @@
 	}
 }
 
-// asked reads the request for a watch, and from which version.
+// readWatchRequest reads the request for a watch and returns the version from which changes are wanted.
 func readWatchRequest(conn net.Conn) (from int64, ok bool) {
 	req, err := http.ReadRequest(bufio.NewReaderSize(conn, requestBufferBytes))
 	if err != nil || req.URL.Path != "/registry/instances" || req.FormValue("watch") != "1" {
--- a/internal/scale/family.go
+++ b/internal/scale/family.go
@@ -54,26 +54,26 @@
 	onLine func(line string) // called for each line; nil: nothing is called
 }
 
-func (s *outputTail) add(line string) {
-	s.mu.Lock()
-	s.text = append(s.text, line...)
-	if len(s.text) > maxStderrBytes {
-		s.text = bytes.Clone(s.text[len(s.text)-maxStderrBytes/2:])
+func (t *outputTail) add(line string) {
+	t.mu.Lock()
+	t.text = append(t.text, line...)
+	if len(t.text) > maxStderrBytes {
+		t.text = bytes.Clone(t.text[len(t.text)-maxStderrBytes/2:])
 	}
-	s.mu.Unlock()
-	if s.onLine != nil {
-		s.onLine(line)
+	t.mu.Unlock()
+	if t.onLine != nil {
+		t.onLine(line)
 	}
 }
 
-func (s *outputTail) String() string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return string(s.text)
+func (t *outputTail) String() string {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return string(t.text)
 }
 
-func (s *outputTail) lastLine() string {
-	lines := strings.Split(strings.TrimSpace(s.String()), "\n")
+func (t *outputTail) lastLine() string {
+	lines := strings.Split(strings.TrimSpace(t.String()), "\n")
 	return lines[len(lines)-1]
 }
 
@@ -93,7 +93,7 @@
 
 // start starts a process that the kernel kills when the rig ends, however that ends. The process has a process group of its
 // own, so that the terminal's signals reach only the rig.
-func (f *processGroup) start(name string, cmd *exec.Cmd, onLine func(string)) (*process, error) {
+func (g *processGroup) start(name string, cmd *exec.Cmd, onLine func(string)) (*process, error) {
 	p := &process{name: name, cmd: cmd, exited: make(chan struct{})}
 	p.stderr.onLine = onLine
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
@@ -101,18 +101,18 @@
 	if err != nil {
 		return nil, err
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.closed {
-		return nil, context.Cause(f.ctx)
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.closed {
+		return nil, context.Cause(g.ctx)
 	}
 	done := make(chan error)
-	f.starts <- func() { done <- cmd.Start() }
+	g.starts <- func() { done <- cmd.Start() }
 	if err := <-done; err != nil {
 		return nil, err
 	}
 	p.pid = cmd.Process.Pid
-	f.processes = append(f.processes, p)
+	g.processes = append(g.processes, p)
 	go func() {
 		lines := bufio.NewReader(stderr)
 		for {
@@ -126,7 +126,7 @@
 		}
 		err := cmd.Wait()
 		if !p.exitExpected.Load() {
-			f.cancel(fmt.Errorf("the process %s ended by itself: %v: %.200s", name, err, p.stderr.lastLine()))
+			g.cancel(fmt.Errorf("the process %s ended by itself: %v: %.200s", name, err, p.stderr.lastLine()))
 		}
 		close(p.exited)
 	}()
@@ -134,7 +134,7 @@
 }
 
 // startChild starts one of the rig's own processes in a role and connects to it by RPC over its standard input and output.
-func (f *processGroup) startChild(name, role string, command func(role string) *exec.Cmd) (*process, error) {
+func (g *processGroup) startChild(name, role string, command func(role string) *exec.Cmd) (*process, error) {
 	cmd := command(role)
 	in, err := cmd.StdinPipe()
 	if err != nil {
@@ -144,7 +144,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p, err := f.start(name, cmd, nil)
+	p, err := g.start(name, cmd, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -159,47 +159,47 @@
 }
 
 // call calls a method of a child process and returns early when the run is cancelled.
-func (f *processGroup) call(p *process, method string, args, out any) error {
+func (g *processGroup) call(p *process, method string, args, out any) error {
 	c := p.client.Go(method, args, out, make(chan *rpc.Call, 1))
 	select {
 	case <-c.Done:
 		if c.Error != nil {
 			select { // the exit of the process, where it is noticed shortly after, explains more than the failed call
-			case <-f.ctx.Done():
-				return context.Cause(f.ctx)
+			case <-g.ctx.Done():
+				return context.Cause(g.ctx)
 			case <-time.After(100 * time.Millisecond):
 			}
 			return fmt.Errorf("%s, %s: %w", p.name, method, c.Error)
 		}
 		return nil
-	case <-f.ctx.Done():
-		return context.Cause(f.ctx)
+	case <-g.ctx.Done():
+		return context.Cause(g.ctx)
 	}
 }
 
 // sleep waits for d, or until the run is cancelled.
-func (f *processGroup) sleep(d time.Duration) error {
+func (g *processGroup) sleep(d time.Duration) error {
 	select {
 	case <-time.After(d):
 		return nil
-	case <-f.ctx.Done():
-		return context.Cause(f.ctx)
+	case <-g.ctx.Done():
+		return context.Cause(g.ctx)
 	}
 }
 
 // kill kills one process and waits until it has exited.
-func (f *processGroup) kill(p *process) {
+func (g *processGroup) kill(p *process) {
 	p.exitExpected.Store(true)
 	_ = p.cmd.Process.Kill()
 	<-p.exited
 }
 
 // close kills all processes, waits until they have exited and cancels the run.
-func (f *processGroup) close() {
-	f.mu.Lock()
-	f.closed = true
-	list := f.processes
-	f.mu.Unlock()
+func (g *processGroup) close() {
+	g.mu.Lock()
+	g.closed = true
+	list := g.processes
+	g.mu.Unlock()
 	for _, p := range list {
 		p.exitExpected.Store(true)
 		_ = p.cmd.Process.Kill()
@@ -207,8 +207,8 @@
 	for _, p := range list {
 		<-p.exited
 	}
-	f.cancel(context.Canceled)
-	close(f.starts)
+	g.cancel(context.Canceled)
+	close(g.starts)
 }
 
 // limiter is a process that runs the real program.
@@ -219,7 +219,7 @@
 
 // startLimiter writes a limiter's configuration and operator script into dir, starts the real program and waits until its log
 // says that it serves.
-func (f *processGroup) startLimiter(binary, dir, name string, config map[string]any, script string) (*limiter, error) {
+func (g *processGroup) startLimiter(binary, dir, name string, config map[string]any, script string) (*limiter, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
@@ -235,7 +235,7 @@
 		return nil, err
 	}
 	serving := make(chan string, 1)
-	p, err := f.start(name, exec.Command(binary, "-config", configPath, "-operator", scriptPath), func(line string) {
+	p, err := g.start(name, exec.Command(binary, "-config", configPath, "-operator", scriptPath), func(line string) {
 		if _, addr, ok := strings.Cut(line, "msg=serving name="); ok {
 			if _, addr, ok = strings.Cut(addr, "listen="); ok {
 				serving <- strings.TrimSpace(addr)
@@ -248,8 +248,8 @@
 	select {
 	case addr := <-serving:
 		return &limiter{p, addr, filepath.Join(dir, "admin.sock")}, nil
-	case <-f.ctx.Done():
-		return nil, context.Cause(f.ctx)
+	case <-g.ctx.Done():
+		return nil, context.Cause(g.ctx)
 	case <-time.After(startTimeout):
 		return nil, fmt.Errorf("%s is not serving after %s; its last line: %.200s", name, startTimeout, p.stderr.lastLine())
 	}
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -41,22 +41,22 @@
 // defaultUnits are the units of quantities that are measured per second; memory is an amount.
 var defaultUnits = map[string]string{"memory": "bytes", "processor": "seconds/s", "messages": "1/s", "bytes": "bytes/s"}
 
-func (l *measurements) add(role, quantity, against string, size, value float64) {
+func (m *measurements) add(role, quantity, against string, size, value float64) {
 	key := slopeKey{role, quantity, against}
-	l.points[key] = append(l.points[key], [2]float64{size, value})
+	m.points[key] = append(m.points[key], [2]float64{size, value})
 }
 
 // addWithUnit is add for a value in a unit other than the default one, such as seconds per change.
-func (l *measurements) addWithUnit(unit, role, quantity, against string, size, value float64) {
-	l.units[slopeKey{role, quantity, against}] = unit
-	l.add(role, quantity, against, size, value)
+func (m *measurements) addWithUnit(unit, role, quantity, against string, size, value float64) {
+	m.units[slopeKey{role, quantity, against}] = unit
+	m.add(role, quantity, against, size, value)
 }
 
 // slopes fits a line for each quantity that was measured at three sizes or more, in a fixed order.
-func (l *measurements) slopes() (list []Slope) {
-	for key, points := range l.points {
-		s := Slope{Role: key.role, What: key.quantity, Unit: defaultUnits[key.quantity], Against: key.against, Held: l.heldConstant[key.against]}
-		if unit, ok := l.units[key]; ok {
+func (m *measurements) slopes() (list []Slope) {
+	for key, points := range m.points {
+		s := Slope{Role: key.role, What: key.quantity, Unit: defaultUnits[key.quantity], Against: key.against, Held: m.heldConstant[key.against]}
+		if unit, ok := m.units[key]; ok {
 			s.Unit = unit
 		}
 		for _, p := range points {
--- a/internal/scale/growth.go
+++ b/internal/scale/growth.go
@@ -4,7 +4,7 @@
 
 // growFleet starts hollow limiters until there are as many as given, evenly over their processes, and waits until all have the
 // list.
-func (r *run) growFleet(to int) error {
+func (r *run) growFleet(limiters int) error {
 	for len(r.hollowProcesses) < hollowProcessCount {
 		p, err := r.group.startChild(indexedName(hollowRole, len(r.hollowProcesses)), hollowRole, r.Child)
 		if err != nil {
@@ -12,18 +12,18 @@
 		}
 		r.hollowProcesses, r.hollowCounts = append(r.hollowProcesses, p), append(r.hollowCounts, 0)
 	}
-	for some := true; some; { // at most maxHollowPerStart at once in each process: a machine that thousands share cannot start all at the same time
-		some = false
+	for added := true; added; { // at most maxHollowPerStart at once in each process: a machine that thousands share cannot start all at the same time
+		added = false
 		for k := range r.hollowProcesses {
-			n := to / hollowProcessCount
-			if k < to%hollowProcessCount {
+			n := limiters / hollowProcessCount
+			if k < limiters%hollowProcessCount {
 				n++
 			}
 			n = min(n-r.hollowCounts[k], maxHollowPerStart)
 			if err := r.addHollow(k, n); err != nil {
 				return err
 			}
-			some = some || n > 0
+			added = added || n > 0
 		}
 		if err := r.awaitLists(); err != nil {
 			return err
@@ -63,14 +63,14 @@
 		return err
 	}
 	for _, p := range r.hollowProcesses {
-		var a FleetStatus
+		var a HollowStatus
 		if err := r.group.call(p, "Role.Arrivals", int64(0), &a); err != nil {
 			return err
 		}
 		if n := int(a.unanswered()); n > 0 {
 			r.unansweredCalls += n
-			r.unansweredReasons = append(r.unansweredReasons, fmt.Sprintf("%d never left or were turned away, %d were lost with their connection, %d are open", a.Unsent, a.Lost,
-				a.unanswered()-a.Unsent-a.Lost))
+			r.unansweredReasons = append(r.unansweredReasons, fmt.Sprintf("%d never left or were turned away, %d were lost with their connection, %d are open", a.UnsentOrRejected, a.Lost,
+				a.unanswered()-a.UnsentOrRejected-a.Lost))
 		}
 		r.group.kill(p)
 	}
@@ -89,7 +89,7 @@
 		if err := r.group.sleep(r.Sizes.Settle); err != nil {
 			return err
 		}
-		x, _, err := r.measureWindow(r.Sizes.Window, r.regularLoad(targetRequestsPerSecond), []ChangeSchedule{{ChangesPerSecond: r.Sizes.BackgroundChangesPerSecond, Duration: r.Sizes.Window}})
+		used, _, err := r.measureWindow(r.Sizes.Window, r.regularLoad(targetRequestsPerSecond), []ChangeSchedule{{ChangesPerSecond: r.Sizes.BackgroundChangesPerSecond, Duration: r.Sizes.Window}})
 		if err != nil {
 			return err
 		}
@@ -97,9 +97,9 @@
 			return err
 		}
 		size := float64(n + len(r.realLimiters))
-		r.recordLimiters("limiters", size, x)
-		r.recordRoles("limiters", size, x, discoveryRole, counterRole)
-		r.recordHollow("limiters", float64(n), x)
+		r.recordLimiters("limiters", size, used)
+		r.recordRoles("limiters", size, used, discoveryRole, counterRole)
+		r.recordHollow("limiters", float64(n), used)
 		m, err := r.measureChange(Change{To: 1, State: "ready"}, deliveryTimeout)
 		if err != nil {
 			return err
@@ -121,7 +121,7 @@
 		if err := r.growList(n); err != nil {
 			return err
 		}
-		x, _, err := r.measureWindow(r.Sizes.Window, nil, []ChangeSchedule{{ChangesPerSecond: r.Sizes.BackgroundChangesPerSecond, Duration: r.Sizes.Window}})
+		used, _, err := r.measureWindow(r.Sizes.Window, nil, []ChangeSchedule{{ChangesPerSecond: r.Sizes.BackgroundChangesPerSecond, Duration: r.Sizes.Window}})
 		if err != nil {
 			return err
 		}
@@ -132,23 +132,23 @@
 		if err := r.group.call(r.discoveryProcess, "Role.ListSize", 0, &size); err != nil {
 			return err
 		}
-		r.recordLimiters("servers", float64(n), x)
-		r.recordHollow("servers", float64(n), x)
-		r.recordRoles("servers", float64(n), x, discoveryRole)
+		r.recordLimiters("servers", float64(n), used)
+		r.recordHollow("servers", float64(n), used)
+		r.recordRoles("servers", float64(n), used, discoveryRole)
 		r.measurements.addWithUnit("bytes/list", "discovery", "list", "servers", float64(n), float64(size[0]))
 	}
 	return r.measureLongestList()
 }
 
 // growList has discovery add servers to the list and waits until the real limiters have read all of them.
-func (r *run) growList(to int) error {
+func (r *run) growList(servers int) error {
 	from := now()
-	m, err := r.measureChange(Change{GrowTo: to}, deliveryTimeout)
+	m, err := r.measureChange(Change{GrowTo: servers}, deliveryTimeout)
 	if err != nil {
 		return err
 	}
-	added := to - r.listedServers
-	r.listedServers = to
+	added := servers - r.listedServers
+	r.listedServers = servers
 	before := int64(-1)
 	for last := now(); now()-from < deliveryTimeout; {
 		var t GroupTraffic
@@ -166,7 +166,7 @@
 		}
 	}
 	if added > 0 {
-		m.Name, m.Servers = "growth", to
+		m.Name, m.Servers = "growth", servers
 		m.Note = joinNotes(fmt.Sprintf("%d servers more, %d in a line at most", added, maxServersPerLine), m.Note)
 		r.figures.Moments = append(r.figures.Moments, m)
 	}
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -18,29 +18,30 @@
 	"bramblefall/logic"
 )
 
-const callTick = 10 * time.Millisecond // between two looks for calls that are due
+const callTick = 10 * time.Millisecond // interval at which calls that are due are made
 
-// Hollow holds hollow limiters: each follows discovery and calls the counter through the limiter's own packages, keeps the
-// list as they do, and serves nobody.
+// Hollow is the role of a process with many hollow limiters. Each follows discovery and calls the counter through the real
+// limiter's packages and keeps the list as these do, but serves no clients.
 type Hollow struct {
 	ctx context.Context
 
 	mu             sync.Mutex
 	limiters       []*hollowLimiter
-	callsPerSecond float64 // calls a second of each
-	adminsStarted  int
+	callsPerSecond float64 // to the counter, of each limiter
+	adminsStarted  int     // limiters with only a plan book and the operators' service
 
-	calls, answered, unsent, lost atomic.Int64
+	calls, answered, unsentOrRejected, lost atomic.Int64
 }
 
+// hollowLimiter is one hollow limiter, and how far it has followed the list.
 type hollowLimiter struct {
 	counter *counter.Set
 
 	mu        sync.Mutex
 	addrs     map[logic.ServerID]string
 	version   int64
-	versionAt time.Duration // when the last version came
-	listedAt  time.Duration // when the first whole list came
+	versionAt time.Duration // when version arrived, by now()
+	listedAt  time.Duration // when the first whole list arrived; 0: none yet
 }
 
 func newHollow(ctx context.Context) *Hollow {
@@ -59,6 +60,7 @@
 // Withdraw implements discovery.Addresses. A hollow limiter has no connections to servers.
 func (h *hollowLimiter) Withdraw(logic.ServerID) {}
 
+// handleEvent notes the newest version that a list or change names as a server's start time, see Discovery.
 func (h *hollowLimiter) handleEvent(ev core.Event) {
 	list, ok := ev.(core.UpstreamGroup)
 	if !ok {
@@ -78,20 +80,21 @@
 	}
 }
 
-// HollowAdd says which limiters to add.
+// HollowAdd configures hollow limiters that are to be added.
 type HollowAdd struct {
 	Limiters           int
-	Discovery, Counter string
-	FleetSize          int // limiters in all, as the settings say
-	CallsPerSecond     float64
+	Discovery, Counter string  // addresses
+	FleetSize          int     // number of limiters in the settings
+	CallsPerSecond     float64 // to the counter, of each limiter, also of those added before
 	DrainGrace         time.Duration
 }
 
+// hollowSettings are the settings that following discovery needs.
 func hollowSettings(fleet int, grace time.Duration) logic.Settings {
 	return logic.Settings{Gateways: fleet, DrainGrace: grace, ZoneNames: zones, KindNames: []string{"std-3core"}}
 }
 
-// Add starts more limiters.
+// Add starts more hollow limiters.
 func (h *Hollow) Add(a HollowAdd, _ *int) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -111,7 +114,7 @@
 	return nil
 }
 
-// ended counts the end of a call to the counter.
+// recordCallEnd counts the result of a call to the counter.
 func (h *Hollow) recordCallEnd(status logic.Status) {
 	switch status {
 	case logic.OK:
@@ -119,11 +122,11 @@
 	case logic.Reset:
 		h.lost.Add(1)
 	default:
-		h.unsent.Add(1)
+		h.unsentOrRejected.Add(1)
 	}
 }
 
-// Calls sets how many calls a second each makes.
+// Calls sets how many calls a second each limiter makes.
 func (h *Hollow) Calls(rate float64, _ *int) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -131,6 +134,7 @@
 	return nil
 }
 
+// makeCalls makes the calls of all limiters in turn, each under a random one of a million names.
 func (h *Hollow) makeCalls() {
 	tick := time.NewTicker(callTick)
 	defer tick.Stop()
@@ -156,27 +160,28 @@
 	}
 }
 
-// Arrived is how far hollow limiters are.
-type FleetStatus struct {
-	Limiters  int
-	Behind    int             // that do not have the version
-	ArrivedAt []time.Duration // when the others had it
-	ListedAt  []time.Duration // when they had their first whole list
-	Calls     int64
-	Answered  int64
-	Unsent    int64 // calls that never left, or that the counter turned away
-	Lost      int64 // calls whose connection ended before their answer
+// HollowStatus is how far the hollow limiters of a process have followed the list, and what became of their calls.
+type HollowStatus struct {
+	Limiters         int
+	Behind           int             // limiters that do not have the version yet
+	ArrivedAt        []time.Duration // when the others got their last version, by now()
+	ListedAt         []time.Duration // when limiters got their first whole list, by now()
+	Calls            int64           // made to the counter
+	Answered         int64
+	UnsentOrRejected int64 // calls that were never sent, or that the counter turned away
+	Lost             int64 // calls whose connection ended before their answer
 }
 
-// unanswered is how many calls to the counter have no answer.
-func (a FleetStatus) unanswered() int64 { return a.Calls - a.Answered }
+// unanswered is the number of calls to the counter without an answer, including those still in flight.
+func (a HollowStatus) unanswered() int64 { return a.Calls - a.Answered }
 
-// Arrivals tells who has a version, and when it came if it is the last.
-func (h *Hollow) Arrivals(version int64, out *FleetStatus) error {
+// Arrivals returns how many limiters have at least the given version. The times are those of the last version of each limiter,
+// so they are that version's only while no later one has been sent.
+func (h *Hollow) Arrivals(version int64, out *HollowStatus) error {
 	h.mu.Lock()
 	limiters := h.limiters
 	h.mu.Unlock()
-	*out = FleetStatus{Limiters: len(limiters), Calls: h.calls.Load(), Answered: h.answered.Load(), Unsent: h.unsent.Load(), Lost: h.lost.Load()}
+	*out = HollowStatus{Limiters: len(limiters), Calls: h.calls.Load(), Answered: h.answered.Load(), UnsentOrRejected: h.unsentOrRejected.Load(), Lost: h.lost.Load()}
 	for _, l := range limiters {
 		l.mu.Lock()
 		if l.version < version {
@@ -192,14 +197,14 @@
 	return nil
 }
 
-// Admins asks for limiters that have a plan book and the operators' service, and nothing else.
+// AdminStart configures limiters that have a plan book and the operators' service, and nothing else.
 type AdminStart struct {
-	Dir   string
+	Dir   string // for their admin sockets
 	Count int
 	Tiers []logic.Plan
 }
 
-// Admin starts so many and tells their sockets.
+// StartAdmins starts such limiters and returns their admin sockets.
 func (h *Hollow) StartAdmins(a AdminStart, out *[]string) error {
 	for range a.Count {
 		h.adminsStarted++
--- a/internal/scale/load.go
+++ b/internal/scale/load.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	requestDeadline  = 4 * time.Second               // the deadline of the class balance-read
-	clientTimeout    = requestDeadline + time.Second // an answer at the deadline still arrives
-	minRecordedNanos = int64(time.Microsecond)       // resolution of the histograms
+	requestDeadline  = 4 * time.Second // the deadline of the class balance-read
+	clientTimeout    = requestDeadline + time.Second
+	minRecordedNanos = int64(time.Microsecond) // resolution of the histograms
 	maxRecordedNanos = int64(10 * time.Second)
 )
 
@@ -127,10 +127,10 @@
 	wg.Wait()
 }
 
-func (g *clientPool) update(do func(*LoadResult)) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	do(&g.results)
+func (p *clientPool) update(do func(*LoadResult)) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	do(&p.results)
 }
 
 // send sends one request and records its result. A limiter may close an idle connection just as a request is sent on it: the
@@ -184,15 +184,15 @@
 }
 
 // acquire returns an idle connection (reused), or opens one; fresh asks for a new one in any case.
-func (g *clientPool) acquire(addr string, fresh bool) (c *client, reused bool, err error) {
-	g.mu.Lock()
-	if n := len(g.idle); n > 0 && !fresh {
-		c = g.idle[n-1]
-		g.idle = g.idle[:n-1]
-		g.mu.Unlock()
+func (p *clientPool) acquire(addr string, fresh bool) (c *client, reused bool, err error) {
+	p.mu.Lock()
+	if n := len(p.idle); n > 0 && !fresh {
+		c = p.idle[n-1]
+		p.idle = p.idle[:n-1]
+		p.mu.Unlock()
 		return c, true, nil
 	}
-	g.mu.Unlock()
+	p.mu.Unlock()
 	conn, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
 		return nil, false, err
--- a/internal/scale/modelled.go
+++ b/internal/scale/modelled.go
@@ -166,36 +166,36 @@
 // drawDayChanges draws the times of a day's changes, in seconds and in order. Half of them belong to releases, which come in
 // working hours; a release changes a few hundred servers, several of them a second. The others come one by one, about half of
 // them in working hours too.
-func drawDayChanges(seed uint64) (at []float64) {
+func drawDayChanges(seed uint64) (changesAt []float64) {
 	rng := rand.New(rand.NewPCG(seed, 0x646179))
 	workingHour := func() float64 { return 3600 * (8 + 10*rng.Float64()) }
-	for len(at) < changesPerDay/2 {
-		size := min(int(math.Exp(math.Log(250)+0.9*rng.NormFloat64())), 3000, changesPerDay/2-len(at))
-		pace, t := 2+38*rng.Float64()*rng.Float64(), workingHour()
+	for len(changesAt) < changesPerDay/2 {
+		size := min(int(math.Exp(math.Log(250)+0.9*rng.NormFloat64())), 3000, changesPerDay/2-len(changesAt))
+		changesPerSecond, t := 2+38*rng.Float64()*rng.Float64(), workingHour()
 		for range max(size, 1) {
-			at, t = append(at, t), min(t+rng.ExpFloat64()/pace, secondsPerDay-1e-3)
+			changesAt, t = append(changesAt, t), min(t+rng.ExpFloat64()/changesPerSecond, secondsPerDay-1e-3)
 		}
 	}
-	for len(at) < changesPerDay {
+	for len(changesAt) < changesPerDay {
 		t := secondsPerDay * rng.Float64()
 		if rng.Float64() < 0.5 {
 			t = workingHour()
 		}
-		at = append(at, t)
+		changesAt = append(changesAt, t)
 	}
-	slices.Sort(at)
-	return at
+	slices.Sort(changesAt)
+	return changesAt
 }
 
 // busiestSpan returns the largest number of changes within any span of the given seconds, and when that span begins.
-func busiestSpan(at []float64, span float64) (most int, from float64) {
+func busiestSpan(changesAt []float64, span float64) (most int, from float64) {
 	first := 0
-	for k := range at {
-		for at[k]-at[first] >= span {
+	for k := range changesAt {
+		for changesAt[k]-changesAt[first] >= span {
 			first++
 		}
 		if n := k - first + 1; n > most {
-			most, from = n, at[first]
+			most, from = n, changesAt[first]
 		}
 	}
 	return most, from
@@ -218,26 +218,26 @@
 	values := map[string]float64{}
 	var seconds, minutes []float64
 	for n := range days {
-		at := drawDayChanges(seed + uint64(n))
-		second, _ := busiestSpan(at, 1)
-		minute, _ := busiestSpan(at, 60)
+		changesAt := drawDayChanges(seed + uint64(n))
+		second, _ := busiestSpan(changesAt, 1)
+		minute, _ := busiestSpan(changesAt, 60)
 		seconds, minutes = append(seconds, float64(second)), append(minutes, float64(minute))
 	}
 	values["worst second, changes"], values["worst second, deviation"] = meanAndDeviation(seconds)
 	values["worst minute, changes"], values["worst minute, deviation"] = meanAndDeviation(minutes)
 	values["worst second of the days, changes"], values["worst minute of the days, changes"] = slices.Max(seconds), slices.Max(minutes)
 
-	r, quiet, firms, err := playBurst(ctx, seed, limiters, servers, span)
+	burst, calm, firms, err := playBurst(ctx, seed, limiters, servers, span)
 	if err != nil {
 		return Moment{}, err
 	}
-	progress(fmt.Sprintf("day: %d changes told in the worst minute, in force after %.2f s at the last", r.Changes.Told, r.Changes.Last))
-	values["played, changes at each limiter"] = float64(r.Changes.Told) / float64(limiters)
-	values["played, served"] = float64(r.Served) / float64(max(r.Requests, 1))
-	values["calm, served"] = float64(quiet.Served) / float64(max(quiet.Requests, 1))
-	values["played, p99 s"], values["calm, p99 s"] = r.P99, quiet.P99
-	values["played, beyond"], values["calm, beyond"] = r.OverQuota(), quiet.OverQuota()
-	values["broken rules"] = float64(r.Broken)
+	progress(fmt.Sprintf("day: %d changes told in the worst minute, in force after %.2f s at the last", burst.Changes.Told, burst.Changes.Last))
+	values["played, changes at each limiter"] = float64(burst.Changes.Told) / float64(limiters)
+	values["played, served"] = float64(burst.Served) / float64(max(burst.Requests, 1))
+	values["calm, served"] = float64(calm.Served) / float64(max(calm.Requests, 1))
+	values["played, p99 s"], values["calm, p99 s"] = burst.P99, calm.P99
+	values["played, beyond"], values["calm, beyond"] = burst.OverQuota(), calm.OverQuota()
+	values["broken rules"] = float64(burst.Broken)
 	values["bytes of a change"] = changeBytes()
 
 	cost := map[string]float64{}
@@ -246,16 +246,16 @@
 		sizes, times = []int{60, 3000}, 2000
 	}
 	for _, size := range sizes {
-		mean, most, all := measureChangeCost(size, times)
-		cost[fmt.Sprintf("a change among %d servers, us", size)] = mean
-		cost[fmt.Sprintf("a change among %d servers, p99 us", size)] = most
-		cost[fmt.Sprintf("a whole list of %d servers, ms", size)] = all
-		progress(fmt.Sprintf("day: a change among %d servers takes %.1f us of a limiter, 99th percentile %.1f us", size, mean, most))
+		meanMicros, p99Micros, wholeListMS := measureChangeCost(size, times)
+		cost[fmt.Sprintf("a change among %d servers, us", size)] = meanMicros
+		cost[fmt.Sprintf("a change among %d servers, p99 us", size)] = p99Micros
+		cost[fmt.Sprintf("a whole list of %d servers, ms", size)] = wholeListMS
+		progress(fmt.Sprintf("day: a change among %d servers takes %.1f us of a limiter, 99th percentile %.1f us", size, meanMicros, p99Micros))
 	}
 	largest := sizes[len(sizes)-1]
 	cost[fmt.Sprintf("worst second among %d servers, s", largest)] =
 		values["worst second of the days, changes"] * cost[fmt.Sprintf("a change among %d servers, us", largest)] / 1e6
-	return Moment{Name: "day", Limiters: limiters, Servers: servers, Model: true, P99: r.Changes.P99, Last: r.Changes.Last,
+	return Moment{Name: "day", Limiters: limiters, Servers: servers, Model: true, P99: burst.Changes.P99, Last: burst.Changes.Last,
 		Messages: values["worst minute of the days, changes"], Bytes: values["worst minute of the days, changes"] * changeBytes(),
 		Values: values, Cost: cost,
 		Note: fmt.Sprintf("%d changes a day, half of them in releases of some hundred servers; %d days drawn; the worst %.0f s of the first played with "+
@@ -266,8 +266,8 @@
 
 // playBurst plays the span of the seed's day in which the most changes come (burst), and the same time without any (calm).
 func playBurst(ctx context.Context, seed uint64, limiters, servers int, span float64) (burst, calm model.Result, firms int, err error) {
-	at := drawDayChanges(seed)
-	_, from := busiestSpan(at, span)
+	changesAt := drawDayChanges(seed)
+	_, from := busiestSpan(changesAt, span)
 	s := model.Base()
 	s.Name, s.Limiters, s.Nodes, s.Firms.Count, s.Warm = "worst minute", limiters, servers, 12*limiters, 10
 	s.Firms.Spread = model.Range{float64(limiters), float64(limiters)}
@@ -275,10 +275,10 @@
 	quiet := s
 	// Replacing a server takes three changes: it drains, it is gone, and another one is ready. Each third change is thus played
 	// as the drain of one server.
-	n := 0
-	for _, t := range at {
+	changes := 0
+	for _, t := range changesAt {
 		if t >= from && t < from+span {
-			if n++; n%3 == 1 {
+			if changes++; changes%3 == 1 {
 				s.Faults = append(s.Faults, model.Fault{Kind: model.FaultDrain, At: s.Warm + t - from, Part: 0.1 / float64(servers)})
 			}
 		}
@@ -319,20 +319,20 @@
 	rng := rand.New(rand.NewPCG(1, 0x636f7374))
 	for range times {
 		k := rng.IntN(len(list))
-		line := &list[k]
-		switch line.State { // each server drains, is gone, and is replaced by another one
+		server := &list[k]
+		switch server.State { // each server drains, is gone, and is replaced by another one
 		case logic.Ready:
-			line.State = logic.Draining
+			server.State = logic.Draining
 		case logic.Draining:
-			line.State = logic.Gone
+			server.State = logic.Gone
 		case logic.Gone:
-			*line = logic.Server{ID: next, Weight: 1, Zone: k % 2, State: logic.Ready, Started: now}
+			*server = logic.Server{ID: next, Weight: 1, Zone: k % 2, State: logic.Ready, Started: now}
 			next++
 		}
 		for now += time.Second / 50; tick.At <= now; { // ticks go on as usual; their time is not counted as that of the change
 			reduce(tick.At, tick.Timer)
 		}
-		changed := reduce(now, core.UpstreamGroup{ServerList: logic.ServerList{Servers: []logic.Server{*line}}})
+		changed := reduce(now, core.UpstreamGroup{ServerList: logic.ServerList{Servers: []logic.Server{*server}}})
 		took = append(took, float64(changed.Nanoseconds())/1000)
 	}
 	meanMicros, _ = meanAndDeviation(took)
--- a/internal/scale/moments.go
+++ b/internal/scale/moments.go
@@ -7,7 +7,7 @@
 )
 
 // measureChange makes one change of the list, waits until the hollow limiters have it and returns how long that took.
-func (r *run) measureChange(c Change, limit time.Duration) (m Moment, err error) {
+func (r *run) measureChange(c Change, timeout time.Duration) (m Moment, err error) {
 	before, err := r.takeSample()
 	if err != nil {
 		return m, err
@@ -17,7 +17,7 @@
 		return m, err
 	}
 	r.lastVersion = told.Version
-	all, behind, err := r.awaitVersion(limit, r.hollowProcesses)
+	arrivedAt, behind, err := r.awaitVersion(timeout, r.hollowProcesses)
 	if err != nil {
 		return m, err
 	}
@@ -25,18 +25,18 @@
 	if err != nil {
 		return m, err
 	}
-	m = r.newMoment(all, told.AppliedAt, behind)
+	m = r.newMoment(arrivedAt, told.AppliedAt, behind)
 	t := after.discovery.minus(before.discovery).total()
 	m.Messages, m.Bytes = float64(t.Messages), float64(t.Bytes)
 	return m, nil
 }
 
 // newMoment sums up how long after from a version arrived at limiters; behind is how many did not get it in time.
-func (r *run) newMoment(at []time.Duration, from time.Duration, behind int) (m Moment) {
-	slices.Sort(at)
+func (r *run) newMoment(arrivedAt []time.Duration, from time.Duration, behind int) (m Moment) {
+	slices.Sort(arrivedAt)
 	m.Limiters, m.Servers = r.hollowLimiterCount()+len(r.realLimiters), r.listedServers
-	if n := len(at); n > 0 {
-		m.P99, m.Last = (at[(n*99+99)/100-1] - from).Seconds(), (at[n-1] - from).Seconds()
+	if n := len(arrivedAt); n > 0 {
+		m.P99, m.Last = (arrivedAt[(n*99+99)/100-1] - from).Seconds(), (arrivedAt[n-1] - from).Seconds()
 	}
 	if behind > 0 {
 		m.Note = fmt.Sprintf("%d hollow limiters %s", behind, notHeardNote)
@@ -53,19 +53,19 @@
 
 // awaitVersion waits until the hollow limiters of the given processes have the last version, or until the limit is over. It
 // returns when each got it and how many have not.
-func (r *run) awaitVersion(limit time.Duration, from []*process) (at []time.Duration, behind int, err error) {
+func (r *run) awaitVersion(timeout time.Duration, processes []*process) (arrivedAt []time.Duration, behind int, err error) {
 	for began := now(); ; {
-		at, behind = nil, 0
-		for _, p := range from {
-			var a FleetStatus
+		arrivedAt, behind = nil, 0
+		for _, p := range processes {
+			var a HollowStatus
 			if err := r.group.call(p, "Role.Arrivals", r.lastVersion, &a); err != nil {
 				return nil, 0, err
 			}
-			at = append(at, a.ArrivedAt...)
+			arrivedAt = append(arrivedAt, a.ArrivedAt...)
 			behind += a.Behind
 		}
-		if behind == 0 || now()-began > limit {
-			return at, behind, nil
+		if behind == 0 || now()-began > timeout {
+			return arrivedAt, behind, nil
 		}
 		if err := r.group.sleep(pollInterval); err != nil {
 			return nil, 0, err
@@ -86,24 +86,24 @@
 }
 
 // measureOutage reports servers as gone and, after the given time, as ready again, while the real limiters are under load.
-func (r *run) measureOutage(name string, c Change, between time.Duration) error {
+func (r *run) measureOutage(name string, change Change, pause time.Duration) error {
 	var load LoadResult
 	done := make(chan error, 1)
 	go func() {
-		done <- r.group.call(r.loadProcess, "Role.Run", LoadRun{r.regularLoad(targetRequestsPerSecond), 0, 2*between + time.Second, r.Seed}, &load)
+		done <- r.group.call(r.loadProcess, "Role.Run", LoadRun{r.regularLoad(targetRequestsPerSecond), 0, 2*pause + time.Second, r.Seed}, &load)
 	}()
 	for k, state := range []string{"gone", "ready"} {
-		if err := r.group.sleep(between); err != nil {
+		if err := r.group.sleep(pause); err != nil {
 			return err
 		}
-		c.State = state
-		m, err := r.measureChange(c, deliveryTimeout)
+		change.State = state
+		m, err := r.measureChange(change, deliveryTimeout)
 		if err != nil {
 			return err
 		}
 		m.Name = name
 		direction := []string{"gone", "back"}[k]
-		m.Note = joinNotes(fmt.Sprintf("%s: %d servers", direction, (c.To-c.From+max(c.Step, 1)-1)/max(c.Step, 1)), m.Note)
+		m.Note = joinNotes(fmt.Sprintf("%s: %d servers", direction, (change.To-change.From+max(change.Step, 1)-1)/max(change.Step, 1)), m.Note)
 		r.figures.Moments = append(r.figures.Moments, m)
 		r.say("a %s %s, told to %d limiters: 99 in 100 have it after %.0f ms, the last after %.0f ms", name, direction, m.Limiters, 1000*m.P99, 1000*m.Last)
 	}
@@ -183,14 +183,14 @@
 		}
 	}
 	for _, rate := range r.Sizes.ChangesPerSecond {
-		lasts := max(r.Sizes.Window, time.Duration(1.1/rate*float64(time.Second)))
-		x, _, err := r.measureWindow(lasts, nil, []ChangeSchedule{{ChangesPerSecond: rate, Duration: lasts}})
+		duration := max(r.Sizes.Window, time.Duration(1.1/rate*float64(time.Second)))
+		used, _, err := r.measureWindow(duration, nil, []ChangeSchedule{{ChangesPerSecond: rate, Duration: duration}})
 		if err != nil {
 			return err
 		}
-		told := float64(x.discoveryTraffic.realTotal().Changes) / float64(len(r.realLimiters)) / lasts.Seconds()
-		r.recordLimiters("changes", told, x)
-		r.recordRoles("changes", told, x, discoveryRole)
+		changesPerLimiter := float64(used.discoveryTraffic.realTotal().Changes) / float64(len(r.realLimiters)) / duration.Seconds()
+		r.recordLimiters("changes", changesPerLimiter, used)
+		r.recordRoles("changes", changesPerLimiter, used, discoveryRole)
 	}
 	return nil
 }
--- a/internal/scale/peers.go
+++ b/internal/scale/peers.go
@@ -19,14 +19,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// Peer is what a child process serves to the rig, besides its role's own calls: figures of itself.
+// Peer serves the calls that every child process answers, besides those of its role.
 type Peer struct{}
 
-// Nothing is the argument or answer of a call that needs none.
+// Nothing is the argument or result of a call that needs none.
 type Nothing struct{ _ struct{} }
 
-// Collect frees what the process no longer uses, so that its memory can be compared.
-func (Peer) Collect(_ int, _ *int) error {
+// FreeMemory collects garbage and returns unused memory to the system, so that resident sizes can be compared.
+func (Peer) FreeMemory(_ int, _ *int) error {
 	debug.FreeOSMemory()
 	return nil
 }
@@ -41,6 +41,7 @@
 	operatorsRole = "operators"
 )
 
+// stdio joins a child's standard input and output into one RPC connection.
 type stdio struct {
 	io.Reader
 	io.Writer
@@ -48,7 +49,8 @@
 
 func (stdio) Close() error { return nil }
 
-// Child serves one role to the process that started it, over in and out, until in ends: a child whose parent has ended ends.
+// Child serves one role over in and out to the process that started it. It returns when in ends, so that a child does not
+// outlive its parent.
 func Child(ctx context.Context, role string, in io.Reader, out io.Writer) error {
 	slog.SetDefault(slog.New(slog.DiscardHandler)) // thousands of limiters would each log their connections
 	ctx, stop := context.WithCancel(ctx)
@@ -68,7 +70,7 @@
 	case operatorsRole:
 		service = &Operators{}
 	default:
-		return fmt.Errorf("no role %q", role)
+		return fmt.Errorf("unknown role %q", role)
 	}
 	s := rpc.NewServer()
 	if err := errors.Join(s.RegisterName("Peer", Peer{}), s.RegisterName("Role", service)); err != nil {
@@ -86,9 +88,11 @@
 	return nil
 }
 
-// Traffic counts messages and bytes both ways.
+// Traffic counts messages and bytes in both directions, and what they were. All count from the start of the process, except
+// ConnsOpen, which is the number of connections that are open now.
 type Traffic struct{ Messages, Bytes, WholeLists, Changes, Heartbeats, ConnsOpened, ConnsOpen int64 }
 
+// minus is the traffic since o; ConnsOpen stays the number now.
 func (t Traffic) minus(o Traffic) Traffic {
 	return Traffic{t.Messages - o.Messages, t.Bytes - o.Bytes, t.WholeLists - o.WholeLists, t.Changes - o.Changes, t.Heartbeats - o.Heartbeats, t.ConnsOpened - o.ConnsOpened, t.ConnsOpen}
 }
@@ -97,7 +101,7 @@
 	return Traffic{t.Messages + o.Messages, t.Bytes + o.Bytes, t.WholeLists + o.WholeLists, t.Changes + o.Changes, t.Heartbeats + o.Heartbeats, t.ConnsOpened + o.ConnsOpened, t.ConnsOpen + o.ConnsOpen}
 }
 
-// Sides is the traffic with hollow limiters together and with each real one.
+// GroupTraffic is the traffic by groups of limiters: the hollow ones together, and each real one by itself.
 type GroupTraffic struct {
 	Hollow Traffic
 	Real   []Traffic
@@ -120,8 +124,8 @@
 	return out
 }
 
-// sides counts them.
-type groupMeters []meter // of hollow limiters, then of each real one
+// groupMeters counts a GroupTraffic: index 0 is the hollow limiters, index k the k-th real one, counted from 1.
+type groupMeters []meter
 
 func (m groupMeters) read() (s GroupTraffic) {
 	for k := range m {
@@ -134,21 +138,21 @@
 	return s
 }
 
-// meter is a Traffic that is being counted.
+// meter counts a Traffic, from several goroutines.
 type meter struct{ messages, bytes, wholeLists, changes, heartbeats, connsOpened, connsOpen atomic.Int64 }
 
 func (m *meter) read() Traffic {
 	return Traffic{m.messages.Load(), m.bytes.Load(), m.wholeLists.Load(), m.changes.Load(), m.heartbeats.Load(), m.connsOpened.Load(), m.connsOpen.Load()}
 }
 
-// now is a clock that all processes of the machine share and that never steps.
+// now reads the monotonic clock, which all processes of the machine share and which never jumps.
 func now() time.Duration {
 	var t unix.Timespec
 	_ = unix.ClockGettime(unix.CLOCK_MONOTONIC, &t)
 	return time.Duration(t.Nano())
 }
 
-// processor is the time that a process has used so far; 0: it is gone.
+// processorTime is the processor time that all threads of a process have used so far; 0 if the process has exited.
 func processorTime(pid int) (sum time.Duration) {
 	threads, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	for _, path := range threads {
@@ -163,7 +167,7 @@
 	return sum
 }
 
-// resident is a process's memory in bytes.
+// residentBytes is the memory of a process that is resident and not shared; 0 if the process has exited.
 func residentBytes(pid int) float64 {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
@@ -171,10 +175,10 @@
 	}
 	var totalPages, residentPages, sharedPages int64
 	_, _ = fmt.Sscan(string(raw), &totalPages, &residentPages, &sharedPages)
-	return float64((residentPages - sharedPages) * int64(os.Getpagesize())) // without the program's text, which processes share
+	return float64((residentPages - sharedPages) * int64(os.Getpagesize())) // shared pages are the program's text, which processes have in common
 }
 
-// meminfo is a line of the machine's memory figures, in bytes.
+// meminfoBytes is a figure of /proc/meminfo, in bytes.
 func meminfoBytes(name string) (int64, error) {
 	raw, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
@@ -189,7 +193,7 @@
 	return 0, fmt.Errorf("/proc/meminfo has no %s", name)
 }
 
-// onceErr keeps the first error of many.
+// firstError keeps the first error of several goroutines.
 type firstError struct {
 	mu  sync.Mutex
 	err error
--- a/internal/scale/quota.go
+++ b/internal/scale/quota.go
@@ -217,7 +217,7 @@
 		if tier >= 0 {
 			q.Plan, q.Held = s.Tiers[tier].Name, ""
 		}
-		var beyond, room, inside, each, unanswered, lost, rate, calls []float64
+		var beyond, refusedWithRoom, insideRefused, callsPerRequest, unanswered, lost, requestRate, callRate []float64
 		for _, d := range done {
 			var t model.TierResult
 			for k, x := range d.Result.Tiers {
@@ -227,23 +227,23 @@
 					t.Units, t.Beyond = t.Units+x.Units, t.Beyond+x.Beyond
 				}
 			}
-			c, span := d.Result.Called, s.Seconds-s.Warm
+			called, span := d.Result.Called, s.Seconds-s.Warm
 			q.Tries += t.Tries
 			beyond = append(beyond, t.Beyond/max(t.Units, 1))
-			inside = append(inside, float64(t.InsideRefused)/float64(max(t.Inside, 1)))
-			room = append(room, float64(t.RoomRefused)/float64(max(t.Tries, 1)))
-			each = append(each, float64(c.Made)/float64(max(d.Result.Requests, 1)))
-			unanswered, lost = append(unanswered, c.Unanswered()), append(lost, c.Lost())
-			rate, calls = append(rate, float64(d.Result.Requests)/span), append(calls, float64(c.Made)/span)
+			insideRefused = append(insideRefused, float64(t.InsideRefused)/float64(max(t.Inside, 1)))
+			refusedWithRoom = append(refusedWithRoom, float64(t.RoomRefused)/float64(max(t.Tries, 1)))
+			callsPerRequest = append(callsPerRequest, float64(called.Made)/float64(max(d.Result.Requests, 1)))
+			unanswered, lost = append(unanswered, called.Unanswered()), append(lost, called.Lost())
+			requestRate, callRate = append(requestRate, float64(d.Result.Requests)/span), append(callRate, float64(called.Made)/span)
 		}
 		q.Beyond, q.BeyondDeviation = meanAndDeviation(beyond)
-		q.RefusedWithRoom, q.RefusedWithRoomDeviation = meanAndDeviation(room)
-		q.InsideRefusedShare, _ = meanAndDeviation(inside)
-		q.CallsPerRequest, _ = meanAndDeviation(each)
+		q.RefusedWithRoom, q.RefusedWithRoomDeviation = meanAndDeviation(refusedWithRoom)
+		q.InsideRefusedShare, _ = meanAndDeviation(insideRefused)
+		q.CallsPerRequest, _ = meanAndDeviation(callsPerRequest)
 		q.Unanswered, _ = meanAndDeviation(unanswered)
 		q.Lost, _ = meanAndDeviation(lost)
-		q.PerSecond, _ = meanAndDeviation(rate)
-		q.Calls, _ = meanAndDeviation(calls)
+		q.PerSecond, _ = meanAndDeviation(requestRate)
+		q.Calls, _ = meanAndDeviation(callRate)
 		all = append(all, q)
 	}
 	return all
--- a/internal/scale/quota_test.go
+++ b/internal/scale/quota_test.go
@@ -12,7 +12,7 @@
 	"bramblefall/internal/model"
 )
 
-// points are some of a run's, small enough for a test.
+// quotaPointsOf returns points of one load with the given counters, small enough for a test.
 func quotaPointsOf(limiters int, load string, counters ...quotaPoint) (all []quotaPoint) {
 	k := slices.IndexFunc(quotaLoads(), func(l quotaLoad) bool { return l.name == load })
 	for _, c := range counters {
@@ -41,8 +41,9 @@
 	}
 }
 
-// A crowd is the counter's: it is gone with an unlimited one, and what stays is the split's.
-func TestAnUnlimitedCounterHasNoCrowd(t *testing.T) {
+// Unanswered calls are due to an overloaded counter: an unlimited one has none, and what is still beyond quotas then is due to
+// their being split over limiters.
+func TestUnlimitedCounterIsNotOverloaded(t *testing.T) {
 	list, err := measureQuota(t.Context(), 1, 1, true, quotaPointsOf(40, "each, 30", quotaPoint{speed: 0.5}, quotaPoint{}, quotaPoint{unbudgeted: true}), nil)
 	require.NoError(t, err)
 	var sums []QuotaError
@@ -61,8 +62,8 @@
 	}
 }
 
-// All limiters that a point names are in the world that is played, and the load is what its words say.
-func TestNoPointLosesLimitersOrLoad(t *testing.T) {
+// Every limiter that a point names is in its scenario, and the load is the one that its description states.
+func TestQuotaPointsKeepLimitersAndLoad(t *testing.T) {
 	perSecond := map[string]map[int]float64{}
 	for _, p := range quotaPoints(false) {
 		s, _, err := p.scenario(false)
@@ -95,8 +96,8 @@
 	}
 }
 
-// Nodes have room: a policy that refuses nobody inside a quota is told of none that was refused with room.
-func TestWhatIsRefusedIsRefusedByQuotas(t *testing.T) {
+// The servers have capacity to spare: a policy that refuses nothing inside a quota shows next to no refusals with room.
+func TestRefusalsAreDueToQuotas(t *testing.T) {
 	whole, ok := model.PolicyNamed("whole-quota+least")
 	require.True(t, ok)
 	for _, load := range quotaLoads() {
@@ -108,7 +109,7 @@
 	}
 }
 
-// A run that is ended tells the points that are whole, and that it is not.
+// A cancelled run returns the points that are complete, and the error.
 func TestAnEndedRunSaysSo(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	list, err := measureQuota(ctx, 1, 1, true, quotaPointsOf(3, "total, all", quotaPoint{speed: 1}, quotaPoint{speed: 2}, quotaPoint{speed: 8}, quotaPoint{}),
@@ -127,7 +128,7 @@
 	require.Less(t, at[len(at)-1], float64(secondsPerDay))
 	second, _ := busiestSpan(at, 1)
 	minute, from := busiestSpan(at, 60)
-	require.Greater(t, minute, 10*changesPerDay/1440, "a burst is far over the mean")
+	require.Greater(t, minute, 10*changesPerDay/1440, "the busiest minute has far more changes than the mean")
 	require.GreaterOrEqual(t, minute, second)
 	n := 0
 	for _, t := range at {
@@ -141,8 +142,8 @@
 	require.Equal(t, 5.0, begins)
 }
 
-// The same seed gives the same moments, but for processor time. While regions are cut each gives out quotas by its own
-// counter, so more is sent beyond them, and it ends with the cut.
+// The same seed gives the same moments, except for processor times. While regions are cut off from each other each grants quotas
+// by its own counter, so that more is sent beyond them, and that ends with the cut.
 func TestModelledMoments(t *testing.T) {
 	s := model.Base()
 	s.Limiters, s.Nodes, s.Firms.Count, s.Warm, s.Seconds = 10, 24, 60, 5, 75
@@ -169,6 +170,7 @@
 	}
 }
 
+// equalValues reports whether two sets of figures are equal.
 func equalValues(a, b map[string]float64) bool {
 	if len(a) != len(b) {
 		return false
@@ -193,8 +195,8 @@
 	}
 }
 
-// The load of several units has the mean that its words say.
-func TestUnitsHaveTheirMean(t *testing.T) {
+// The load with several units a request has the mean that its description states.
+func TestMeanUnitsMatchTheDescription(t *testing.T) {
 	s, err := unitsScenario(3)
 	require.NoError(t, err)
 	s.Seconds, s.Warm = 12, 1
@@ -202,7 +204,7 @@
 	require.InEpsilon(t, 1.5, r.UnitsAsked/float64(r.Requests), 0.05)
 }
 
-// The burst of a day is told to every limiter, the same each time, and discovery's lateness is all that it waits for.
+// The burst of a day reaches every limiter, is the same each time, and takes no longer than discovery's own delay.
 func TestABurstOfChangesReachesEveryLimiter(t *testing.T) {
 	burst, calm, firms, err := playBurst(t.Context(), 2, 5, 600, 6)
 	require.NoError(t, err)
@@ -211,9 +213,9 @@
 	require.Equal(t, burst, again)
 	require.Equal(t, 60, firms)
 	require.Zero(t, calm.Changes.Told)
-	require.Zero(t, burst.Changes.Told%5, "each limiter is told the same")
+	require.Zero(t, burst.Changes.Told%5, "each limiter gets the same changes")
 	changes, _ := busiestSpan(drawDayChanges(2), 6)
-	require.Greater(t, float64(burst.Changes.Told)/5, 0.9*float64(changes), "only a server that is being replaced already is passed over")
+	require.Greater(t, float64(burst.Changes.Told)/5, 0.9*float64(changes), "no change is left out, except of a server that is being replaced already")
 	require.LessOrEqual(t, burst.Changes.Last, model.Base().Discovery.Late[1]+0.01)
 	require.Zero(t, burst.Broken)
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/scale/resident.go
+++ b/internal/scale/resident.go
@@ -29,50 +29,50 @@
 	"bramblefall/logic"
 )
 
-// ResidentSizes are what one real limiter is brought to.
+// ResidentSizes are the sizes at which one real limiter is measured by itself.
 type ResidentSizes struct {
-	ListedServers    []int         // on the list
-	ChangesPerSecond []float64     // changes of one server a second, with the longest list
-	ActiveFirms      []int         // that ask the program within a minute
-	ModuleFirms      []int         // that ask the module by itself
-	KnownFirms       []int         // firms that the plan book names
-	Repeats          int           // of each size, each with a process of its own
-	Settle           time.Duration // from when the list is taken to the figures
+	ListedServers    []int         // on discovery's list
+	ChangesPerSecond []float64     // each of one server, on the longest list
+	ActiveFirms      []int         // that each send the program a request within a minute
+	ModuleFirms      []int         // that each send the decision module a request, without the program around it
+	KnownFirms       []int         // that the plan book names
+	Repeats          int           // measurements of each size, each with a new process
+	Settle           time.Duration // wait between the limiter having the list and the measurement
 }
 
-// FullResident are the target's sizes.
+// FullResident returns the target's sizes.
 func FullResident() ResidentSizes {
 	return ResidentSizes{ListedServers: []int{200, 5_700, 30_000, 57_000}, ChangesPerSecond: []float64{0, 10, 20, 40}, ActiveFirms: []int{1_000, 5_000, 10_000, 20_000},
 		ModuleFirms: []int{10_000, 50_000, 100_000, 250_000, 510_000},
 		KnownFirms:  []int{1_000, 10_000, 50_000, 100_000}, Repeats: 2, Settle: 3 * time.Second}
 }
 
-// QuickResident are small ones, for a test.
+// QuickResident returns small sizes for a trial.
 func QuickResident() ResidentSizes {
 	return ResidentSizes{ListedServers: []int{100, 1_000, 3_000}, ChangesPerSecond: []float64{0, 50, 100}, ActiveFirms: []int{100, 1_000, 3_000}, ModuleFirms: []int{1_000, 3_000, 10_000}, KnownFirms: []int{100, 1_000, 3_000},
 		Repeats: 1, Settle: 500 * time.Millisecond}
 }
 
 const (
-	residentServersPerLine   = 5_000 // entries of the list in a line: a line has a bound
-	residentFleetSize        = 5_700
-	residentAskedFleetSize   = 5   // limiters by the settings of the one that many firms ask: its part of the servers bears them
-	residentAnsweringServers = 500 // servers there
-	residentMemoryMB         = 512 // MB, the cap of the limiter
-	residentTimeout          = 20 * time.Second
-	residentWindow           = 5 * time.Second
+	residentServersPerLine   = 5_000            // limiters accept lines up to a certain length only
+	residentFleetSize        = 5_700            // limiters in the settings
+	residentAskedFleetSize   = 5                // the same for active firms: a limiter's share of the servers must be able to serve them
+	residentAnsweringServers = 500              // on the list for active firms
+	residentMemoryMB         = 512              // limit in the limiter's configuration
+	residentTimeout          = 20 * time.Second // for the limiter to take in the whole list
+	residentWindow           = 5 * time.Second  // longest time over which a rate is measured
 	residentHeartbeat        = 2 * time.Second
 )
 
-// ResidentParts are the parts of Resident, in their order.
+// ResidentParts are the names of the measurements of Resident, in the order in which they are made.
 var ResidentParts = []string{"lists", "wholes", "changes", "firms", "module", "known"}
 
-var errListNotTaken = errors.New("the list is not taken")
+var errListNotTaken = errors.New("the limiter has not taken in the list")
 
-// Resident measures one real limiter by itself: its memory and processor time with long lists, many firms and a long plan
-// book, as the platform counts them (resident pages, all threads' time). refused tells of whole lists that the limiter did
-// not take as one line, by their number of servers. binary is its program, with its evaluator beside it.
-// Of the parts ResidentParts only those named are measured; none: all.
+// Resident measures the memory and processor time of one real limiter by itself, with long lists, many firms and a long plan
+// book, as the platform counts them (resident pages, time of all threads). binary is the limiter's program, with its evaluator
+// beside it. parts names the measurements to make, of ResidentParts; none: all. refused holds the numbers of servers whose
+// whole list the limiter did not take in as one line.
 func Resident(ctx context.Context, binary string, sizes ResidentSizes, parts []string, say func(string, ...any)) (slopes []Slope, refused []int, err error) {
 	dir, err := os.MkdirTemp("", "resident")
 	if err != nil {
@@ -83,7 +83,7 @@
 	steps := map[string]func() error{"lists": r.sweepLists, "wholes": r.sweepWholeLists, "changes": r.sweepChanges, "firms": r.sweepActiveFirms, "module": r.sweepModule, "known": r.sweepKnownFirms}
 	for _, name := range parts {
 		if steps[name] == nil {
-			return nil, nil, fmt.Errorf("no part %q, but %s", name, strings.Join(ResidentParts, ", "))
+			return nil, nil, fmt.Errorf("no part %q: want one of %s", name, strings.Join(ResidentParts, ", "))
 		}
 	}
 	for _, name := range ResidentParts {
@@ -97,7 +97,7 @@
 	return r.slopes, r.rejectedLists, nil
 }
 
-// Machine gives cores and memory in MB, for the head of Figures.
+// Machine returns the machine's cores and memory in MB, for the fields of Figures.
 func Machine() (cores, memoryMB int) {
 	raw, _ := os.ReadFile("/proc/meminfo")
 	kb := 0
@@ -105,48 +105,51 @@
 	return runtime.NumCPU(), kb >> 10
 }
 
+// residentRun is the state of Resident.
 type residentRun struct {
 	ctx             context.Context
 	binary          string
 	dir             string
-	limitersStarted int // limiters started
+	limitersStarted int // numbers the limiters' directories
 	sizes           ResidentSizes
 	say             func(string, ...any)
 	slopes          []Slope
-	rejectedLists   []int
+	rejectedLists   []int // numbers of servers, see Resident
 }
 
-// points are what was measured at sizes.
+// residentPoints are the values measured at sizes.
 type residentPoints struct{ sizes, values []float64 }
 
 func (p *residentPoints) add(size, value float64) {
 	p.sizes, p.values = append(p.sizes, size), append(p.values, value)
 }
 
-func (r *residentRun) addSlope(p residentPoints, role, what, unit, against, held string) {
-	s := Slope{Role: role, What: what, Unit: unit, Against: against, Sizes: p.sizes, Values: p.values, Held: held}
+// addSlope fits a line through the points by least squares and adds it to the slopes. With two points or fewer its error is 0.
+func (r *residentRun) addSlope(p residentPoints, role, quantity, unit, against, held string) {
+	s := Slope{Role: role, What: quantity, Unit: unit, Against: against, Sizes: p.sizes, Values: p.values, Held: held}
 	n := float64(len(p.sizes))
-	var mx, my, xy, spread, rest float64
+	var meanSize, meanValue, products, squaredDeviations, squaredResiduals float64
 	for k, x := range p.sizes {
-		mx, my = mx+x/n, my+p.values[k]/n
+		meanSize, meanValue = meanSize+x/n, meanValue+p.values[k]/n
 	}
 	for k, x := range p.sizes {
-		xy, spread = xy+(x-mx)*(p.values[k]-my), spread+(x-mx)*(x-mx)
+		products, squaredDeviations = products+(x-meanSize)*(p.values[k]-meanValue), squaredDeviations+(x-meanSize)*(x-meanSize)
 	}
-	s.PerUnit = xy / spread
-	s.Intercept = my - s.PerUnit*mx
+	s.PerUnit = products / squaredDeviations
+	s.Intercept = meanValue - s.PerUnit*meanSize
 	for k, x := range p.sizes {
 		d := p.values[k] - s.Intercept - s.PerUnit*x
-		rest += d * d
+		squaredResiduals += d * d
 	}
 	if n > 2 {
-		s.Error = math.Sqrt(rest / (n - 2) / spread)
+		s.Error = math.Sqrt(squaredResiduals / (n - 2) / squaredDeviations)
 	}
 	r.slopes = append(r.slopes, s)
-	r.say("%s %s against %s: %.4g + %.4g (±%.2g) each, %s", role, what, against, s.Intercept, s.PerUnit, s.Error, held)
+	r.say("%s %s against %s: %.4g + %.4g (±%.2g) each, %s", role, quantity, against, s.Intercept, s.PerUnit, s.Error, held)
 }
 
-// start starts a limiter that follows a list.
+// startLimiter starts a limiter that follows a list, with the given number of limiters in its settings and an operators' script
+// ("": none).
 func (r *residentRun) startLimiter(d *listServer, fleet int, counter, script string) (*standin.Limiter, error) {
 	if err := r.ctx.Err(); err != nil {
 		return nil, err
@@ -174,22 +177,22 @@
 		"counter": counter, "discovery": d.addr}, args...)
 }
 
-// window is how long a rate is measured.
+// measuringTime is the time over which a rate is measured.
 func (r *residentRun) measuringTime() time.Duration { return min(residentWindow, 10*r.sizes.Settle) }
 
-// lists brings limiters to lists that come in parts.
+// sweepLists measures limiters at rest against the servers of lists that are sent in several lines.
 func (r *residentRun) sweepLists() error {
-	var memory, idle residentPoints
+	var memory, processor residentPoints
 	for range r.sizes.Repeats {
 		for _, n := range r.sizes.ListedServers {
 			if err := r.withLimiter(n, residentServersPerLine, func(_ *listServer, l *standin.Limiter) error {
 				time.Sleep(r.sizes.Settle)
-				used, began := l.CPU(), time.Now()
+				processorBefore, began := l.CPU(), time.Now()
 				time.Sleep(r.measuringTime())
-				idle.add(float64(n), (l.CPU()-used).Seconds()/time.Since(began).Seconds())
+				processor.add(float64(n), (l.CPU()-processorBefore).Seconds()/time.Since(began).Seconds())
 				rss, err := procStatusBytes(l, "VmRSS")
 				memory.add(float64(n), rss)
-				r.say("%d servers in parts: %.1f MB resident, %.2f%% of a core at rest", n, rss/1e6, 100*idle.values[len(idle.values)-1])
+				r.say("%d servers in parts: %.1f MB resident, %.2f%% of a core at rest", n, rss/1e6, 100*processor.values[len(processor.values)-1])
 				return err
 			}); err != nil {
 				return err
@@ -197,21 +200,21 @@
 		}
 	}
 	r.addSlope(memory, "limiter", "memory", "bytes", "servers", "alone: the list told in lines of 5,000 entries, no requests, resident after a rest")
-	r.addSlope(idle, "limiter", "processor", "seconds/s", "servers", "alone: the same lists, at rest, no changes, no requests")
+	r.addSlope(processor, "limiter", "processor", "seconds/s", "servers", "alone: the same lists, at rest, no changes, no requests")
 	return nil
 }
 
-// wholes starts limiters to which the whole list is told as one line.
+// sweepWholeLists measures the start of limiters to which the whole list is sent as one line.
 func (r *residentRun) sweepWholeLists() error {
 	var processor, bytes, peak residentPoints
 	for range r.sizes.Repeats {
 		for _, n := range r.sizes.ListedServers {
-			var line int
+			var lineBytes int
 			err := r.withLimiter(n, n, func(d *listServer, l *standin.Limiter) error {
 				processor.add(float64(n), l.CPU().Seconds())
-				high, err := procStatusBytes(l, "VmHWM")
-				peak.add(float64(n), high)
-				line = d.longestLine
+				peakBytes, err := procStatusBytes(l, "VmHWM")
+				peak.add(float64(n), peakBytes)
+				lineBytes = d.longestLine
 				return err
 			})
 			if errors.Is(err, errListNotTaken) {
@@ -222,8 +225,8 @@
 			if err != nil {
 				return err
 			}
-			bytes.add(float64(n), float64(line))
-			r.say("%d servers in one line of %d bytes: taken, %.3f s of processor time from the start, %.1f MB at the peak", n, line,
+			bytes.add(float64(n), float64(lineBytes))
+			r.say("%d servers in one line of %d bytes: taken, %.3f s of processor time from the start, %.1f MB at the peak", n, lineBytes,
 				processor.values[len(processor.values)-1], peak.values[len(peak.values)-1]/1e6)
 		}
 	}
@@ -233,7 +236,7 @@
 	return nil
 }
 
-// changes tells changes of one server each, of the longest list.
+// sweepChanges measures changes of one server each, on the longest list.
 func (r *residentRun) sweepChanges() error {
 	n := r.sizes.ListedServers[len(r.sizes.ListedServers)-1]
 	var processor, bytes residentPoints
@@ -241,15 +244,15 @@
 		if err := r.withLimiter(n, residentServersPerLine, func(d *listServer, l *standin.Limiter) error {
 			time.Sleep(r.sizes.Settle)
 			for _, rate := range r.sizes.ChangesPerSecond {
-				used, sent, began := l.CPU(), d.sentBytes.Load(), time.Now()
+				processorBefore, sentBefore, began := l.CPU(), d.sentBytes.Load(), time.Now()
 				for k := 0; rate > 0 && float64(k) < rate*r.measuringTime().Seconds(); k++ {
 					time.Sleep(time.Until(began.Add(time.Duration(float64(k) / rate * float64(time.Second)))))
 					d.changeServer(k % n)
 				}
 				time.Sleep(time.Until(began.Add(r.measuringTime())))
 				s := time.Since(began).Seconds()
-				processor.add(rate, (l.CPU()-used).Seconds()/s)
-				bytes.add(rate, float64(d.sentBytes.Load()-sent)/s)
+				processor.add(rate, (l.CPU()-processorBefore).Seconds()/s)
+				bytes.add(rate, float64(d.sentBytes.Load()-sentBefore)/s)
 				r.say("%g changes a second of %d servers: %.2f%% of a core", rate, n, 100*processor.values[len(processor.values)-1])
 			}
 			return nil
@@ -263,9 +266,9 @@
 	return nil
 }
 
-// withList starts a limiter, waits until it has the list and does something with it.
-func (r *residentRun) withLimiter(n, part int, do func(*listServer, *standin.Limiter) error) error {
-	d, err := newListServer(n, part, "10.0.0.1:6379")
+// withLimiter starts a limiter, waits until it has the list of the given servers and calls measure.
+func (r *residentRun) withLimiter(servers, serversPerLine int, measure func(*listServer, *standin.Limiter) error) error {
+	d, err := newListServer(servers, serversPerLine, "10.0.0.1:6379")
 	if err != nil {
 		return err
 	}
@@ -278,7 +281,7 @@
 	if err := d.awaitTaken(r.ctx); err != nil {
 		return err
 	}
-	if err := do(d, l); err != nil {
+	if err := measure(d, l); err != nil {
 		return err
 	}
 	if text := l.Crashed(); text != "" {
@@ -287,7 +290,7 @@
 	return nil
 }
 
-// firms has many firms ask once within a minute, of a limiter with a few servers that answer.
+// sweepActiveFirms measures limiters to which many firms each send one request within a minute. A few servers answer them.
 func (r *residentRun) sweepActiveFirms() error {
 	var memory residentPoints
 	for _, n := range r.sizes.ActiveFirms {
@@ -300,29 +303,30 @@
 	return nil
 }
 
+// measureActiveFirms measures a limiter that n firms use.
 func (r *residentRun) measureActiveFirms(n int, memory *residentPoints) error {
 	servers, err := startAnsweringServers()
 	if err != nil {
 		return err
 	}
 	defer servers.Close()
-	w := standin.NewWorld(fault.Plan{})
-	defer w.Close()
-	counter, err := w.AddCounter()
+	world := standin.NewWorld(fault.Plan{})
+	defer world.Close()
+	counter, err := world.AddCounter()
 	if err != nil {
 		return err
 	}
-	d, err := newListServer(residentAnsweringServers, residentServersPerLine, servers.Addr().String())
+	list, err := newListServer(residentAnsweringServers, residentServersPerLine, servers.Addr().String())
 	if err != nil {
 		return err
 	}
-	defer d.close()
-	l, err := r.startLimiter(d, residentAskedFleetSize, counter.Addr, "")
+	defer list.close()
+	l, err := r.startLimiter(list, residentAskedFleetSize, counter.Addr, "")
 	if err != nil {
 		return err
 	}
 	defer l.Kill()
-	if err := d.awaitTaken(r.ctx); err != nil {
+	if err := list.awaitTaken(r.ctx); err != nil {
 		return err
 	}
 	began := time.Now()
@@ -337,7 +341,7 @@
 	}
 	r.say("%d firms asked within %.1f s, %d served, the others refused: %.1f MB resident", n, took.Seconds(), served, rss/1e6)
 	if took > time.Minute {
-		return fmt.Errorf("%d firms took %s: the first are forgotten", n, took)
+		return fmt.Errorf("requests of %d firms took %s, want at most a minute: the limiter forgets the first firms after that", n, took)
 	}
 	if text := l.Crashed(); text != "" {
 		return errors.New(text)
@@ -346,16 +350,16 @@
 	return nil
 }
 
-// known has the plan book name firms.
+// sweepKnownFirms measures limiters whose plan book names firms.
 func (r *residentRun) sweepKnownFirms() error {
 	var memory residentPoints
 	for range r.sizes.Repeats {
 		for _, n := range r.sizes.KnownFirms {
-			d, err := newListServer(20, residentServersPerLine, "10.0.0.1:6379")
+			list, err := newListServer(20, residentServersPerLine, "10.0.0.1:6379")
 			if err != nil {
 				return err
 			}
-			l, err := r.startLimiter(d, residentFleetSize, "127.0.0.1:1", fmt.Sprintf(`t = tier(name = "regular", rate = 3, burst = 15)
+			l, err := r.startLimiter(list, residentFleetSize, "127.0.0.1:1", fmt.Sprintf(`t = tier(name = "regular", rate = 3, burst = 15)
 bramblefall(plans = [plan(number = 1, tiers = [t], firms = [firm(firm = "%%x" %% (k + 1), tier = "regular") for k in range(%d)])])
 `, n))
 			if err == nil {
@@ -367,7 +371,7 @@
 				}
 				l.Kill()
 			}
-			d.close()
+			list.close()
 			if err != nil {
 				return err
 			}
@@ -377,7 +381,7 @@
 	return nil
 }
 
-// residentOf is one of the kernel's figures of a limiter, in bytes.
+// procStatusBytes is a memory figure of a limiter in /proc/PID/status, in bytes.
 func procStatusBytes(l *standin.Limiter, field string) (float64, error) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", l.Cmd.Process.Pid))
 	if err != nil {
@@ -389,45 +393,46 @@
 			return kb * 1024, err
 		}
 	}
-	return 0, fmt.Errorf("the kernel tells no %s", field)
+	return 0, fmt.Errorf("/proc/%d/status has no %s", l.Cmd.Process.Pid, field)
 }
 
-// residentList is a discovery for one limiter. Once all is told it ends the watch: the next one says which version the
-// limiter has.
+// listServer is a discovery for one limiter. It ends the watch once it has sent the whole list, because the next watch says
+// which version the limiter has.
 type listServer struct {
 	addr        string
 	listener    net.Listener
-	lines       [][]byte // chunks
-	longestLine int      // of the lines, in bytes
-	entry       func(k int, version int64, state string) discovery.Server
+	lines       [][]byte                                                  // of the whole list, as chunks
+	longestLine int                                                       // in bytes
+	entry       func(k int, version int64, state string) discovery.Server // the k-th server
 	sentBytes   atomic.Int64
 	taken       chan struct{} // closed once the limiter has asked for what comes after the last line
-	markTaken   func()
-	changes     chan []byte
+	markTaken   func()        // closes taken, once
+	changes     chan []byte   // chunks yet to be sent
 
 	mu               sync.Mutex
 	version          int64
-	wholeListWatches int // watches from the beginning
+	wholeListWatches int // watches that got the list, or what was missing of it
 }
 
-func newListServer(n, part int, addr string) (*listServer, error) {
+// newListServer serves a list of servers that all have the address addr, in lines of serversPerLine.
+func newListServer(servers, serversPerLine int, addr string) (*listServer, error) {
 	l, err := loopback.Listen()
 	if err != nil {
 		return nil, err
 	}
-	has := make(chan struct{})
-	d := &listServer{addr: l.Addr().String(), listener: l, taken: has, markTaken: sync.OnceFunc(func() { close(has) }), changes: make(chan []byte, 64)}
+	taken := make(chan struct{})
+	d := &listServer{addr: l.Addr().String(), listener: l, taken: taken, markTaken: sync.OnceFunc(func() { close(taken) }), changes: make(chan []byte, 64)}
 	d.entry = func(k int, version int64, state string) discovery.Server {
 		return discovery.Server{ID: fmt.Sprintf("s-%08x", k), Addr: addr, Zone: []string{"hall-a", "hall-b"}[k%2], Kind: "std-3core", State: state,
 			Weight: 1, StartedMS: version}
 	}
-	for from := 0; from < n; from += part {
+	for from := 0; from < servers; from += serversPerLine {
 		d.version++
 		list := discovery.List{Version: d.version, Full: from == 0}
-		for k := from; k < min(from+part, n); k++ {
+		for k := from; k < min(from+serversPerLine, servers); k++ {
 			list.Servers = append(list.Servers, d.entry(k, 1, "ready"))
 		}
-		d.lines = append(d.lines, d.chunk(list))
+		d.lines = append(d.lines, d.encodeChunk(list))
 	}
 	go func() {
 		for {
@@ -443,22 +448,22 @@
 
 func (d *listServer) close() { _ = d.listener.Close() }
 
-func (d *listServer) chunk(l discovery.List) []byte {
+func (d *listServer) encodeChunk(l discovery.List) []byte {
 	raw, _ := json.Marshal(l)
 	d.longestLine = max(d.longestLine, len(raw)+1)
 	return fmt.Appendf(nil, "%x\r\n%s\n\r\n", len(raw)+1, raw)
 }
 
-// change tells that a server has started anew.
+// changeServer sends a change that names one server, with a later start time as after a restart.
 func (d *listServer) changeServer(k int) {
 	d.mu.Lock()
 	d.version++
-	text := d.chunk(discovery.List{Version: d.version, Servers: []discovery.Server{d.entry(k, d.version, "ready")}})
+	change := d.encodeChunk(discovery.List{Version: d.version, Servers: []discovery.Server{d.entry(k, d.version, "ready")}})
 	d.mu.Unlock()
-	d.changes <- text
+	d.changes <- change
 }
 
-// taken waits until the limiter has the whole list.
+// awaitTaken waits until the limiter has the whole list.
 func (d *listServer) awaitTaken(ctx context.Context) error {
 	limit := time.NewTimer(residentTimeout)
 	defer limit.Stop()
@@ -471,7 +476,7 @@
 		case <-limit.C:
 			d.mu.Lock()
 			defer d.mu.Unlock()
-			return fmt.Errorf("%w within %s: a line of %d bytes, asked for %d times", errListNotTaken, residentTimeout, d.longestLine, d.wholeListWatches)
+			return fmt.Errorf("%w within %s: the longest line has %d bytes, the list was requested %d times", errListNotTaken, residentTimeout, d.longestLine, d.wholeListWatches)
 		}
 	}
 }
@@ -504,25 +509,25 @@
 			return
 		}
 		_ = conn.SetReadDeadline(time.Now().Add(residentTimeout))
-		_, _ = conn.Read(make([]byte, 1)) // until the limiter has read it all and leaves
+		_, _ = conn.Read(make([]byte, 1)) // until the limiter has read everything and closes the connection
 		return
 	}
 	d.markTaken()
-	beat := time.NewTicker(residentHeartbeat)
-	defer beat.Stop()
+	heartbeat := time.NewTicker(residentHeartbeat)
+	defer heartbeat.Stop()
 	for {
-		text := []byte("1\r\n\n\r\n")
+		out := []byte("1\r\n\n\r\n")
 		select {
-		case text = <-d.changes:
-		case <-beat.C:
+		case out = <-d.changes:
+		case <-heartbeat.C:
 		}
-		if !send(text) {
+		if !send(out) {
 			return
 		}
 	}
 }
 
-// residentServers answer each request at once.
+// startAnsweringServers starts one listener that stands for all servers and answers each request immediately.
 func startAnsweringServers() (net.Listener, error) {
 	l, err := loopback.Listen()
 	if err != nil {
@@ -563,17 +568,20 @@
 	return l, nil
 }
 
-// residentAsk sends one request of each of so many firms and tells how many were served.
+// requestFromFirms sends one request of each of the given number of firms and returns how many were served.
 func requestFromFirms(addr string, firms int) (served int, err error) {
-	const clients, pipelined = 8, 64
+	const (
+		clients   = 8
+		pipelined = 64 // requests of a client in flight
+	)
 	var wg sync.WaitGroup
-	var ok atomic.Int64
-	all := make(chan error, clients)
+	var servedCount atomic.Int64
+	errs := make(chan error, clients)
 	for c := range clients {
 		wg.Go(func() {
 			conn, err := net.Dial("tcp", addr)
 			if err != nil {
-				all <- err
+				errs <- err
 				return
 			}
 			defer conn.Close()
@@ -586,19 +594,19 @@
 					sent++
 				}
 				if _, err := conn.Write(out.Bytes()); err != nil {
-					all <- err
+					errs <- err
 					return
 				}
 				for range sent {
 					line, err := in.ReadString('\n')
 					if err == nil && strings.HasPrefix(line, "$") {
-						ok.Add(1)
+						servedCount.Add(1)
 						_, err = in.ReadString('\n')
 					} else if err == nil && !strings.HasPrefix(line, "-") {
-						err = fmt.Errorf("the limiter answers %q", line)
+						err = fmt.Errorf("the limiter answered %q, want a bulk string or an error", line)
 					}
 					if err != nil {
-						all <- err
+						errs <- err
 						return
 					}
 				}
@@ -606,14 +614,15 @@
 		})
 	}
 	wg.Wait()
-	close(all)
-	return int(ok.Load()), <-all
+	close(errs)
+	return int(servedCount.Load()), <-errs
 }
 
+// requestCommand is a request of one unit by a firm.
 func requestCommand(firm uint64) []byte {
-	words := []string{"Q.ASK", fmt.Sprintf("%016x", firm), fmt.Sprintf("%016x", firm), "c=balance-read,t=regular,d=1000,units=1,spread=3,first=0"}
-	out := fmt.Appendf(nil, "*%d\r\n", len(words))
-	for _, w := range words {
+	arguments := []string{"Q.ASK", fmt.Sprintf("%016x", firm), fmt.Sprintf("%016x", firm), "c=balance-read,t=regular,d=1000,units=1,spread=3,first=0"}
+	out := fmt.Appendf(nil, "*%d\r\n", len(arguments))
+	for _, w := range arguments {
 		out = fmt.Appendf(out, "$%d\r\n%s\r\n", len(w), w)
 	}
 	return out
--- a/internal/scale/resident_test.go
+++ b/internal/scale/resident_test.go
@@ -10,7 +10,7 @@
 	"bramblefall/internal/lab"
 )
 
-// The real program, with small lists: each slope is there, from all sizes, and a longer list costs more.
+// With the real program and small lists every slope is measured, at all sizes, and a longer list costs more.
 func TestResident(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts the real program a dozen times")
@@ -34,13 +34,13 @@
 		"limiter processor changes": 1, "limiter bytes changes": 1, "limiter memory tenants_active": 2, "limiter memory tenants_known": 1}, count)
 }
 
-func TestAPartThatIsNoneIsRefused(t *testing.T) {
+func TestUnknownPartIsRejected(t *testing.T) {
 	_, _, err := Resident(t.Context(), "none", QuickResident(), []string{"list"}, t.Logf)
 	assert.ErrorContains(t, err, `no part "list"`)
 }
 
-// A list of another form is not taken: the wait has an end, and says so.
-func TestAListThatIsNotTakenIsTold(t *testing.T) {
+// The wait for a limiter that does not take in its list ends when it is cancelled, with that error.
+func TestWaitForListEndsWhenCancelled(t *testing.T) {
 	d, err := newListServer(10, 10, "10.0.0.1:1")
 	require.NoError(t, err)
 	defer d.close()
--- a/internal/scale/room.go
+++ b/internal/scale/room.go
@@ -49,24 +49,24 @@
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &files); err != nil {
 		return err
 	}
-	most := min(int(min(files.Cur, maxDescriptors)), maxDescriptors)
-	if n := limiters + 2*s.RealLimiters + spareDescriptors; n > most { // discovery and the counter each hold a connection of every limiter
-		return fmt.Errorf("%d limiters need %d descriptors of one process, it may hold %d", limiters, n, most)
+	descriptorLimit := min(int(min(files.Cur, maxDescriptors)), maxDescriptors)
+	if n := limiters + 2*s.RealLimiters + spareDescriptors; n > descriptorLimit { // discovery and the counter each hold a connection of every limiter
+		return fmt.Errorf("%d limiters need %d descriptors of one process, it may hold %d", limiters, n, descriptorLimit)
 	}
-	all, err := machineMemory()
+	totalBytes, err := machineMemory()
 	if err != nil {
 		return err
 	}
-	free, err := meminfoBytes("MemAvailable")
+	availableBytes, err := meminfoBytes("MemAvailable")
 	if err != nil {
 		return err
 	}
-	need := s.peakMemory()
-	if need > all/2 {
-		return fmt.Errorf("%d limiters with %d servers and %d real ones need some %d MB, half of the machine's memory is %d MB", limiters, s.ServersBesideFleet, s.RealLimiters, need>>20, all>>21)
+	neededBytes := s.peakMemory()
+	if neededBytes > totalBytes/2 {
+		return fmt.Errorf("%d limiters with %d servers and %d real ones need some %d MB, half of the machine's memory is %d MB", limiters, s.ServersBesideFleet, s.RealLimiters, neededBytes>>20, totalBytes>>21)
 	}
-	if need > free {
-		return fmt.Errorf("%d limiters with %d servers and %d real ones need some %d MB, %d MB are free", limiters, s.ServersBesideFleet, s.RealLimiters, need>>20, free>>20)
+	if neededBytes > availableBytes {
+		return fmt.Errorf("%d limiters with %d servers and %d real ones need some %d MB, %d MB are free", limiters, s.ServersBesideFleet, s.RealLimiters, neededBytes>>20, availableBytes>>20)
 	}
 	return nil
 }
@@ -82,28 +82,28 @@
 // longest list.
 func (s Sizes) peakMemory() int64 {
 	limiters, servers := int64(s.HollowLimiters[len(s.HollowLimiters)-1]), int64(s.ListedServers[len(s.ListedServers)-1])
-	at := func(limiters, servers int64) int64 {
+	bytesFor := func(limiters, servers int64) int64 {
 		return limiters*(hollowLimiterBytes+servers*hollowBytesPerServer) + int64(s.RealLimiters)*(realLimiterBytes+servers*realBytesPerServer) +
 			servers*discoveryBytesPerServer + (hollowProcessCount+helperProcesses)*helperProcessBytes
 	}
-	return max(at(limiters, int64(s.ServersBesideFleet)), at(fewHollowLimiters, servers))
+	return max(bytesFor(limiters, int64(s.ServersBesideFleet)), bytesFor(fewHollowLimiters, servers))
 }
 
 // machineMemory is the machine's memory in bytes, or the limit of the control group where that is lower.
 func machineMemory() (int64, error) {
-	all, err := meminfoBytes("MemTotal")
+	totalBytes, err := meminfoBytes("MemTotal")
 	if err != nil {
 		return 0, err
 	}
 	raw, err := os.ReadFile("/sys/fs/cgroup/memory.max")
 	if errors.Is(err, os.ErrNotExist) {
-		return all, nil
+		return totalBytes, nil
 	}
 	if err != nil {
 		return 0, err
 	}
 	if n, err := strconv.ParseInt(strings.TrimSpace(string(raw)), 10, 64); err == nil { // without a limit the file holds the word max
-		all = min(all, n)
+		totalBytes = min(totalBytes, n)
 	}
-	return all, nil
+	return totalBytes, nil
 }
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -52,7 +52,7 @@
 	lostRequests, refusedRequests, sentRequests                                   int
 	unansweredCalls                                                               int      // by the counter, of hollow limiters
 	unansweredReasons                                                             []string // one of each hollow process with unanswered calls
-	lostReason                                                                    string   // of the first lost request
+	lostReason                                                                    string   // of a lost request, from the first load that lost any
 	clusterResults                                                                chan clusterResult
 	modelResults                                                                  chan modelResult // nil: the model has not been started
 }
@@ -221,15 +221,15 @@
 	r.measurements.heldConstant["requests"] = fmt.Sprintf("%d real limiters of a fleet of %d by the settings, no hollow one, %d servers, no change, %.3g firms for each request a second, within their quotas",
 		len(r.realLimiters), r.configuredFleetSize(), r.listedServers, firmsPerRequestRate)
 	for _, rate := range r.Sizes.RequestsPerSecond {
-		x, got, err := r.measureWindow(r.Sizes.Window, r.regularLoad(rate), nil)
+		used, load, err := r.measureWindow(r.Sizes.Window, r.regularLoad(rate), nil)
 		if err != nil {
 			return err
 		}
-		served := float64(got.Sent) / float64(len(r.realLimiters)) / (r.Sizes.Window + r.Sizes.Settle).Seconds() // sent, whatever the answer
-		r.recordLimiters("requests", served, x)
-		r.recordRoles("requests", served*float64(len(r.realLimiters)), x, counterRole)
+		sentPerLimiter := float64(load.Sent) / float64(len(r.realLimiters)) / (r.Sizes.Window + r.Sizes.Settle).Seconds() // sent, whatever the answer
+		r.recordLimiters("requests", sentPerLimiter, used)
+		r.recordRoles("requests", sentPerLimiter*float64(len(r.realLimiters)), used, counterRole)
 		if rate == targetRequestsPerSecond || rate == heavyLoadFactor*targetRequestsPerSecond {
-			r.recordAddedTime(rate, false, got)
+			r.recordAddedTime(rate, false, load)
 			if err := r.measureDirect(rate); err != nil {
 				return err
 			}
@@ -241,11 +241,11 @@
 // measureDirect sends the load of the last added time directly to the servers and records its 99th percentile beside that: the
 // part of the time that is due to sockets and the machine, not to limiters.
 func (r *run) measureDirect(rate float64) error {
-	var got LoadResult
-	if err := r.group.call(r.loadProcess, "Role.Run", LoadRun{r.directLoad(rate), r.Sizes.Settle, r.Sizes.Settle + r.Sizes.Window/2, r.Seed}, &got); err != nil {
+	var load LoadResult
+	if err := r.group.call(r.loadProcess, "Role.Run", LoadRun{r.directLoad(rate), r.Sizes.Settle, r.Sizes.Settle + r.Sizes.Window/2, r.Seed}, &load); err != nil {
 		return err
 	}
-	r.figures.Added[len(r.figures.Added)-1].Straight = got.P99MS
+	r.figures.Added[len(r.figures.Added)-1].Straight = load.P99MS
 	return nil
 }
 
@@ -277,11 +277,11 @@
 
 // measureControlled measures the added time at a rate of requests while the list changes at the target's rate.
 func (r *run) measureControlled(rate float64) error {
-	lasts := max(r.Sizes.Window, burstDuration+time.Second)
-	_, got, err := r.measureWindow(lasts, r.regularLoad(rate), r.targetChanges(lasts))
+	duration := max(r.Sizes.Window, burstDuration+time.Second)
+	_, load, err := r.measureWindow(duration, r.regularLoad(rate), r.targetChanges(duration))
 	if err != nil {
 		return err
 	}
-	r.recordAddedTime(rate, true, got)
+	r.recordAddedTime(rate, true, load)
 	return r.measureDirect(rate)
 }
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -26,12 +26,14 @@
 	"bramblefall/internal/standin"
 )
 
-// The test's program is also the rig's children, and a rig that a test ends from outside.
+// The test binary also runs as the rig's child processes, and as a whole rig that a test ends from outside. These variables of
+// the environment say which.
 const (
-	childVar = "BRAMBLEFALL_SCALE_CHILD"
-	rigVar   = "BRAMBLEFALL_SCALE_RIG"
+	childVar = "BRAMBLEFALL_SCALE_CHILD" // the role of a child
+	rigVar   = "BRAMBLEFALL_SCALE_RIG"   // path of the limiter's program for a rig
 )
 
+// limiterBinary is the limiter's program, built once for all tests.
 var limiterBinary struct {
 	once sync.Once
 	path string
@@ -57,7 +59,8 @@
 	os.Exit(code)
 }
 
-// rig runs until it is told to end. It writes its processes' ids once it has limiters.
+// runRig runs a rig until a signal ends it. It prints the ids of its processes as soon as all limiters run. The exit code is 1
+// where the run says that its figures are partial, as it must, and 3 otherwise.
 func runRig(path string) {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -81,7 +84,7 @@
 	return cmd
 }
 
-// small is a run of counts: nothing in it is judged by its time.
+// smallRun is a short run of which only counts are checked, no times.
 func smallRun(binary string) Options {
 	return Options{Seed: 1, Binary: binary, Child: startTestChild, Say: func(string, ...any) {}, Sizes: Sizes{RealLimiters: 2, HollowLimiters: []int{10, 20, 40}, ServersBesideFleet: 40,
 		ListedServers: []int{40, 80, 120}, ChangesPerSecond: []float64{5, 10, 20}, RequestsPerSecond: []float64{10, 20, 40}, ActiveFirms: []int{10, 20}, KnownFirms: []int{10, 20}, LimitersTold: []int{1, 2, 4},
@@ -91,7 +94,7 @@
 func buildProgram(t *testing.T) string {
 	for _, sources := range []string{"../../go.*", "../../logic/*.go", "../*/*.go", "../../cmd/bramblefall*/*.go"} {
 		files, _ := filepath.Glob(sources)
-		for _, f := range files { // the program is built out of go test's sight: what is looked at counts in its cache
+		for _, f := range files { // go test does not see what lab.Build reads: a Stat of the sources has its cache of results depend on them
 			_, _ = os.Stat(f)
 		}
 	}
@@ -112,7 +115,7 @@
 		return false
 	}
 	_, rest, _ := strings.Cut(string(raw), ") ")
-	return !strings.HasPrefix(rest, "Z") // a dead process that nobody has waited for yet
+	return !strings.HasPrefix(rest, "Z") // a zombie has exited but has not been waited for yet
 }
 
 func requireGone(t *testing.T, list ProcessIDs) {
@@ -123,18 +126,18 @@
 	}
 }
 
-// Forty hollow limiters and two real ones: each whole list, change, call and answer is counted once, all end with the same
-// version, and nothing is left running.
+// With forty hollow limiters and two real ones each whole list, change, call and answer is counted exactly once, all limiters
+// end with the same version, and no process is left running.
 func TestMessagesAreCountedExactly(t *testing.T) {
 	o := smallRun(buildProgram(t))
-	const hollows, changes = 40, 25
+	const hollowLimiters, changes = 40, 25
 	r := &run{Options: o, group: newProcessGroup(t.Context()), dir: t.TempDir(), binary: o.Binary, measurements: newMeasurements(), figures: &Figures{}}
-	var list ProcessIDs
-	r.OnStage = func(_ string, l ProcessIDs) { list = l }
+	var processes ProcessIDs
+	r.OnStage = func(_ string, l ProcessIDs) { processes = l }
 	func() {
 		defer r.group.close()
 		require.NoError(t, r.startProcesses())
-		require.NoError(t, r.growFleet(hollows))
+		require.NoError(t, r.growFleet(hollowLimiters))
 		var done ScheduleResult
 		require.NoError(t, r.group.call(r.discoveryProcess, "Role.RunSchedule", ChangeSchedule{ChangesPerSecond: 50, Duration: changes * time.Second / 50, ServersChanged: 8}, &done))
 		require.Equal(t, changes, done.Changes)
@@ -143,9 +146,9 @@
 		at, behind, err := r.awaitVersion(deliveryTimeout, r.hollowProcesses)
 		require.NoError(t, err)
 		require.Zero(t, behind)
-		require.Len(t, at, hollows)
-		for _, p := range r.hollowProcesses { // nobody is ahead: all have the same
-			var a FleetStatus
+		require.Len(t, at, hollowLimiters)
+		for _, p := range r.hollowProcesses { // none has a later version than the others
+			var a HollowStatus
 			require.NoError(t, r.group.call(p, "Role.Arrivals", r.lastVersion+1, &a))
 			require.Equal(t, a.Limiters, a.Behind)
 			require.Len(t, a.ListedAt, a.Limiters)
@@ -160,15 +163,15 @@
 		require.NoError(t, r.group.call(r.serverProcess, "Role.Requests", 0, &took))
 		require.GreaterOrEqual(t, took, int64(got.Served))
 
-		var s sample
+		var usage sample
 		require.Eventually(t, func() bool { // a real limiter may still be reading the last change
-			s, err = r.takeSample()
-			return err == nil && s.discovery.realTotal().Changes == int64(len(r.realLimiters)*changes)
+			usage, err = r.takeSample()
+			return err == nil && usage.discovery.realTotal().Changes == int64(len(r.realLimiters)*changes)
 		}, 5*time.Second, 20*time.Millisecond)
-		h, real := s.discovery.Hollow, s.discovery.Real
-		assert.EqualValues(t, hollows, h.ConnsOpened)
-		assert.EqualValues(t, hollows, h.WholeLists)
-		assert.EqualValues(t, hollows*changes, h.Changes)
+		h, real := usage.discovery.Hollow, usage.discovery.Real
+		assert.EqualValues(t, hollowLimiters, h.ConnsOpened)
+		assert.EqualValues(t, hollowLimiters, h.WholeLists)
+		assert.EqualValues(t, hollowLimiters*changes, h.Changes)
 		assert.Equal(t, h.ConnsOpened+h.WholeLists+h.Changes+h.Heartbeats, h.Messages)
 		require.Len(t, real, len(r.realLimiters))
 		for _, x := range real {
@@ -179,24 +182,24 @@
 		}
 		var calls, answered int64
 		for _, p := range r.hollowProcesses {
-			var a FleetStatus
+			var a HollowStatus
 			require.NoError(t, r.group.call(p, "Role.Arrivals", r.lastVersion, &a))
 			calls, answered = calls+a.Calls, answered+a.Answered
-			require.Zero(t, a.Unsent+a.Lost)
+			require.Zero(t, a.UnsentOrRejected+a.Lost)
 		}
 		require.Positive(t, calls)
 		require.Equal(t, calls, answered)
-		c := s.counter.Hollow
+		c := usage.counter.Hollow
 		assert.Equal(t, calls, c.Changes)
 		assert.Equal(t, 2*(c.Changes+c.Heartbeats), c.Messages)
-		assert.EqualValues(t, hollows, c.ConnsOpened)
+		assert.EqualValues(t, hollowLimiters, c.ConnsOpened)
 		r.enterStage("the end")
 	}()
-	require.Len(t, list, 5+hollowProcessCount+len(r.realLimiters))
-	requireGone(t, list)
+	require.Len(t, processes, 5+hollowProcessCount+len(r.realLimiters))
+	requireGone(t, processes)
 }
 
-func TestSizesThatContradictAreRefused(t *testing.T) {
+func TestContradictorySizesAreRejected(t *testing.T) {
 	for name, change := range map[string]func(*Sizes){
 		"real limiters":     func(s *Sizes) { s.RealLimiters = 7 },
 		"at least 100":      func(s *Sizes) { s.HollowLimiters = []int{10, 50} },
@@ -226,7 +229,7 @@
 	require.ErrorContains(t, err, "no loopback address")
 }
 
-func TestATakenPortEndsTheRun(t *testing.T) {
+func TestPortInUseEndsTheRun(t *testing.T) {
 	l, err := loopback.Listen()
 	require.NoError(t, err)
 	defer l.Close()
@@ -247,7 +250,7 @@
 	require.NotEmpty(t, f.Partial)
 }
 
-// What was measured before a process died is kept, and says that it is partial.
+// The figures measured before a process died are kept and say that they are partial.
 func TestAProcessThatDiesEndsTheRunAndItsFiguresAreKept(t *testing.T) {
 	for _, role := range []string{"limiter-1", "hollow-3", discoveryRole} {
 		o := smallRun(buildProgram(t))
@@ -281,8 +284,8 @@
 	}
 }
 
-// However a rig ends, its processes end.
-func TestNothingIsLeftOfARigThatIsEnded(t *testing.T) {
+// A rig's processes end with it, whether it is interrupted, terminated or killed.
+func TestNoProcessSurvivesTheRig(t *testing.T) {
 	for _, s := range []syscall.Signal{syscall.SIGINT, syscall.SIGTERM, syscall.SIGKILL} {
 		cmd := exec.Command(os.Args[0])
 		cmd.Env = append(os.Environ(), rigVar+"="+buildProgram(t))
@@ -308,12 +311,12 @@
 	require.InDelta(t, 3, intercept, 1e-9)
 	require.InDelta(t, 2, slope, 1e-9)
 	require.InDelta(t, 0, failing, 1e-9)
-	_, slope, failing = fitLine([]float64{0, 1, 2, 3}, []float64{0, 2, 1, 3}) // by hand: residuals -0.3, 0.9, -0.9, 0.3; Sxx 5
+	_, slope, failing = fitLine([]float64{0, 1, 2, 3}, []float64{0, 2, 1, 3}) // computed by hand: residuals -0.3, 0.9, -0.9, 0.3; sum of squared deviations of x 5
 	require.InDelta(t, 0.8, slope, 1e-9)
 	require.InDelta(t, 1.8/2/5, failing*failing, 1e-9)
 }
 
-func TestBarsBreakOnWhatTheyAreFor(t *testing.T) {
+func TestEachBarDetectsItsViolation(t *testing.T) {
 	good := func() *run {
 		r := &run{Options: Options{Sizes: Sizes{HollowLimiters: []int{10}}}, figures: &Figures{Hollow: 10, Moments: []Moment{{Name: "change", Last: 0.1}}}}
 		for _, key := range requiredSlopes {
@@ -347,8 +350,8 @@
 	}
 }
 
-// Whoever asks from a version gets what came after it, and from none the whole list, with an answer's head before either.
-func TestDiscoveryTellsWhatCameAfterAVersion(t *testing.T) {
+// A watch from a version gets the changes after it, and a watch from none the whole list, either after a response header.
+func TestDiscoverySendsChangesAfterAVersion(t *testing.T) {
 	d := &Discovery{ctx: t.Context()}
 	var at Addresses
 	require.NoError(t, d.Start(DiscoveryStart{Servers: 10, Addrs: []string{"127.0.0.1:1"}, Zones: zones}, &at))
@@ -372,10 +375,10 @@
 	}
 }
 
-// In the rig's largest run some hundred calls to the counter had no answer, on a machine that was short of processors. A
-// connection that brings nothing for 300 ms while answers are due is left, and the calls on it may have been added: a
-// counter that stands still for longer loses those that were out, and each of them is told.
-func TestCallsAreLostWhereTheCounterStandsStillForLongerThanAConnectionIsAwaited(t *testing.T) {
+// In the rig's largest run some hundred calls to the counter had no answer, on a machine with too few processors. A connection
+// that delivers nothing for 300 ms while answers are due is dropped, and the calls on it may or may not have been added. A
+// counter that stalls for longer therefore loses the calls in flight, and each of them must be reported.
+func TestCounterStallBeyondConnectionTimeoutLosesCalls(t *testing.T) {
 	const limiters, rate, stands = 40, 10.0, 900 * time.Millisecond
 	var at, listed Addresses
 	require.NoError(t, new(Counter).Start(0, &at))
@@ -392,12 +395,12 @@
 	link.Set(standin.Conditions{})
 	time.Sleep(500 * time.Millisecond)
 	require.NoError(t, h.Calls(0, new(int)))
-	var a FleetStatus
+	var a HollowStatus
 	require.Eventually(t, func() bool {
 		require.NoError(t, h.Arrivals(0, &a))
-		return a.Calls == a.Answered+a.Unsent+a.Lost
+		return a.Calls == a.Answered+a.UnsentOrRejected+a.Lost
 	}, 10*time.Second, 10*time.Millisecond, "each call ends")
-	t.Logf("%d calls, %d answered, %d unsent, %d lost", a.Calls, a.Answered, a.Unsent, a.Lost)
+	t.Logf("%d calls, %d answered, %d unsent, %d lost", a.Calls, a.Answered, a.UnsentOrRejected, a.Lost)
 	require.Positive(t, a.Answered)
 	require.Positive(t, a.Lost)
 }
--- a/internal/scale/sweeps.go
+++ b/internal/scale/sweeps.go
@@ -31,7 +31,7 @@
 	sizes = sizes[max(0, len(sizes)-len(r.realLimiters)):]
 	r.measurements.heldConstant["tenants_active"] = fmt.Sprintf("each size on a real limiter of its own; %g requests a second of each, of a plan that bounds nothing; %d servers, no change; memory is what came on top", activeRequestsPerSecond, r.listedServers)
 	var targets []LoadTarget
-	var before []float64
+	var memoryBefore []float64
 	for k := range sizes { // one firm each at first, so that the cost of the rate itself is not counted as that of the firms
 		targets = append(targets, LoadTarget{Addr: r.realLimiters[k].addr, RequestsPerSecond: activeRequestsPerSecond, Firms: 1, FirstFirmID: uint64(k+100) << 20, LimitersPerFirm: limitersPerFirm, FirstLimiter: k, Tier: tiers[1].Name, RoundRobin: true})
 	}
@@ -39,19 +39,19 @@
 		return err
 	}
 	for k, n := range sizes {
-		before = append(before, residentBytes(r.realLimiters[k].pid))
+		memoryBefore = append(memoryBefore, residentBytes(r.realLimiters[k].pid))
 		targets[k].Firms = n
 	}
 	duration := max(r.Sizes.Window, time.Duration(1.1*float64(sizes[len(sizes)-1])/activeRequestsPerSecond*float64(time.Second))-r.Sizes.Settle)
-	x, _, err := r.measureWindow(duration, targets, nil)
+	used, _, err := r.measureWindow(duration, targets, nil)
 	if err != nil {
 		return err
 	}
 	for k, n := range sizes {
-		r.measurements.add("limiter", "memory", "tenants_active", float64(n), residentBytes(r.realLimiters[k].pid)-before[k])
-		r.measurements.add("limiter", "processor", "tenants_active", float64(n), x.limiterProcessor[k])
-		r.measurements.add("limiter", "messages", "tenants_active", float64(n), x.limiterRates[k][0])
-		r.measurements.add("limiter", "bytes", "tenants_active", float64(n), x.limiterRates[k][1])
+		r.measurements.add("limiter", "memory", "tenants_active", float64(n), residentBytes(r.realLimiters[k].pid)-memoryBefore[k])
+		r.measurements.add("limiter", "processor", "tenants_active", float64(n), used.limiterProcessor[k])
+		r.measurements.add("limiter", "messages", "tenants_active", float64(n), used.limiterRates[k][0])
+		r.measurements.add("limiter", "bytes", "tenants_active", float64(n), used.limiterRates[k][1])
 	}
 	return nil
 }
@@ -64,23 +64,23 @@
 	r.measurements.heldConstant[againstFirms] = fmt.Sprintf("one change of plans told to one real limiter, each size to one of its own, %d servers on its list; limiter's memory is what came on top", r.listedServers)
 	for k, n := range r.Sizes.KnownFirms[max(0, len(r.Sizes.KnownFirms)-len(r.realLimiters)):] {
 		l := r.realLimiters[k]
-		memory, used := residentBytes(l.pid), processorTime(l.pid)
-		done, err := r.execute(Order{Sockets: []string{l.socket}, Firms: n, Tiers: tiers})
+		memoryBefore, processorBefore := residentBytes(l.pid), processorTime(l.pid)
+		result, err := r.execute(Order{Sockets: []string{l.socket}, Firms: n, Tiers: tiers})
 		if err != nil {
 			return err
 		}
-		if done.Firms != n {
-			return fmt.Errorf("the plan book names %d firms after a change that names %d", done.Firms, n)
+		if result.Firms != n {
+			return fmt.Errorf("the plan book names %d firms after a change that names %d", result.Firms, n)
 		}
-		r.measurements.addWithUnit("seconds/change", "limiter", "processor", againstFirms, float64(n), (processorTime(l.pid) - used).Seconds())
-		r.measurements.add("limiter", "memory", againstFirms, float64(n), residentBytes(l.pid)-memory)
-		if err := r.recordOrder("distribution", "/change", againstFirms, n, done); err != nil {
+		r.measurements.addWithUnit("seconds/change", "limiter", "processor", againstFirms, float64(n), (processorTime(l.pid) - processorBefore).Seconds())
+		r.measurements.add("limiter", "memory", againstFirms, float64(n), residentBytes(l.pid)-memoryBefore)
+		if err := r.recordOrder("distribution", "/change", againstFirms, n, result); err != nil {
 			return err
 		}
-		if done, err = r.execute(Order{Sockets: []string{l.socket}}); err != nil {
+		if result, err = r.execute(Order{Sockets: []string{l.socket}}); err != nil {
 			return err
 		}
-		if err := r.recordOrder("tools", "/look", againstFirms, n, done); err != nil {
+		if err := r.recordOrder("tools", "/look", againstFirms, n, result); err != nil {
 			return err
 		}
 	}
@@ -100,18 +100,18 @@
 			return err
 		}
 		sockets = append(sockets, more...)
-		done, err := r.execute(Order{Sockets: sockets, Firms: planChangeFirms, Tiers: tiers})
+		result, err := r.execute(Order{Sockets: sockets, Firms: planChangeFirms, Tiers: tiers})
 		if err != nil {
 			return err
 		}
-		if err := r.recordOrder("distribution", "/change", againstLimiters, n, done); err != nil {
+		if err := r.recordOrder("distribution", "/change", againstLimiters, n, result); err != nil {
 			return err
 		}
-		r.say("a change of plans that names %d firms is with %d limiters after %.0f ms", planChangeFirms, n, 1000*done.Elapsed.Seconds())
-		if done, err = r.execute(Order{Sockets: sockets}); err != nil {
+		r.say("a change of plans that names %d firms is with %d limiters after %.0f ms", planChangeFirms, n, 1000*result.Elapsed.Seconds())
+		if result, err = r.execute(Order{Sockets: sockets}); err != nil {
 			return err
 		}
-		if err := r.recordOrder("tools", "/look", againstLimiters, n, done); err != nil {
+		if err := r.recordOrder("tools", "/look", againstLimiters, n, result); err != nil {
 			return err
 		}
 	}
@@ -119,21 +119,21 @@
 }
 
 // execute has the operators' process carry out an order.
-func (r *run) execute(o Order) (done OrderResult, err error) {
-	err = r.group.call(r.operatorProcess, "Role.Execute", o, &done)
-	return done, err
+func (r *run) execute(o Order) (result OrderResult, err error) {
+	err = r.group.call(r.operatorProcess, "Role.Execute", o, &result)
+	return result, err
 }
 
 // recordOrder records what an order cost the operators' process; per is what the units are for, such as "/change".
-func (r *run) recordOrder(role, per, against string, size int, done OrderResult) error {
-	if err := r.group.call(r.operatorProcess, "Peer.Collect", 0, new(int)); err != nil {
+func (r *run) recordOrder(role, per, against string, size int, result OrderResult) error {
+	if err := r.group.call(r.operatorProcess, "Peer.FreeMemory", 0, new(int)); err != nil {
 		return err
 	}
 	n := float64(size)
 	r.measurements.add(role, "memory", against, n, residentBytes(r.operatorProcess.pid))
-	r.measurements.addWithUnit("seconds"+per, role, "processor", against, n, done.Processor.Seconds())
-	r.measurements.addWithUnit("1"+per, role, "messages", against, n, float64(done.Messages))
-	r.measurements.addWithUnit("bytes"+per, role, "bytes", against, n, float64(done.Bytes))
+	r.measurements.addWithUnit("seconds"+per, role, "processor", against, n, result.Processor.Seconds())
+	r.measurements.addWithUnit("1"+per, role, "messages", against, n, float64(result.Messages))
+	r.measurements.addWithUnit("bytes"+per, role, "bytes", against, n, float64(result.Bytes))
 	return nil
 }
 
--- a/internal/scale/window.go
+++ b/internal/scale/window.go
@@ -42,20 +42,22 @@
 	discoveryTraffic, counterTraffic GroupTraffic
 }
 
-func ratesBetween(a, b sample) (x rates) {
-	s := (b.at - a.at).Seconds()
-	x.seconds, x.processor = s, map[string]float64{}
-	for role := range b.processor {
-		x.processor[role] = (b.processor[role] - a.processor[role]).Seconds() / s
-	}
-	x.discoveryTraffic, x.counterTraffic = b.discovery.minus(a.discovery), b.counter.minus(a.counter)
-	per := func(t Traffic) [2]float64 { return [2]float64{float64(t.Messages) / s, float64(t.Bytes) / s} }
-	x.discoveryRates, x.counterRates = per(x.discoveryTraffic.total()), per(x.counterTraffic.total())
-	for k := range b.realProcessor {
-		x.limiterProcessor = append(x.limiterProcessor, (b.realProcessor[k]-a.realProcessor[k]).Seconds()/s)
-		x.limiterRates = append(x.limiterRates, per(x.discoveryTraffic.Real[k].plus(x.counterTraffic.Real[k])))
-	}
-	return x
+func ratesBetween(before, after sample) (used rates) {
+	seconds := (after.at - before.at).Seconds()
+	used.seconds, used.processor = seconds, map[string]float64{}
+	for role := range after.processor {
+		used.processor[role] = (after.processor[role] - before.processor[role]).Seconds() / seconds
+	}
+	used.discoveryTraffic, used.counterTraffic = after.discovery.minus(before.discovery), after.counter.minus(before.counter)
+	per := func(t Traffic) [2]float64 {
+		return [2]float64{float64(t.Messages) / seconds, float64(t.Bytes) / seconds}
+	}
+	used.discoveryRates, used.counterRates = per(used.discoveryTraffic.total()), per(used.counterTraffic.total())
+	for k := range after.realProcessor {
+		used.limiterProcessor = append(used.limiterProcessor, (after.realProcessor[k]-before.realProcessor[k]).Seconds()/seconds)
+		used.limiterRates = append(used.limiterRates, per(used.discoveryTraffic.Real[k].plus(used.counterTraffic.Real[k])))
+	}
+	return used
 }
 
 func mean(list []float64) float64 {
@@ -68,7 +70,7 @@
 
 // measureWindow runs a load and, one after the other, schedules of changes for a given time and measures what all roles used
 // meanwhile.
-func (r *run) measureWindow(duration time.Duration, targets []LoadTarget, schedules []ChangeSchedule) (x rates, load LoadResult, err error) {
+func (r *run) measureWindow(duration time.Duration, targets []LoadTarget, schedules []ChangeSchedule) (used rates, load LoadResult, err error) {
 	var wg sync.WaitGroup
 	var first firstError
 	if len(targets) > 0 {
@@ -79,34 +81,34 @@
 			first.set(r.group.call(r.loadProcess, "Role.Run", LoadRun{targets, r.Sizes.Settle, duration + r.Sizes.Settle, r.Seed}, &load))
 		}()
 		if err := r.group.sleep(r.Sizes.Settle); err != nil {
-			return x, load, err
+			return used, load, err
 		}
 	}
-	a, err := r.takeSample()
+	before, err := r.takeSample()
 	if err != nil {
-		return x, load, err
+		return used, load, err
 	}
 	var results []ScheduleResult
 	for _, s := range schedules {
 		var t ScheduleResult
 		s.ServersChanged = r.listedServers / 2
 		if err := r.group.call(r.discoveryProcess, "Role.RunSchedule", s, &t); err != nil {
-			return x, load, err
+			return used, load, err
 		}
 		results = append(results, t)
 	}
-	if left := duration - (now() - a.at); left > 0 {
+	if left := duration - (now() - before.at); left > 0 {
 		if err := r.group.sleep(left); err != nil {
-			return x, load, err
+			return used, load, err
 		}
 	}
-	b, err := r.takeSample()
+	after, err := r.takeSample()
 	if err != nil {
-		return x, load, err
+		return used, load, err
 	}
 	wg.Wait()
 	if first.err != nil {
-		return x, load, first.err
+		return used, load, first.err
 	}
 	for _, t := range results {
 		if t.Changes > 0 {
@@ -117,7 +119,7 @@
 	if r.lostReason == "" {
 		r.lostReason = load.LostReason
 	}
-	return ratesBetween(a, b), load, nil
+	return ratesBetween(before, after), load, nil
 }
 
 // regularLoad is a load at the given rate on each real limiter, by firms that stay within their quotas.
@@ -137,34 +139,34 @@
 }
 
 // recordAddedTime adds the result of a load to the figures; control says whether the list changed meanwhile.
-func (r *run) recordAddedTime(rate float64, control bool, got LoadResult) {
-	r.figures.Added = append(r.figures.Added, AddedTime{PerSecond: rate, Control: control, P50: got.P50MS, P99: got.P99MS, Requests: got.Timed,
-		Limiters: r.hollowLimiterCount() + len(r.realLimiters), Servers: r.listedServers, Refused: got.Refused, Lost: got.Lost})
-	r.say("%g requests a second of each limiter: 99 in 100 wait %.2f ms longer (half: %.2f); %d refused, %d lost", rate, got.P99MS, got.P50MS, got.Refused, got.Lost)
+func (r *run) recordAddedTime(rate float64, control bool, load LoadResult) {
+	r.figures.Added = append(r.figures.Added, AddedTime{PerSecond: rate, Control: control, P50: load.P50MS, P99: load.P99MS, Requests: load.Timed,
+		Limiters: r.hollowLimiterCount() + len(r.realLimiters), Servers: r.listedServers, Refused: load.Refused, Lost: load.Lost})
+	r.say("%g requests a second of each limiter: 99 in 100 wait %.2f ms longer (half: %.2f); %d refused, %d lost", rate, load.P99MS, load.P50MS, load.Refused, load.Lost)
 }
 
 // recordLimiters records the mean of what the real limiters used at a size.
-func (r *run) recordLimiters(against string, size float64, x rates) {
+func (r *run) recordLimiters(against string, size float64, used rates) {
 	var memory, messages, bytes []float64
 	for k, l := range r.realLimiters {
 		memory = append(memory, residentBytes(l.pid))
-		messages, bytes = append(messages, x.limiterRates[k][0]), append(bytes, x.limiterRates[k][1])
+		messages, bytes = append(messages, used.limiterRates[k][0]), append(bytes, used.limiterRates[k][1])
 	}
 	r.measurements.add("limiter", "memory", against, size, mean(memory))
-	r.measurements.add("limiter", "processor", against, size, mean(x.limiterProcessor))
+	r.measurements.add("limiter", "processor", against, size, mean(used.limiterProcessor))
 	r.measurements.add("limiter", "messages", against, size, mean(messages))
 	r.measurements.add("limiter", "bytes", against, size, mean(bytes))
 }
 
 // recordRoles records what discovery or the counter used at a size.
-func (r *run) recordRoles(against string, size float64, x rates, roles ...string) {
+func (r *run) recordRoles(against string, size float64, used rates, roles ...string) {
 	for _, role := range roles {
-		p, t := r.discoveryProcess, x.discoveryRates
+		p, t := r.discoveryProcess, used.discoveryRates
 		if role == counterRole {
-			p, t = r.counterProcess, x.counterRates
+			p, t = r.counterProcess, used.counterRates
 		}
 		r.measurements.add(role, "memory", against, size, residentBytes(p.pid))
-		r.measurements.add(role, "processor", against, size, x.processor[role])
+		r.measurements.add(role, "processor", against, size, used.processor[role])
 		r.measurements.add(role, "messages", against, size, t[0])
 		r.measurements.add(role, "bytes", against, size, t[1])
 	}
@@ -173,7 +175,7 @@
 // collectGarbage has discovery, the counter and the hollow limiters return unused memory, so that sizes can be compared.
 func (r *run) collectGarbage() error {
 	for _, p := range append([]*process{r.discoveryProcess, r.counterProcess}, r.hollowProcesses...) {
-		if err := r.group.call(p, "Peer.Collect", 0, new(int)); err != nil {
+		if err := r.group.call(p, "Peer.FreeMemory", 0, new(int)); err != nil {
 			return err
 		}
 	}
@@ -181,14 +183,14 @@
 }
 
 // recordHollow records what all hollow limiters together used at a size.
-func (r *run) recordHollow(against string, size float64, x rates) {
+func (r *run) recordHollow(against string, size float64, used rates) {
 	memory := 0.0
 	for _, p := range r.hollowProcesses {
 		memory += residentBytes(p.pid)
 	}
 	r.measurements.add("hollow", "memory", against, size, memory)
-	r.measurements.add("hollow", "processor", against, size, x.processor["hollow"])
-	d, c := x.discoveryTraffic.Hollow, x.counterTraffic.Hollow
-	r.measurements.add("hollow", "messages", against, size, float64(d.Messages+c.Messages)/x.seconds)
-	r.measurements.add("hollow", "bytes", against, size, float64(d.Bytes+c.Bytes)/x.seconds)
+	r.measurements.add("hollow", "processor", against, size, used.processor["hollow"])
+	d, c := used.discoveryTraffic.Hollow, used.counterTraffic.Hollow
+	r.measurements.add("hollow", "messages", against, size, float64(d.Messages+c.Messages)/used.seconds)
+	r.measurements.add("hollow", "bytes", against, size, float64(d.Bytes+c.Bytes)/used.seconds)
 }
