--- a/internal/scale/figures.go
+++ b/internal/scale/figures.go
@@ -30,17 +30,17 @@
 	Unit      string    `json:"unit"`    // bytes, seconds/s, 1/s, bytes/s; with /change or /look instead of /s where it is the cost of one of these
 	Against   string    `json:"against"` // the size: limiters, servers, services, tenants_known, tenants_active, routes, changes, requests
 	Sizes     []float64 `json:"sizes"`
-	Values    []float64 `json:"values"`
-	Intercept float64   `json:"intercept"`
-	PerUnit   float64   `json:"per_unit"` // the slope: Unit for one more of Against
-	Error     float64   `json:"error"`    // standard error of PerUnit
-	Held      string    `json:"held"`     // what the other sizes were meanwhile, in words
+	Values    []float64 `json:"values"`    // measured at each of Sizes, in Unit
+	Intercept float64   `json:"intercept"` // of the line at size 0, in Unit
+	PerUnit   float64   `json:"per_unit"`  // the slope: Unit for one more of Against
+	Error     float64   `json:"error"`     // standard error of PerUnit
+	Held      string    `json:"held"`      // what the other sizes were meanwhile, in words
 }
 
 // QuotaError is how far quotas were missed in the model: what was sent on beyond them, and what was refused though there was
 // room. There is a row for each plan and one for all.
 type QuotaError struct {
-	Plan            string  `json:"plan"`
+	Plan            string  `json:"plan"` // AllPlans: all plans together
 	Limiters        int     `json:"limiters"`
 	Counters        int     `json:"counters"`
 	Speed           float64 `json:"speed"`             // of a counter, as a multiple of the platform's; 0: unlimited
@@ -48,8 +48,8 @@
 	RefusedWithRoom float64 `json:"refused_with_room"` // share of the tries that were refused while half of the quota was unused
 	CallsPerRequest float64 `json:"calls_per_request"` // to the counter
 	Unanswered      float64 `json:"unanswered"`        // share of the calls without an answer within the settings' timeout
-	Seeds           int     `json:"seeds"`
-	BeyondDeviation float64 `json:"spread"` // standard deviation of Beyond over the seeds
+	Seeds           int     `json:"seeds"`             // number of runs that the other figures are means of
+	BeyondDeviation float64 `json:"spread"`            // standard deviation of Beyond over the seeds
 
 	Set                      string  `json:"set"`            // name of the load, which stays the same while limiters are added
 	Held                     string  `json:"held,omitempty"` // the load in words; only in the row of all plans
@@ -81,29 +81,29 @@
 
 // AddedTime is the time that a real limiter adds to a request.
 type AddedTime struct {
-	PerSecond float64 `json:"per_second"` // requests of each real limiter
-	Control   bool    `json:"control"`    // while the list changed at the target's rate
-	P50       float64 `json:"p50_ms"`
-	P99       float64 `json:"p99_ms"`
+	PerSecond float64 `json:"per_second"`      // requests of each real limiter
+	Control   bool    `json:"control"`         // while the list changed at the target's rate
+	P50       float64 `json:"p50_ms"`          // milliseconds added, median
+	P99       float64 `json:"p99_ms"`          // milliseconds added, 99th percentile
 	Requests  int     `json:"requests"`        // whose time was measured
 	Limiters  int     `json:"limiters"`        // in all, hollow ones included
 	Servers   int     `json:"servers"`         // on the list
-	Straight  float64 `json:"straight_p99_ms"` // the same measurement without a limiter: the part of sockets and the machine
-	Refused   int     `json:"refused"`
-	Lost      int     `json:"lost"` // neither served nor refused
+	Straight  float64 `json:"straight_p99_ms"` // P99 of the same measurement without a limiter: the part due to sockets and the machine
+	Refused   int     `json:"refused"`         // requests, also those whose time was not measured
+	Lost      int     `json:"lost"`            // requests that were neither served nor refused
 }
 
 // Missing is a slope that was not measured, and the reason.
 type Missing struct {
 	Role     string `json:"role"`
-	Quantity string `json:"what"`
-	Against  string `json:"against"`
+	Quantity string `json:"what"`    // see Slope.What; all: every quantity
+	Against  string `json:"against"` // see Slope.Against
 	Why      string `json:"why"`
 }
 
 // Bar is a bound that a run has to keep, and whether it did.
 type Bar struct {
-	Name  string `json:"name"`
+	Name  string `json:"name"` // the bound in words
 	Holds bool   `json:"holds"`
 	Was   string `json:"was"` // what was measured, in words
 }
--- a/internal/scale/growth.go
+++ b/internal/scale/growth.go
@@ -100,13 +100,13 @@
 		r.recordLimiters("limiters", size, used)
 		r.recordRoles("limiters", size, used, discoveryRole, counterRole)
 		r.recordHollow("limiters", float64(n), used)
-		m, err := r.measureChange(Change{To: 1, State: "ready"}, deliveryTimeout)
+		moment, err := r.measureChange(Change{To: 1, State: "ready"}, deliveryTimeout)
 		if err != nil {
 			return err
 		}
-		m.Name = "change"
-		r.figures.Moments = append(r.figures.Moments, m)
-		r.say("%d limiters: a change is with 99 in 100 after %.0f ms, with the last after %.0f ms", m.Limiters, 1000*m.P99, 1000*m.Last)
+		moment.Name = "change"
+		r.figures.Moments = append(r.figures.Moments, moment)
+		r.say("%d limiters: a change is with 99 in 100 after %.0f ms, with the last after %.0f ms", moment.Limiters, 1000*moment.P99, 1000*moment.Last)
 	}
 	return nil
 }
@@ -128,14 +128,14 @@
 		if err := r.collectGarbage(); err != nil {
 			return err
 		}
-		var size [2]int
-		if err := r.group.call(r.discoveryProcess, "Role.ListSize", 0, &size); err != nil {
+		var listSize [2]int
+		if err := r.group.call(r.discoveryProcess, "Role.ListSize", 0, &listSize); err != nil {
 			return err
 		}
 		r.recordLimiters("servers", float64(n), used)
 		r.recordHollow("servers", float64(n), used)
 		r.recordRoles("servers", float64(n), used, discoveryRole)
-		r.measurements.addWithUnit("bytes/list", "discovery", "list", "servers", float64(n), float64(size[0]))
+		r.measurements.addWithUnit("bytes/list", "discovery", "list", "servers", float64(n), float64(listSize[0]))
 	}
 	return r.measureLongestList()
 }
@@ -143,7 +143,7 @@
 // growList has discovery add servers to the list and waits until the real limiters have read all of them.
 func (r *run) growList(servers int) error {
 	from := now()
-	m, err := r.measureChange(Change{GrowTo: servers}, deliveryTimeout)
+	moment, err := r.measureChange(Change{GrowTo: servers}, deliveryTimeout)
 	if err != nil {
 		return err
 	}
@@ -166,9 +166,9 @@
 		}
 	}
 	if added > 0 {
-		m.Name, m.Servers = "growth", servers
-		m.Note = joinNotes(fmt.Sprintf("%d servers more, %d in a line at most", added, maxServersPerLine), m.Note)
-		r.figures.Moments = append(r.figures.Moments, m)
+		moment.Name, moment.Servers = "growth", servers
+		moment.Note = joinNotes(fmt.Sprintf("%d servers more, %d in a line at most", added, maxServersPerLine), moment.Note)
+		r.figures.Moments = append(r.figures.Moments, moment)
 	}
 	return nil
 }
@@ -182,8 +182,8 @@
 	if err := r.measureControlled(targetRequestsPerSecond); err != nil {
 		return err
 	}
-	var size [2]int
-	if err := r.group.call(r.discoveryProcess, "Role.ListSize", 0, &size); err != nil || size[0] < longListBytes {
+	var listSize [2]int
+	if err := r.group.call(r.discoveryProcess, "Role.ListSize", 0, &listSize); err != nil || listSize[0] < longListBytes {
 		return err
 	}
 	return r.startBesideLongestList()
--- a/internal/scale/modelled.go
+++ b/internal/scale/modelled.go
@@ -170,6 +170,7 @@
 	rng := rand.New(rand.NewPCG(seed, 0x646179))
 	workingHour := func() float64 { return 3600 * (8 + 10*rng.Float64()) }
 	for len(changesAt) < changesPerDay/2 {
+		// The size of a release has a log-normal distribution with the median 250, cut off at 3000.
 		size := min(int(math.Exp(math.Log(250)+0.9*rng.NormFloat64())), 3000, changesPerDay/2-len(changesAt))
 		changesPerSecond, t := 2+38*rng.Float64()*rng.Float64(), workingHour()
 		for range max(size, 1) {
@@ -268,26 +269,26 @@
 func playBurst(ctx context.Context, seed uint64, limiters, servers int, span float64) (burst, calm model.Result, firms int, err error) {
 	changesAt := drawDayChanges(seed)
 	_, from := busiestSpan(changesAt, span)
-	s := model.Base()
-	s.Name, s.Limiters, s.Nodes, s.Firms.Count, s.Warm = "worst minute", limiters, servers, 12*limiters, 10
-	s.Firms.Spread = model.Range{float64(limiters), float64(limiters)}
-	s.Seconds = s.Warm + span + 10
-	quiet := s
+	burstScenario := model.Base()
+	burstScenario.Name, burstScenario.Limiters, burstScenario.Nodes, burstScenario.Firms.Count, burstScenario.Warm = "worst minute", limiters, servers, 12*limiters, 10
+	burstScenario.Firms.Spread = model.Range{float64(limiters), float64(limiters)}
+	burstScenario.Seconds = burstScenario.Warm + span + 10
+	calmScenario := burstScenario
 	// Replacing a server takes three changes: it drains, it is gone, and another one is ready. Each third change is thus played
 	// as the drain of one server.
 	changes := 0
 	for _, t := range changesAt {
 		if t >= from && t < from+span {
 			if changes++; changes%3 == 1 {
-				s.Faults = append(s.Faults, model.Fault{Kind: model.FaultDrain, At: s.Warm + t - from, Part: 0.1 / float64(servers)})
+				burstScenario.Faults = append(burstScenario.Faults, model.Fault{Kind: model.FaultDrain, At: burstScenario.Warm + t - from, Part: 0.1 / float64(servers)})
 			}
 		}
 	}
-	list := lab.Parallel(ctx, []lab.Job{{Scenario: s, Policy: model.Own(), Seed: seed}, {Scenario: quiet, Policy: model.Own(), Seed: seed}}, nil)
+	list := lab.Parallel(ctx, []lab.Job{{Scenario: burstScenario, Policy: model.Own(), Seed: seed}, {Scenario: calmScenario, Policy: model.Own(), Seed: seed}}, nil)
 	if len(list) < 2 {
 		return burst, calm, 0, ctx.Err()
 	}
-	return list[0].Result, list[1].Result, s.Firms.Count, nil
+	return list[0].Result, list[1].Result, burstScenario.Firms.Count, nil
 }
 
 // measureChangeCost measures how long the reducer takes for a change of one server among many: the mean and the 99th
--- a/internal/scale/moments.go
+++ b/internal/scale/moments.go
@@ -7,41 +7,41 @@
 )
 
 // measureChange makes one change of the list, waits until the hollow limiters have it and returns how long that took.
-func (r *run) measureChange(c Change, timeout time.Duration) (m Moment, err error) {
+func (r *run) measureChange(c Change, timeout time.Duration) (moment Moment, err error) {
 	before, err := r.takeSample()
 	if err != nil {
-		return m, err
+		return moment, err
 	}
-	var told AppliedChange
-	if err := r.group.call(r.discoveryProcess, "Role.Change", c, &told); err != nil {
-		return m, err
+	var applied AppliedChange
+	if err := r.group.call(r.discoveryProcess, "Role.Change", c, &applied); err != nil {
+		return moment, err
 	}
-	r.lastVersion = told.Version
+	r.lastVersion = applied.Version
 	arrivedAt, behind, err := r.awaitVersion(timeout, r.hollowProcesses)
 	if err != nil {
-		return m, err
+		return moment, err
 	}
 	after, err := r.takeSample()
 	if err != nil {
-		return m, err
+		return moment, err
 	}
-	m = r.newMoment(arrivedAt, told.AppliedAt, behind)
+	moment = r.newMoment(arrivedAt, applied.AppliedAt, behind)
 	t := after.discovery.minus(before.discovery).total()
-	m.Messages, m.Bytes = float64(t.Messages), float64(t.Bytes)
-	return m, nil
+	moment.Messages, moment.Bytes = float64(t.Messages), float64(t.Bytes)
+	return moment, nil
 }
 
-// newMoment sums up how long after from a version arrived at limiters; behind is how many did not get it in time.
-func (r *run) newMoment(arrivedAt []time.Duration, from time.Duration, behind int) (m Moment) {
+// newMoment sums up how long after since a version arrived at limiters; behind is the number that did not get it in time.
+func (r *run) newMoment(arrivedAt []time.Duration, since time.Duration, behind int) (moment Moment) {
 	slices.Sort(arrivedAt)
-	m.Limiters, m.Servers = r.hollowLimiterCount()+len(r.realLimiters), r.listedServers
+	moment.Limiters, moment.Servers = r.hollowLimiterCount()+len(r.realLimiters), r.listedServers
 	if n := len(arrivedAt); n > 0 {
-		m.P99, m.Last = (arrivedAt[(n*99+99)/100-1] - from).Seconds(), (arrivedAt[n-1] - from).Seconds()
+		moment.P99, moment.Last = (arrivedAt[(n*99+99)/100-1] - since).Seconds(), (arrivedAt[n-1] - since).Seconds()
 	}
 	if behind > 0 {
-		m.Note = fmt.Sprintf("%d hollow limiters %s", behind, notHeardNote)
+		moment.Note = fmt.Sprintf("%d hollow limiters %s", behind, notHeardNote)
 	}
-	return m
+	return moment
 }
 
 const (
@@ -51,8 +51,8 @@
 	deliveryTimeout = 20 * time.Second       // until the last limiter has a change or a list
 )
 
-// awaitVersion waits until the hollow limiters of the given processes have the last version, or until the limit is over. It
-// returns when each got it and how many have not.
+// awaitVersion waits until the hollow limiters of the given processes have the last version, or until the timeout is over. It
+// returns when each of them got it and how many have not.
 func (r *run) awaitVersion(timeout time.Duration, processes []*process) (arrivedAt []time.Duration, behind int, err error) {
 	for began := now(); ; {
 		arrivedAt, behind = nil, 0
@@ -97,15 +97,15 @@
 			return err
 		}
 		change.State = state
-		m, err := r.measureChange(change, deliveryTimeout)
+		moment, err := r.measureChange(change, deliveryTimeout)
 		if err != nil {
 			return err
 		}
-		m.Name = name
+		moment.Name = name
 		direction := []string{"gone", "back"}[k]
-		m.Note = joinNotes(fmt.Sprintf("%s: %d servers", direction, (change.To-change.From+max(change.Step, 1)-1)/max(change.Step, 1)), m.Note)
-		r.figures.Moments = append(r.figures.Moments, m)
-		r.say("a %s %s, told to %d limiters: 99 in 100 have it after %.0f ms, the last after %.0f ms", name, direction, m.Limiters, 1000*m.P99, 1000*m.Last)
+		moment.Note = joinNotes(fmt.Sprintf("%s: %d servers", direction, (change.To-change.From+max(change.Step, 1)-1)/max(change.Step, 1)), moment.Note)
+		r.figures.Moments = append(r.figures.Moments, moment)
+		r.say("a %s %s, told to %d limiters: 99 in 100 have it after %.0f ms, the last after %.0f ms", name, direction, moment.Limiters, 1000*moment.P99, 1000*moment.Last)
 	}
 	if err := <-done; err != nil {
 		return err
@@ -139,11 +139,11 @@
 		return err
 	}
 	r.hollowProcesses[0], r.hollowCounts[0] = p, 0
-	from := now()
+	since := now()
 	if err := r.addHollow(0, n); err != nil {
 		return err
 	}
-	at, behind, err := r.awaitVersion(deliveryTimeout, r.hollowProcesses[:1])
+	arrivedAt, behind, err := r.awaitVersion(deliveryTimeout, r.hollowProcesses[:1])
 	if err != nil {
 		return err
 	}
@@ -151,13 +151,13 @@
 	if err != nil {
 		return err
 	}
-	m := r.newMoment(at, from, behind)
-	m.Name = "restart"
+	moment := r.newMoment(arrivedAt, since, behind)
+	moment.Name = "restart"
 	t := after.discovery.minus(before.discovery).total()
-	m.Messages, m.Bytes = float64(t.Messages), float64(t.Bytes)
-	m.Note = joinNotes(fmt.Sprintf("%d limiters at once, until each has the whole list", n), m.Note)
-	r.figures.Moments = append(r.figures.Moments, m)
-	r.say("%d limiters restarted at once: 99 in 100 have the list after %.0f ms, the last after %.0f ms", n, 1000*m.P99, 1000*m.Last)
+	moment.Messages, moment.Bytes = float64(t.Messages), float64(t.Bytes)
+	moment.Note = joinNotes(fmt.Sprintf("%d limiters at once, until each has the whole list", n), moment.Note)
+	r.figures.Moments = append(r.figures.Moments, moment)
+	r.say("%d limiters restarted at once: 99 in 100 have the list after %.0f ms, the last after %.0f ms", n, 1000*moment.P99, 1000*moment.Last)
 	return nil
 }
 
--- a/internal/scale/quota.go
+++ b/internal/scale/quota.go
@@ -16,10 +16,10 @@
 
 // quotaLoad is a load under which the quota error is measured for several numbers of limiters.
 type quotaLoad struct {
-	name, held    string
-	counters      []counterKind
-	warmupSeconds float64 // with more than maxDenseLimiters limiters
-	scenario      func(limiters int) (model.Scenario, error)
+	name, description string
+	counters          []counterKind
+	warmupSeconds     float64 // with more than maxDenseLimiters limiters
+	scenario          func(limiters int) (model.Scenario, error)
 }
 
 // counterKind is a kind of quota counter: its speed as a multiple of the platform's (0: unlimited), and whether the limiters'
@@ -213,7 +213,7 @@
 	s := done[0].Scenario
 	for tier := -1; tier < len(s.Tiers); tier++ {
 		q := QuotaError{Plan: AllPlans, Limiters: p.limiters, Counters: s.Counter.Parts, Speed: p.speed, Seeds: len(done),
-			Set: p.load.name, Held: p.load.held, Free: p.unbudgeted}
+			Set: p.load.name, Held: p.load.description, Free: p.unbudgeted}
 		if tier >= 0 {
 			q.Plan, q.Held = s.Tiers[tier].Name, ""
 		}
--- a/internal/scale/sweeps.go
+++ b/internal/scale/sweeps.go
@@ -238,7 +238,8 @@
 	if err != nil {
 		return err
 	}
-	l, err := r.startLimiter(len(r.realLimiters), r.configuredFleetSize(), "") // it shares the discovery address of the first limiter, which has its list and does not ask for it again
+	// The new limiter shares the discovery address of the first one, which has its list and does not ask for it again.
+	l, err := r.startLimiter(len(r.realLimiters), r.configuredFleetSize(), "")
 	if err != nil {
 		return err
 	}
@@ -250,19 +251,19 @@
 	if err != nil {
 		return err
 	}
-	var size [2]int
-	if err := r.group.call(r.discoveryProcess, "Role.ListSize", 0, &size); err != nil {
+	var listSize [2]int
+	if err := r.group.call(r.discoveryProcess, "Role.ListSize", 0, &listSize); err != nil {
 		return err
 	}
 	wholeLists := after.discovery.Real[0].WholeLists - before.discovery.Real[0].WholeLists
-	r.say("a limiter that starts beside %d servers asked for the whole list, a line of %d bytes, %d times in %s", size[1], size[0], wholeLists, freshLimiterTime)
+	r.say("a limiter that starts beside %d servers asked for the whole list, a line of %d bytes, %d times in %s", listSize[1], listSize[0], wholeLists, freshLimiterTime)
 	if wholeLists != 1 {
 		why := "its log does not say why"
 		if strings.Contains(l.stderr.String(), listTooLongText) {
 			why = "its log says: " + listTooLongText
 		}
 		r.figures.Missing = append(r.figures.Missing, Missing{"limiter", "start", "servers", fmt.Sprintf(
-			"a limiter that starts beside %d servers does not take the whole list, one line of %d bytes, at the first ask: it asked %d times in %s; %s. Those measured here grew into it by changes", size[1], size[0], wholeLists, freshLimiterTime, why)})
+			"a limiter that starts beside %d servers does not take the whole list, one line of %d bytes, at the first ask: it asked %d times in %s; %s. Those measured here grew into it by changes", listSize[1], listSize[0], wholeLists, freshLimiterTime, why)})
 	}
 	return nil
 }
