--- a/internal/scale/discovery.go
+++ b/internal/scale/discovery.go
@@ -186,7 +186,7 @@
 	ChangesPerSecond float64
 	FirstAfter       time.Duration // from the beginning until the first change
 	Duration         time.Duration
-	ServersChanged   int // the first so many servers of the list are changed in turn
+	ServersChanged   int // number of servers, from the first of the list on, that are changed in turn
 	ChangesAtOnce    int // made each time one is due; 0: one
 }
 
--- a/internal/scale/growth.go
+++ b/internal/scale/growth.go
@@ -106,7 +106,7 @@
 		}
 		moment.Name = "change"
 		r.figures.Moments = append(r.figures.Moments, moment)
-		r.say("%d limiters: a change is with 99 in 100 after %.0f ms, with the last after %.0f ms", moment.Limiters, 1000*moment.P99, 1000*moment.Last)
+		r.say("%d limiters: a change reached 99 in 100 hollow ones after %.0f ms, the last after %.0f ms", moment.Limiters, 1000*moment.P99, 1000*moment.Last)
 	}
 	return nil
 }
--- a/internal/scale/modelled.go
+++ b/internal/scale/modelled.go
@@ -232,7 +232,7 @@
 	if err != nil {
 		return Moment{}, err
 	}
-	progress(fmt.Sprintf("day: %d changes told in the worst minute, in force after %.2f s at the last", burst.Changes.Told, burst.Changes.Last))
+	progress(fmt.Sprintf("day: %d changes sent to limiters in the busiest span, the last in force after %.2f s", burst.Changes.Told, burst.Changes.Last))
 	values["played, changes at each limiter"] = float64(burst.Changes.Told) / float64(limiters)
 	values["played, served"] = float64(burst.Served) / float64(max(burst.Requests, 1))
 	values["calm, served"] = float64(calm.Served) / float64(max(calm.Requests, 1))
@@ -251,7 +251,7 @@
 		cost[fmt.Sprintf("a change among %d servers, us", size)] = meanMicros
 		cost[fmt.Sprintf("a change among %d servers, p99 us", size)] = p99Micros
 		cost[fmt.Sprintf("a whole list of %d servers, ms", size)] = wholeListMS
-		progress(fmt.Sprintf("day: a change among %d servers takes %.1f us of a limiter, 99th percentile %.1f us", size, meanMicros, p99Micros))
+		progress(fmt.Sprintf("day: a change among %d servers takes a limiter %.1f us on average, 99th percentile %.1f us", size, meanMicros, p99Micros))
 	}
 	largest := sizes[len(sizes)-1]
 	cost[fmt.Sprintf("worst second among %d servers, s", largest)] =
--- a/internal/scale/module.go
+++ b/internal/scale/module.go
@@ -96,7 +96,7 @@
 			return err
 		}
 		memory.add(float64(n), v)
-		r.say("%d firms active at the module: %.1f MB of heap", n, v/1e6)
+		r.say("decision module with %d active firms: %.1f MB of heap", n, v/1e6)
 	}
 	r.addSlope(memory, "limiter", "memory", "bytes", "tenants_active",
 		fmt.Sprintf("module: heap after a collection, each firm asks once within a minute, %d requests a second, %d limiters, %d servers", moduleRequestsPerSecond, moduleLimiters, moduleServers))
--- a/internal/scale/quota.go
+++ b/internal/scale/quota.go
@@ -112,13 +112,13 @@
 	if quick {
 		sizes = []int{3, 30}
 	}
-	first := []string{"total, all", "each, 30", "units, all"}
+	firstLoads := []string{"total, all", "each, 30", "units, all"}
 	for pass := range 2 {
 		for _, n := range sizes {
 			for _, load := range quotaLoads() {
 				for _, c := range load.counters {
-					tells := slices.Contains(first, load.name) && (c == slowCounter || slices.Contains(keyCounters, c))
-					if tells == (pass == 0) && (!quick || tells && load.name != "each, 30") {
+					informative := slices.Contains(firstLoads, load.name) && (c == slowCounter || slices.Contains(keyCounters, c))
+					if informative == (pass == 0) && (!quick || informative && load.name != "each, 30") {
 						all = append(all, quotaPoint{load, n, c.speed, c.unbudgeted})
 					}
 				}
--- a/internal/scale/quota_test.go
+++ b/internal/scale/quota_test.go
@@ -64,7 +64,7 @@
 
 // Every limiter that a point names is in its scenario, and the load is the one that its description states.
 func TestQuotaPointsKeepLimitersAndLoad(t *testing.T) {
-	perSecond := map[string]map[int]float64{}
+	requestsPerSecond := map[string]map[int]float64{}
 	for _, p := range quotaPoints(false) {
 		s, _, err := p.scenario(false)
 		require.NoError(t, err)
@@ -78,13 +78,13 @@
 				require.Equal(t, p.limiters, f.Spread)
 			}
 		}
-		if perSecond[p.load.name] == nil {
-			perSecond[p.load.name] = map[int]float64{}
+		if requestsPerSecond[p.load.name] == nil {
+			requestsPerSecond[p.load.name] = map[int]float64{}
 		}
-		perSecond[p.load.name][p.limiters] = rate
+		requestsPerSecond[p.load.name][p.limiters] = rate
 	}
-	require.Len(t, perSecond, 6)
-	for name, sizes := range perSecond {
+	require.Len(t, requestsPerSecond, 6)
+	for name, sizes := range requestsPerSecond {
 		require.Len(t, sizes, 5, name)
 		for n, rate := range sizes {
 			if name == "each, 30" {
--- a/internal/scale/resident.go
+++ b/internal/scale/resident.go
@@ -192,7 +192,7 @@
 				processor.add(float64(n), (l.CPU()-processorBefore).Seconds()/time.Since(began).Seconds())
 				rss, err := procStatusBytes(l, "VmRSS")
 				memory.add(float64(n), rss)
-				r.say("%d servers in parts: %.1f MB resident, %.2f%% of a core at rest", n, rss/1e6, 100*processor.values[len(processor.values)-1])
+				r.say("list of %d servers in several lines: %.1f MB resident, %.2f%% of a core at rest", n, rss/1e6, 100*processor.values[len(processor.values)-1])
 				return err
 			}); err != nil {
 				return err
@@ -219,14 +219,14 @@
 			})
 			if errors.Is(err, errListNotTaken) {
 				r.rejectedLists = append(r.rejectedLists, n)
-				r.say("%d servers in one line: %v", n, err)
+				r.say("list of %d servers in one line: %v", n, err)
 				continue
 			}
 			if err != nil {
 				return err
 			}
 			bytes.add(float64(n), float64(lineBytes))
-			r.say("%d servers in one line of %d bytes: taken, %.3f s of processor time from the start, %.1f MB at the peak", n, lineBytes,
+			r.say("list of %d servers in one line of %d bytes: taken in, %.3f s of processor time since the start, %.1f MB at the peak", n, lineBytes,
 				processor.values[len(processor.values)-1], peak.values[len(peak.values)-1]/1e6)
 		}
 	}
@@ -253,7 +253,7 @@
 				s := time.Since(began).Seconds()
 				processor.add(rate, (l.CPU()-processorBefore).Seconds()/s)
 				bytes.add(rate, float64(d.sentBytes.Load()-sentBefore)/s)
-				r.say("%g changes a second of %d servers: %.2f%% of a core", rate, n, 100*processor.values[len(processor.values)-1])
+				r.say("%g changes a second on a list of %d servers: %.2f%% of a core", rate, n, 100*processor.values[len(processor.values)-1])
 			}
 			return nil
 		}); err != nil {
@@ -339,7 +339,7 @@
 	if err != nil {
 		return err
 	}
-	r.say("%d firms asked within %.1f s, %d served, the others refused: %.1f MB resident", n, took.Seconds(), served, rss/1e6)
+	r.say("one request of each of %d firms within %.1f s, %d served, the others refused: %.1f MB resident", n, took.Seconds(), served, rss/1e6)
 	if took > time.Minute {
 		return fmt.Errorf("requests of %d firms took %s, want at most a minute: the limiter forgets the first firms after that", n, took)
 	}
@@ -367,7 +367,7 @@
 				var rss float64
 				if rss, err = procStatusBytes(l, "VmRSS"); err == nil {
 					memory.add(float64(n), rss)
-					r.say("%d firms in the plan book: %.1f MB resident", n, rss/1e6)
+					r.say("plan book with %d firms: %.1f MB resident", n, rss/1e6)
 				}
 				l.Kill()
 			}
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -78,7 +78,7 @@
 	os.Exit(1)
 }
 
-func startTestChild(role string) *exec.Cmd {
+func testChildCommand(role string) *exec.Cmd {
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), childVar+"="+role)
 	return cmd
@@ -86,15 +86,17 @@
 
 // smallRun is a short run of which only counts are checked, no times.
 func smallRun(binary string) Options {
-	return Options{Seed: 1, Binary: binary, Child: startTestChild, Say: func(string, ...any) {}, Sizes: Sizes{RealLimiters: 2, HollowLimiters: []int{10, 20, 40}, ServersBesideFleet: 40,
+	return Options{Seed: 1, Binary: binary, Child: testChildCommand, Say: func(string, ...any) {}, Sizes: Sizes{RealLimiters: 2, HollowLimiters: []int{10, 20, 40}, ServersBesideFleet: 40,
 		ListedServers: []int{40, 80, 120}, ChangesPerSecond: []float64{5, 10, 20}, RequestsPerSecond: []float64{10, 20, 40}, ActiveFirms: []int{10, 20}, KnownFirms: []int{10, 20}, LimitersTold: []int{1, 2, 4},
 		Clusters: []int{2, 4, 8}, CallsPerSecond: 5, Window: 200 * time.Millisecond, Settle: 100 * time.Millisecond, BackgroundChangesPerSecond: 20, DrainGrace: hollowDrainGrace, HollowDrainGrace: hollowDrainGrace, countsOnly: true}}
 }
 
-func buildProgram(t *testing.T) string {
+// builtProgram returns the path of the limiter's program, and builds it at the first call.
+func builtProgram(t *testing.T) string {
 	for _, sources := range []string{"../../go.*", "../../logic/*.go", "../*/*.go", "../../cmd/bramblefall*/*.go"} {
 		files, _ := filepath.Glob(sources)
-		for _, f := range files { // go test does not see what lab.Build reads: a Stat of the sources has its cache of results depend on them
+		for _, f := range files {
+			// go test does not see which sources lab.Build reads. Calling Stat makes its cached results depend on them.
 			_, _ = os.Stat(f)
 		}
 	}
@@ -118,18 +120,19 @@
 	return !strings.HasPrefix(rest, "Z") // a zombie has exited but has not been waited for yet
 }
 
+// requireGone waits until none of the processes runs.
 func requireGone(t *testing.T, list ProcessIDs) {
 	t.Helper()
 	require.NotEmpty(t, list)
 	for name, pid := range list {
-		require.Eventually(t, func() bool { return !isRunning(pid) }, 5*time.Second, 10*time.Millisecond, "%s is left", name)
+		require.Eventually(t, func() bool { return !isRunning(pid) }, 5*time.Second, 10*time.Millisecond, "process %s is still running", name)
 	}
 }
 
 // With forty hollow limiters and two real ones each whole list, change, call and answer is counted exactly once, all limiters
 // end with the same version, and no process is left running.
 func TestMessagesAreCountedExactly(t *testing.T) {
-	o := smallRun(buildProgram(t))
+	o := smallRun(builtProgram(t))
 	const hollowLimiters, changes = 40, 25
 	r := &run{Options: o, group: newProcessGroup(t.Context()), dir: t.TempDir(), binary: o.Binary, measurements: newMeasurements(), figures: &Figures{}}
 	var processes ProcessIDs
@@ -233,7 +236,7 @@
 	l, err := loopback.Listen()
 	require.NoError(t, err)
 	defer l.Close()
-	o := smallRun(buildProgram(t))
+	o := smallRun(builtProgram(t))
 	o.Listen = l.Addr().String()
 	var list ProcessIDs
 	r := &run{Options: o, group: newProcessGroup(t.Context()), dir: t.TempDir(), binary: o.Binary, measurements: newMeasurements(), figures: &Figures{}}
@@ -253,7 +256,7 @@
 // The figures measured before a process died are kept and say that they are partial.
 func TestAProcessThatDiesEndsTheRunAndItsFiguresAreKept(t *testing.T) {
 	for _, role := range []string{"limiter-1", "hollow-3", discoveryRole} {
-		o := smallRun(buildProgram(t))
+		o := smallRun(builtProgram(t))
 		var list ProcessIDs
 		o.OnStage = func(stage string, l ProcessIDs) {
 			if stage == "moments" {
@@ -288,36 +291,37 @@
 func TestNoProcessSurvivesTheRig(t *testing.T) {
 	for _, s := range []syscall.Signal{syscall.SIGINT, syscall.SIGTERM, syscall.SIGKILL} {
 		cmd := exec.Command(os.Args[0])
-		cmd.Env = append(os.Environ(), rigVar+"="+buildProgram(t))
+		cmd.Env = append(os.Environ(), rigVar+"="+builtProgram(t))
 		out, err := cmd.StdoutPipe()
 		require.NoError(t, err)
 		require.NoError(t, cmd.Start())
-		var list ProcessIDs
+		var processes ProcessIDs
 		raw, err := bufio.NewReader(out).ReadBytes('\n')
 		require.NoError(t, err)
-		require.NoError(t, json.Unmarshal(raw, &list))
+		require.NoError(t, json.Unmarshal(raw, &processes))
 		require.NoError(t, cmd.Process.Signal(s))
 		var ended *exec.ExitError
 		require.True(t, errors.As(cmd.Wait(), &ended))
 		if s != syscall.SIGKILL {
 			require.Equal(t, 1, ended.ExitCode(), "it ends by itself and says that its figures are partial")
 		}
-		requireGone(t, list)
+		requireGone(t, processes)
 	}
 }
 
 func TestLineFindsSlopeAndError(t *testing.T) {
-	intercept, slope, failing := fitLine([]float64{1, 2, 3, 4}, []float64{5, 7, 9, 11})
+	intercept, slope, slopeError := fitLine([]float64{1, 2, 3, 4}, []float64{5, 7, 9, 11})
 	require.InDelta(t, 3, intercept, 1e-9)
 	require.InDelta(t, 2, slope, 1e-9)
-	require.InDelta(t, 0, failing, 1e-9)
-	_, slope, failing = fitLine([]float64{0, 1, 2, 3}, []float64{0, 2, 1, 3}) // computed by hand: residuals -0.3, 0.9, -0.9, 0.3; sum of squared deviations of x 5
+	require.InDelta(t, 0, slopeError, 1e-9)
+	// Computed by hand: the residuals are -0.3, 0.9, -0.9 and 0.3, the sum of the squared deviations of x is 5.
+	_, slope, slopeError = fitLine([]float64{0, 1, 2, 3}, []float64{0, 2, 1, 3})
 	require.InDelta(t, 0.8, slope, 1e-9)
-	require.InDelta(t, 1.8/2/5, failing*failing, 1e-9)
+	require.InDelta(t, 1.8/2/5, slopeError*slopeError, 1e-9)
 }
 
 func TestEachBarDetectsItsViolation(t *testing.T) {
-	good := func() *run {
+	passingRun := func() *run {
 		r := &run{Options: Options{Sizes: Sizes{HollowLimiters: []int{10}}}, figures: &Figures{Hollow: 10, Moments: []Moment{{Name: "change", Last: 0.1}}}}
 		for _, key := range requiredSlopes {
 			r.figures.Slopes = append(r.figures.Slopes, Slope{Role: key.role, What: key.quantity, Against: key.against, PerUnit: 1, Error: 0.1})
@@ -327,10 +331,10 @@
 		}
 		return r
 	}
-	r := good()
+	r := passingRun()
 	r.checkBars()
 	require.Empty(t, r.figures.Broken())
-	for name, spoil := range map[string]func(*run){
+	for name, violate := range map[string]func(*run){
 		"all hollow":  func(r *run) { r.figures.Hollow = 9 },
 		"every hollo": func(r *run) { r.figures.Moments[0].Note = "1 hollow limiters " + notHeardNote },
 		"the last li": func(r *run) { r.figures.Moments[0].Last = 3.1 },
@@ -341,8 +345,8 @@
 		"99 in 100 r": func(r *run) { r.figures.Added[1].P99 = 3 },
 		"added time ": func(r *run) { r.figures.Added[0].Control = false },
 	} {
-		r := good()
-		spoil(r)
+		r := passingRun()
+		violate(r)
 		r.checkBars()
 		broken := r.figures.Broken()
 		require.Len(t, broken, 1, name)
@@ -353,15 +357,15 @@
 // A watch from a version gets the changes after it, and a watch from none the whole list, either after a response header.
 func TestDiscoverySendsChangesAfterAVersion(t *testing.T) {
 	d := &Discovery{ctx: t.Context()}
-	var at Addresses
-	require.NoError(t, d.Start(DiscoveryStart{Servers: 10, Addrs: []string{"127.0.0.1:1"}, Zones: zones}, &at))
-	var told AppliedChange
+	var addrs Addresses
+	require.NoError(t, d.Start(DiscoveryStart{Servers: 10, Addrs: []string{"127.0.0.1:1"}, Zones: zones}, &addrs))
+	var applied AppliedChange
 	for range 3 { // versions 2 to 4
-		require.NoError(t, d.Change(Change{To: 2, State: "ready"}, &told))
+		require.NoError(t, d.Change(Change{To: 2, State: "ready"}, &applied))
 	}
-	require.EqualValues(t, 4, told.Version)
+	require.EqualValues(t, 4, applied.Version)
 	for from, want := range map[int][]discovery.List{0: {{Version: 4, Full: true}}, 1: {{Version: 4, Full: true}}, 2: {{Version: 3}, {Version: 4}}, 3: {{Version: 4}}} {
-		answer, err := http.Get(fmt.Sprintf("http://%s/registry/instances?watch=1&from=%d", at.Hollow, from))
+		answer, err := http.Get(fmt.Sprintf("http://%s/registry/instances?watch=1&from=%d", addrs.Hollow, from))
 		require.NoError(t, err, "from %d", from)
 		in := json.NewDecoder(answer.Body)
 		for _, w := range want {
@@ -379,28 +383,28 @@
 // that delivers nothing for 300 ms while answers are due is dropped, and the calls on it may or may not have been added. A
 // counter that stalls for longer therefore loses the calls in flight, and each of them must be reported.
 func TestCounterStallBeyondConnectionTimeoutLosesCalls(t *testing.T) {
-	const limiters, rate, stands = 40, 10.0, 900 * time.Millisecond
-	var at, listed Addresses
-	require.NoError(t, new(Counter).Start(0, &at))
+	const limiters, rate, stall = 40, 10.0, 900 * time.Millisecond
+	var counterAddrs, discoveryAddrs Addresses
+	require.NoError(t, new(Counter).Start(0, &counterAddrs))
 	d := &Discovery{ctx: t.Context()}
-	require.NoError(t, d.Start(DiscoveryStart{Servers: 1, Addrs: []string{"127.0.0.1:1"}, Zones: zones}, &listed))
-	link, err := standin.NewLink(at.Hollow, 1)
+	require.NoError(t, d.Start(DiscoveryStart{Servers: 1, Addrs: []string{"127.0.0.1:1"}, Zones: zones}, &discoveryAddrs))
+	link, err := standin.NewLink(counterAddrs.Hollow, 1)
 	require.NoError(t, err)
 	t.Cleanup(link.Close)
 	h := newHollow(t.Context())
-	require.NoError(t, h.Add(HollowAdd{Limiters: limiters, Discovery: listed.Hollow, Counter: link.Addr, FleetSize: limiters, CallsPerSecond: rate, DrainGrace: defaultDrainGrace}, new(int)))
+	require.NoError(t, h.Add(HollowAdd{Limiters: limiters, Discovery: discoveryAddrs.Hollow, Counter: link.Addr, FleetSize: limiters, CallsPerSecond: rate, DrainGrace: defaultDrainGrace}, new(int)))
 	time.Sleep(time.Second)
 	link.Set(standin.Conditions{CutDown: true})
-	time.Sleep(stands)
+	time.Sleep(stall)
 	link.Set(standin.Conditions{})
 	time.Sleep(500 * time.Millisecond)
 	require.NoError(t, h.Calls(0, new(int)))
-	var a HollowStatus
+	var status HollowStatus
 	require.Eventually(t, func() bool {
-		require.NoError(t, h.Arrivals(0, &a))
-		return a.Calls == a.Answered+a.UnsentOrRejected+a.Lost
+		require.NoError(t, h.Arrivals(0, &status))
+		return status.Calls == status.Answered+status.UnsentOrRejected+status.Lost
 	}, 10*time.Second, 10*time.Millisecond, "each call ends")
-	t.Logf("%d calls, %d answered, %d unsent, %d lost", a.Calls, a.Answered, a.UnsentOrRejected, a.Lost)
-	require.Positive(t, a.Answered)
-	require.Positive(t, a.Lost)
+	t.Logf("%d calls, %d answered, %d unsent, %d lost", status.Calls, status.Answered, status.UnsentOrRejected, status.Lost)
+	require.Positive(t, status.Answered)
+	require.Positive(t, status.Lost)
 }
--- a/internal/scale/sweeps.go
+++ b/internal/scale/sweeps.go
@@ -107,7 +107,7 @@
 		if err := r.recordOrder("distribution", "/change", againstLimiters, n, result); err != nil {
 			return err
 		}
-		r.say("a change of plans that names %d firms is with %d limiters after %.0f ms", planChangeFirms, n, 1000*result.Elapsed.Seconds())
+		r.say("a change of plans that names %d firms is at all of %d limiters after %.0f ms", planChangeFirms, n, 1000*result.Elapsed.Seconds())
 		if result, err = r.execute(Order{Sockets: sockets}); err != nil {
 			return err
 		}
@@ -256,7 +256,7 @@
 		return err
 	}
 	wholeLists := after.discovery.Real[0].WholeLists - before.discovery.Real[0].WholeLists
-	r.say("a limiter that starts beside %d servers asked for the whole list, a line of %d bytes, %d times in %s", listSize[1], listSize[0], wholeLists, freshLimiterTime)
+	r.say("a limiter that started beside %d listed servers requested the whole list, a line of %d bytes, %d times in %s", listSize[1], listSize[0], wholeLists, freshLimiterTime)
 	if wholeLists != 1 {
 		why := "its log does not say why"
 		if strings.Contains(l.stderr.String(), listTooLongText) {
