--- a/internal/scale/bars.go
+++ b/internal/scale/bars.go
@@ -74,6 +74,7 @@
 			r.addBar(a.P99 < targetAddedMS, fmt.Sprintf("99 in 100 requests wait under %g ms longer at %g a second of each limiter, %d servers, with control, beside at most %d hollow limiters", targetAddedMS, a.PerSecond, a.Servers, maxHollowForAddedTime), "%.2f ms", a.P99)
 		}
 	}
+	// measureWithControl measures at two rates of requests, and measureLongestList once more on the longest list.
 	r.addBar(controlMeasurements == 3, "added time is measured with control", "%d times", controlMeasurements)
 }
 
--- a/internal/scale/window.go
+++ b/internal/scale/window.go
@@ -7,9 +7,9 @@
 
 // sample is what each role has used by one point in time.
 type sample struct {
-	at                 time.Duration
-	processor          map[string]time.Duration
-	realProcessor      []time.Duration
+	at                 time.Duration            // by now()
+	processor          map[string]time.Duration // processor time by role, without real limiters
+	realProcessor      []time.Duration          // processor time of each real limiter
 	discovery, counter GroupTraffic
 }
 
@@ -34,10 +34,10 @@
 
 // rates is what was used per second between two samples.
 type rates struct {
-	seconds                          float64 // between the samples
-	processor                        map[string]float64
-	limiterProcessor                 []float64  // seconds of processor time a second, of each real limiter
-	discoveryRates, counterRates     [2]float64 // messages a second, bytes a second
+	seconds                          float64            // between the samples
+	processor                        map[string]float64 // seconds of processor time a second, by role
+	limiterProcessor                 []float64          // seconds of processor time a second, of each real limiter
+	discoveryRates, counterRates     [2]float64         // messages a second, bytes a second
 	limiterRates                     [][2]float64
 	discoveryTraffic, counterTraffic GroupTraffic
 }
