--- a/internal/scale/discovery.go
+++ b/internal/scale/discovery.go
@@ -57,9 +57,9 @@
 }
 
 // listenForGroup opens the listener of a group of limiters: 0 is the hollow ones, for which an address may be given.
-func listenForGroup(hollow string, limiter int) (net.Listener, error) {
-	if limiter == 0 && hollow != "" {
-		return net.Listen("tcp", hollow)
+func listenForGroup(hollowAddr string, group int) (net.Listener, error) {
+	if group == 0 && hollowAddr != "" {
+		return net.Listen("tcp", hollowAddr)
 	}
 	return loopback.Listen()
 }
--- a/internal/scale/family.go
+++ b/internal/scale/family.go
@@ -25,9 +25,9 @@
 	maxStderrBytes = 64 << 10 // kept of each process
 )
 
-// processGroup starts the processes of a run and ends all of them, each by its process id. A process that exits on its own
+// processSet starts the processes of a run and ends all of them, each by its process id. A process that exits on its own
 // cancels the run.
-type processGroup struct {
+type processSet struct {
 	ctx    context.Context
 	cancel context.CancelCauseFunc
 
@@ -77,23 +77,23 @@
 	return lines[len(lines)-1]
 }
 
-func newProcessGroup(ctx context.Context) *processGroup {
-	group := &processGroup{starts: make(chan func())}
-	group.ctx, group.cancel = context.WithCancelCause(ctx)
+func newProcessSet(ctx context.Context) *processSet {
+	set := &processSet{starts: make(chan func())}
+	set.ctx, set.cancel = context.WithCancelCause(ctx)
 	go func() {
 		// Pdeathsig kills a child when the thread that started it exits, not only when the process does. All children are
-		// therefore started on this one locked thread, which lives as long as the group.
+		// therefore started on this one locked thread, which lives until the set is closed.
 		runtime.LockOSThread()
-		for start := range group.starts {
+		for start := range set.starts {
 			start()
 		}
 	}()
-	return group
+	return set
 }
 
 // start starts a process that the kernel kills when the rig ends, however that ends. The process has a process group of its
 // own, so that the terminal's signals reach only the rig.
-func (g *processGroup) start(name string, cmd *exec.Cmd, onLine func(string)) (*process, error) {
+func (g *processSet) start(name string, cmd *exec.Cmd, onLine func(string)) (*process, error) {
 	p := &process{name: name, cmd: cmd, exited: make(chan struct{})}
 	p.stderr.onLine = onLine
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
@@ -134,7 +134,7 @@
 }
 
 // startChild starts one of the rig's own processes in a role and connects to it by RPC over its standard input and output.
-func (g *processGroup) startChild(name, role string, command func(role string) *exec.Cmd) (*process, error) {
+func (g *processSet) startChild(name, role string, command func(role string) *exec.Cmd) (*process, error) {
 	cmd := command(role)
 	in, err := cmd.StdinPipe()
 	if err != nil {
@@ -159,7 +159,7 @@
 }
 
 // call calls a method of a child process and returns early when the run is cancelled.
-func (g *processGroup) call(p *process, method string, args, out any) error {
+func (g *processSet) call(p *process, method string, args, out any) error {
 	c := p.client.Go(method, args, out, make(chan *rpc.Call, 1))
 	select {
 	case <-c.Done:
@@ -178,7 +178,7 @@
 }
 
 // sleep waits for d, or until the run is cancelled.
-func (g *processGroup) sleep(d time.Duration) error {
+func (g *processSet) sleep(d time.Duration) error {
 	select {
 	case <-time.After(d):
 		return nil
@@ -188,14 +188,14 @@
 }
 
 // kill kills one process and waits until it has exited.
-func (g *processGroup) kill(p *process) {
+func (g *processSet) kill(p *process) {
 	p.exitExpected.Store(true)
 	_ = p.cmd.Process.Kill()
 	<-p.exited
 }
 
 // close kills all processes, waits until they have exited and cancels the run.
-func (g *processGroup) close() {
+func (g *processSet) close() {
 	g.mu.Lock()
 	g.closed = true
 	list := g.processes
@@ -219,7 +219,7 @@
 
 // startLimiter writes a limiter's configuration and operator script into dir, starts the real program and waits until its log
 // says that it serves.
-func (g *processGroup) startLimiter(binary, dir, name string, config map[string]any, script string) (*limiter, error) {
+func (g *processSet) startLimiter(binary, dir, name string, config map[string]any, script string) (*limiter, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
--- a/internal/scale/figures.go
+++ b/internal/scale/figures.go
@@ -56,7 +56,7 @@
 	Free                     bool    `json:"free"`           // true: the module's own budget of calls is lifted
 	PerSecond                float64 `json:"per_second"`     // new requests a second by the clients of all plans
 	Calls                    float64 `json:"calls"`          // to the counter a second, by all limiters
-	Lost                     float64 `json:"lost"`           // share of the calls without any usable answer: turned away, or answered too late
+	Lost                     float64 `json:"lost"`           // share of the calls without a total for as long as the limiter waited, which may exceed the timeout: turned away, lost or late
 	Tries                    int     `json:"tries"`          // of this plan, summed over the seeds
 	InsideRefusedShare       float64 `json:"inside_refused"` // refused share of those tries whose requests were inside the quota as asked for
 	RefusedWithRoomDeviation float64 `json:"room_spread"`    // standard deviation of RefusedWithRoom over the seeds
@@ -96,7 +96,7 @@
 // Missing is a slope that was not measured, and the reason.
 type Missing struct {
 	Role     string `json:"role"`
-	Quantity string `json:"what"`    // see Slope.What; all: every quantity
+	Quantity string `json:"what"`    // see Slope.What; all: every quantity; start: taking in the whole list after a start
 	Against  string `json:"against"` // see Slope.Against
 	Why      string `json:"why"`
 }
--- a/internal/scale/growth.go
+++ b/internal/scale/growth.go
@@ -6,7 +6,7 @@
 // list.
 func (r *run) growFleet(limiters int) error {
 	for len(r.hollowProcesses) < hollowProcessCount {
-		p, err := r.group.startChild(indexedName(hollowRole, len(r.hollowProcesses)), hollowRole, r.Child)
+		p, err := r.children.startChild(indexedName(hollowRole, len(r.hollowProcesses)), hollowRole, r.Child)
 		if err != nil {
 			return err
 		}
@@ -48,23 +48,23 @@
 		return nil
 	}
 	r.hollowCounts[k] += n
-	return r.group.call(r.hollowProcesses[k], "Role.Add", HollowAdd{n, r.discoveryAddrs.Hollow, r.counterAddrs.Hollow, r.totalLimiters(), r.Sizes.CallsPerSecond, r.Sizes.HollowDrainGrace}, new(int))
+	return r.children.call(r.hollowProcesses[k], "Role.Add", HollowAdd{n, r.discoveryAddrs.Hollow, r.counterAddrs.Hollow, r.totalLimiters(), r.Sizes.CallsPerSecond, r.Sizes.HollowDrainGrace}, new(int))
 }
 
 // stopHollow stops the calls of all hollow limiters, waits a moment for their answers, counts calls without one, and kills the
 // processes.
 func (r *run) stopHollow() error {
 	for _, p := range r.hollowProcesses {
-		if err := r.group.call(p, "Role.Calls", 0.0, new(int)); err != nil {
+		if err := r.children.call(p, "Role.Calls", 0.0, new(int)); err != nil {
 			return err
 		}
 	}
-	if err := r.group.sleep(r.Sizes.Settle); err != nil {
+	if err := r.children.sleep(r.Sizes.Settle); err != nil {
 		return err
 	}
 	for _, p := range r.hollowProcesses {
 		var a HollowStatus
-		if err := r.group.call(p, "Role.Arrivals", int64(0), &a); err != nil {
+		if err := r.children.call(p, "Role.Arrivals", int64(0), &a); err != nil {
 			return err
 		}
 		if n := int(a.unanswered()); n > 0 {
@@ -72,7 +72,7 @@
 			r.unansweredReasons = append(r.unansweredReasons, fmt.Sprintf("%d never left or were turned away, %d were lost with their connection, %d are open", a.UnsentOrRejected, a.Lost,
 				a.unanswered()-a.UnsentOrRejected-a.Lost))
 		}
-		r.group.kill(p)
+		r.children.kill(p)
 	}
 	r.hollowProcesses, r.hollowCounts = nil, nil
 	return nil
@@ -86,7 +86,7 @@
 		if err := r.growFleet(n); err != nil {
 			return err
 		}
-		if err := r.group.sleep(r.Sizes.Settle); err != nil {
+		if err := r.children.sleep(r.Sizes.Settle); err != nil {
 			return err
 		}
 		used, _, err := r.measureWindow(r.Sizes.Window, r.regularLoad(targetRequestsPerSecond), []ChangeSchedule{{ChangesPerSecond: r.Sizes.BackgroundChangesPerSecond, Duration: r.Sizes.Window}})
@@ -129,7 +129,7 @@
 			return err
 		}
 		var listSize [2]int
-		if err := r.group.call(r.discoveryProcess, "Role.ListSize", 0, &listSize); err != nil {
+		if err := r.children.call(r.discoveryProcess, "Role.ListSize", 0, &listSize); err != nil {
 			return err
 		}
 		r.recordLimiters("servers", float64(n), used)
@@ -152,7 +152,7 @@
 	before := int64(-1)
 	for last := now(); now()-from < deliveryTimeout; {
 		var t GroupTraffic
-		if err := r.group.call(r.discoveryProcess, "Role.Traffic", 0, &t); err != nil {
+		if err := r.children.call(r.discoveryProcess, "Role.Traffic", 0, &t); err != nil {
 			return err
 		}
 		if b := t.realTotal().Bytes; b-before > int64(maxIdleBytes*len(r.realLimiters)) {
@@ -161,7 +161,7 @@
 		if now()-last > max(r.Sizes.Settle, idlePeriod) {
 			break
 		}
-		if err := r.group.sleep(pollInterval); err != nil {
+		if err := r.children.sleep(pollInterval); err != nil {
 			return err
 		}
 	}
@@ -183,7 +183,7 @@
 		return err
 	}
 	var listSize [2]int
-	if err := r.group.call(r.discoveryProcess, "Role.ListSize", 0, &listSize); err != nil || listSize[0] < longListBytes {
+	if err := r.children.call(r.discoveryProcess, "Role.ListSize", 0, &listSize); err != nil || listSize[0] < longListBytes {
 		return err
 	}
 	return r.startBesideLongestList()
--- a/internal/scale/model.go
+++ b/internal/scale/model.go
@@ -19,8 +19,8 @@
 	go func() {
 		var result modelResult
 		say := func(text string) { r.say("%s", text) }
-		if result.quota, result.err = Quota(r.group.ctx, r.Seed, r.Quick, say); result.err == nil {
-			result.moments, result.err = Modelled(r.group.ctx, r.Seed, r.Quick, say)
+		if result.quota, result.err = Quota(r.children.ctx, r.Seed, r.Quick, say); result.err == nil {
+			result.moments, result.err = Modelled(r.children.ctx, r.Seed, r.Quick, say)
 		}
 		r.modelResults <- result
 	}()
@@ -39,7 +39,7 @@
 	result := <-r.modelResults
 	r.figures.Quota = append(r.figures.Quota, result.quota...)
 	r.figures.Moments = append(r.figures.Moments, result.moments...)
-	if cause := context.Cause(r.group.ctx); cause != nil && errors.Is(result.err, context.Canceled) {
+	if cause := context.Cause(r.children.ctx); cause != nil && errors.Is(result.err, context.Canceled) {
 		return cause
 	}
 	return result.err
--- a/internal/scale/modelled.go
+++ b/internal/scale/modelled.go
@@ -62,7 +62,7 @@
 }
 
 const (
-	healStepSeconds     = 5.0  // length of each interval that is compared after the cut
+	healStepSeconds     = 5.0  // length of the intervals before and after the cut that are compared
 	healObservedSeconds = 60.0 // after the cut, in such intervals
 )
 
@@ -164,8 +164,8 @@
 )
 
 // drawDayChanges draws the times of a day's changes, in seconds and in order. Half of them belong to releases, which come in
-// working hours; a release changes a few hundred servers, several of them a second. The others come one by one, about half of
-// them in working hours too.
+// working hours; a release changes a few hundred servers, several of them a second. The others come one by one: half of them
+// in working hours, and half at any time of the day.
 func drawDayChanges(seed uint64) (changesAt []float64) {
 	rng := rand.New(rand.NewPCG(seed, 0x646179))
 	workingHour := func() float64 { return 3600 * (8 + 10*rng.Float64()) }
--- a/internal/scale/module.go
+++ b/internal/scale/module.go
@@ -67,7 +67,7 @@
 	for k := range firms {
 		dueAt := now.Truncate(time.Millisecond)
 		for _, token := range timersDue[dueAt] {
-			if timers[token] == dueAt { // skips a timer that was set to a later time since
+			if timers[token] == dueAt { // skips a timer that was set again to another time
 				delete(timers, token)
 				handle(logic.Timer{Token: token})
 			}
--- a/internal/scale/moments.go
+++ b/internal/scale/moments.go
@@ -13,7 +13,7 @@
 		return moment, err
 	}
 	var applied AppliedChange
-	if err := r.group.call(r.discoveryProcess, "Role.Change", c, &applied); err != nil {
+	if err := r.children.call(r.discoveryProcess, "Role.Change", c, &applied); err != nil {
 		return moment, err
 	}
 	r.lastVersion = applied.Version
@@ -58,7 +58,7 @@
 		arrivedAt, behind = nil, 0
 		for _, p := range processes {
 			var a HollowStatus
-			if err := r.group.call(p, "Role.Arrivals", r.lastVersion, &a); err != nil {
+			if err := r.children.call(p, "Role.Arrivals", r.lastVersion, &a); err != nil {
 				return nil, 0, err
 			}
 			arrivedAt = append(arrivedAt, a.ArrivedAt...)
@@ -67,7 +67,7 @@
 		if behind == 0 || now()-began > timeout {
 			return arrivedAt, behind, nil
 		}
-		if err := r.group.sleep(pollInterval); err != nil {
+		if err := r.children.sleep(pollInterval); err != nil {
 			return nil, 0, err
 		}
 	}
@@ -90,10 +90,10 @@
 	var load LoadResult
 	done := make(chan error, 1)
 	go func() {
-		done <- r.group.call(r.loadProcess, "Role.Run", LoadRun{r.regularLoad(targetRequestsPerSecond), 0, 2*pause + time.Second, r.Seed}, &load)
+		done <- r.children.call(r.loadProcess, "Role.Run", LoadRun{r.regularLoad(targetRequestsPerSecond), 0, 2*pause + time.Second, r.Seed}, &load)
 	}()
 	for k, state := range []string{"gone", "ready"} {
-		if err := r.group.sleep(pause); err != nil {
+		if err := r.children.sleep(pause); err != nil {
 			return err
 		}
 		change.State = state
@@ -133,8 +133,8 @@
 		return err
 	}
 	n := r.hollowCounts[0]
-	r.group.kill(r.hollowProcesses[0])
-	p, err := r.group.startChild(indexedName(hollowRole, 0), hollowRole, r.Child)
+	r.children.kill(r.hollowProcesses[0])
+	p, err := r.children.startChild(indexedName(hollowRole, 0), hollowRole, r.Child)
 	if err != nil {
 		return err
 	}
@@ -178,7 +178,7 @@
 	r.measurements.heldConstant["changes"] = fmt.Sprintf("%d hollow limiters without calls, %d real ones without requests, %d servers; each change names one server",
 		fewHollowLimiters, len(r.realLimiters), r.listedServers)
 	for _, p := range r.hollowProcesses {
-		if err := r.group.call(p, "Role.Calls", 0.0, new(int)); err != nil {
+		if err := r.children.call(p, "Role.Calls", 0.0, new(int)); err != nil {
 			return err
 		}
 	}
--- a/internal/scale/room.go
+++ b/internal/scale/room.go
@@ -12,10 +12,10 @@
 
 const (
 	maxProcesses            = 300
-	helperProcesses         = 6      // discovery, counter, servers, load, operators and one for hollow admin services
-	spareDescriptors        = 200    // of a process, besides its connections to limiters
-	maxDescriptors          = 20_000 // of a process, also where the system allows more
-	helperProcessBytes      = 16 << 20
+	helperProcesses         = 6        // discovery, counter, servers, load, operators and one for hollow admin services
+	spareDescriptors        = 200      // of a process, besides its connections to limiters
+	maxDescriptors          = 20_000   // of a process, also where the system allows more
+	helperProcessBytes      = 16 << 20 // of each of the rig's own processes, those of hollow limiters included
 	realLimiterBytes        = 24 << 20
 	realBytesPerServer      = 900 // of each listed server in a real limiter
 	hollowLimiterBytes      = 110 << 10
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -34,7 +34,7 @@
 
 type run struct {
 	Options
-	group        *processGroup
+	children     *processSet
 	dir          string
 	binary       string
 	figures      *Figures
@@ -57,8 +57,8 @@
 	modelResults                                                                  chan modelResult // nil: the model has not been started
 }
 
-// Run carries out a run and returns its figures. Where it fails after it has started processes it returns both an error and
-// the figures measured so far, whose field Partial says why they are incomplete.
+// Run carries out a run and returns its figures. Where it fails after its options were found usable it returns both an error
+// and the figures measured so far, whose field Partial says why they are incomplete.
 func Run(ctx context.Context, o Options) (*Figures, error) {
 	memoryBytes, err := machineMemory()
 	if err != nil {
@@ -72,12 +72,12 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	r := &run{Options: o, group: newProcessGroup(ctx), dir: dir, measurements: newMeasurements(), startedAt: now(),
+	r := &run{Options: o, children: newProcessSet(ctx), dir: dir, measurements: newMeasurements(), startedAt: now(),
 		figures: &Figures{Version: 1, Seed: o.Seed, Quick: o.Quick, Cores: runtime.NumCPU(), MemoryMB: int(memoryBytes >> 20), Real: o.Sizes.RealLimiters,
 			Slopes: []Slope{}, Quota: []QuotaError{}, Moments: []Moment{}, Added: []AddedTime{}, Missing: knownMissing()}}
-	defer r.group.close()
+	defer r.children.close()
 	err = r.runStages()
-	if cause := context.Cause(r.group.ctx); cause != nil && err != nil {
+	if cause := context.Cause(r.children.ctx); cause != nil && err != nil {
 		err = cause
 	}
 	r.figures.Slopes = append(r.figures.Slopes, r.measurements.slopes()...)
@@ -107,20 +107,20 @@
 
 func (r *run) say(format string, args ...any) { r.Say(format, args...) }
 
-// enterStage reports the stage that begins, and the processes that run, to Say and OnStage.
+// enterStage reports the stage that begins to Say, and to OnStage together with the processes that run.
 func (r *run) enterStage(name string) {
 	r.say("%s", name)
 	if r.OnStage == nil {
 		return
 	}
 	list := ProcessIDs{}
-	r.group.mu.Lock()
-	for _, p := range r.group.processes {
+	r.children.mu.Lock()
+	for _, p := range r.children.processes {
 		if !p.exitExpected.Load() {
 			list[p.name] = p.pid
 		}
 	}
-	r.group.mu.Unlock()
+	r.children.mu.Unlock()
 	r.OnStage(name, list)
 }
 
@@ -164,7 +164,7 @@
 func (r *run) buildLimiter() (err error) {
 	r.binary = r.Binary
 	if r.binary == "" {
-		r.binary, err = lab.Build(r.group.ctx, r.dir)
+		r.binary, err = lab.Build(r.children.ctx, r.dir)
 	}
 	return err
 }
@@ -172,19 +172,19 @@
 func (r *run) startProcesses() error {
 	for role, p := range map[string]**process{discoveryRole: &r.discoveryProcess, counterRole: &r.counterProcess, serversRole: &r.serverProcess, loadRole: &r.loadProcess, operatorsRole: &r.operatorProcess} {
 		var err error
-		if *p, err = r.group.startChild(role, role, r.Child); err != nil {
+		if *p, err = r.children.startChild(role, role, r.Child); err != nil {
 			return err
 		}
 	}
-	if err := r.group.call(r.serverProcess, "Role.Start", ServersStart{8, serverWorkTime}, &r.serverAddrs); err != nil {
+	if err := r.children.call(r.serverProcess, "Role.Start", ServersStart{8, serverWorkTime}, &r.serverAddrs); err != nil {
 		return err
 	}
 	r.listedServers = r.Sizes.ServersBesideFleet
-	if err := r.group.call(r.discoveryProcess, "Role.Start", DiscoveryStart{HollowListen: r.Listen, Servers: r.listedServers, Addrs: r.serverAddrs, Zones: zones, RealLimiters: r.Sizes.RealLimiters}, &r.discoveryAddrs); err != nil {
+	if err := r.children.call(r.discoveryProcess, "Role.Start", DiscoveryStart{HollowListen: r.Listen, Servers: r.listedServers, Addrs: r.serverAddrs, Zones: zones, RealLimiters: r.Sizes.RealLimiters}, &r.discoveryAddrs); err != nil {
 		return err
 	}
 	r.lastVersion = 1
-	if err := r.group.call(r.counterProcess, "Role.Start", r.Sizes.RealLimiters, &r.counterAddrs); err != nil {
+	if err := r.children.call(r.counterProcess, "Role.Start", r.Sizes.RealLimiters, &r.counterAddrs); err != nil {
 		return err
 	}
 	r.realLimiters = make([]*limiter, r.Sizes.RealLimiters)
@@ -211,7 +211,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return r.group.startLimiter(r.binary, filepath.Join(r.dir, fmt.Sprint(k)), indexedName("limiter", k), map[string]any{"name": indexedName("n", k), "listen": listen,
+	return r.children.startLimiter(r.binary, filepath.Join(r.dir, fmt.Sprint(k)), indexedName("limiter", k), map[string]any{"name": indexedName("n", k), "listen": listen,
 		"seed": fmt.Sprintf("%x", r.Seed*1000+uint64(k)), "limits": map[string]any{"cores": 1.0, "memory_mb": 512, "sockets": 1024}, "settings": r.Sizes.limiterSettings(fleet, k),
 		"counter": r.counterAddrs.Real[k%r.Sizes.RealLimiters], "discovery": r.discoveryAddrs.Real[k%r.Sizes.RealLimiters]}, script)
 }
@@ -242,7 +242,7 @@
 // part of the time that is due to sockets and the machine, not to limiters.
 func (r *run) measureDirect(rate float64) error {
 	var load LoadResult
-	if err := r.group.call(r.loadProcess, "Role.Run", LoadRun{r.directLoad(rate), r.Sizes.Settle, r.Sizes.Settle + r.Sizes.Window/2, r.Seed}, &load); err != nil {
+	if err := r.children.call(r.loadProcess, "Role.Run", LoadRun{r.directLoad(rate), r.Sizes.Settle, r.Sizes.Settle + r.Sizes.Window/2, r.Seed}, &load); err != nil {
 		return err
 	}
 	r.figures.Added[len(r.figures.Added)-1].Straight = load.P99MS
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -134,15 +134,15 @@
 func TestMessagesAreCountedExactly(t *testing.T) {
 	o := smallRun(builtProgram(t))
 	const hollowLimiters, changes = 40, 25
-	r := &run{Options: o, group: newProcessGroup(t.Context()), dir: t.TempDir(), binary: o.Binary, measurements: newMeasurements(), figures: &Figures{}}
+	r := &run{Options: o, children: newProcessSet(t.Context()), dir: t.TempDir(), binary: o.Binary, measurements: newMeasurements(), figures: &Figures{}}
 	var processes ProcessIDs
 	r.OnStage = func(_ string, l ProcessIDs) { processes = l }
 	func() {
-		defer r.group.close()
+		defer r.children.close()
 		require.NoError(t, r.startProcesses())
 		require.NoError(t, r.growFleet(hollowLimiters))
 		var done ScheduleResult
-		require.NoError(t, r.group.call(r.discoveryProcess, "Role.RunSchedule", ChangeSchedule{ChangesPerSecond: 50, Duration: changes * time.Second / 50, ServersChanged: 8}, &done))
+		require.NoError(t, r.children.call(r.discoveryProcess, "Role.RunSchedule", ChangeSchedule{ChangesPerSecond: 50, Duration: changes * time.Second / 50, ServersChanged: 8}, &done))
 		require.Equal(t, changes, done.Changes)
 		r.lastVersion = done.Last.Version
 		require.EqualValues(t, 1+changes, r.lastVersion)
@@ -152,18 +152,18 @@
 		require.Len(t, at, hollowLimiters)
 		for _, p := range r.hollowProcesses { // none has a later version than the others
 			var a HollowStatus
-			require.NoError(t, r.group.call(p, "Role.Arrivals", r.lastVersion+1, &a))
+			require.NoError(t, r.children.call(p, "Role.Arrivals", r.lastVersion+1, &a))
 			require.Equal(t, a.Limiters, a.Behind)
 			require.Len(t, a.ListedAt, a.Limiters)
-			require.NoError(t, r.group.call(p, "Role.Calls", 0.0, new(int)))
+			require.NoError(t, r.children.call(p, "Role.Calls", 0.0, new(int)))
 		}
 		var got LoadResult
-		require.NoError(t, r.group.call(r.loadProcess, "Role.Run", LoadRun{r.regularLoad(40), 0, time.Second, 1}, &got))
+		require.NoError(t, r.children.call(r.loadProcess, "Role.Run", LoadRun{r.regularLoad(40), 0, time.Second, 1}, &got))
 		require.Positive(t, got.Sent)
 		require.Equal(t, LoadResult{Sent: got.Sent, Served: got.Served, Refused: got.Refused, Timed: got.Served, P50MS: got.P50MS, P99MS: got.P99MS}, got, "none is lost")
 		require.Equal(t, got.Sent, got.Served+got.Refused)
 		var took int64
-		require.NoError(t, r.group.call(r.serverProcess, "Role.Requests", 0, &took))
+		require.NoError(t, r.children.call(r.serverProcess, "Role.Requests", 0, &took))
 		require.GreaterOrEqual(t, took, int64(got.Served))
 
 		var usage sample
@@ -186,7 +186,7 @@
 		var calls, answered int64
 		for _, p := range r.hollowProcesses {
 			var a HollowStatus
-			require.NoError(t, r.group.call(p, "Role.Arrivals", r.lastVersion, &a))
+			require.NoError(t, r.children.call(p, "Role.Arrivals", r.lastVersion, &a))
 			calls, answered = calls+a.Calls, answered+a.Answered
 			require.Zero(t, a.UnsentOrRejected+a.Lost)
 		}
@@ -239,11 +239,11 @@
 	o := smallRun(builtProgram(t))
 	o.Listen = l.Addr().String()
 	var list ProcessIDs
-	r := &run{Options: o, group: newProcessGroup(t.Context()), dir: t.TempDir(), binary: o.Binary, measurements: newMeasurements(), figures: &Figures{}}
+	r := &run{Options: o, children: newProcessSet(t.Context()), dir: t.TempDir(), binary: o.Binary, measurements: newMeasurements(), figures: &Figures{}}
 	r.OnStage = func(_ string, l ProcessIDs) { list = l }
 	err = r.startProcesses()
 	r.enterStage("the port is taken")
-	r.group.close()
+	r.children.close()
 	require.ErrorContains(t, err, "address already in use")
 	require.NotContains(t, err.Error(), "\n")
 	requireGone(t, list)
--- a/internal/scale/sweeps.go
+++ b/internal/scale/sweeps.go
@@ -84,11 +84,11 @@
 			return err
 		}
 	}
-	p, err := r.group.startChild("books", hollowRole, r.Child)
+	p, err := r.children.startChild("books", hollowRole, r.Child)
 	if err != nil {
 		return err
 	}
-	defer r.group.kill(p)
+	defer r.children.kill(p)
 	dir := filepath.Join(r.dir, "books")
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		return err
@@ -96,7 +96,7 @@
 	var sockets []string
 	for _, n := range r.Sizes.LimitersTold {
 		var more []string
-		if err := r.group.call(p, "Role.StartAdmins", AdminStart{dir, n - len(sockets), tiers}, &more); err != nil {
+		if err := r.children.call(p, "Role.StartAdmins", AdminStart{dir, n - len(sockets), tiers}, &more); err != nil {
 			return err
 		}
 		sockets = append(sockets, more...)
@@ -120,13 +120,13 @@
 
 // execute has the operators' process carry out an order.
 func (r *run) execute(o Order) (result OrderResult, err error) {
-	err = r.group.call(r.operatorProcess, "Role.Execute", o, &result)
+	err = r.children.call(r.operatorProcess, "Role.Execute", o, &result)
 	return result, err
 }
 
 // recordOrder records what an order cost the operators' process; per is what the units are for, such as "/change".
 func (r *run) recordOrder(role, per, against string, size int, result OrderResult) error {
-	if err := r.group.call(r.operatorProcess, "Peer.FreeMemory", 0, new(int)); err != nil {
+	if err := r.children.call(r.operatorProcess, "Peer.FreeMemory", 0, new(int)); err != nil {
 		return err
 	}
 	n := float64(size)
@@ -159,11 +159,11 @@
 		result.err = err
 		return result
 	}
-	if result.err = r.group.sleep(clusterIdleTime); result.err != nil {
+	if result.err = r.children.sleep(clusterIdleTime); result.err != nil {
 		return result
 	}
 	processorBefore := processorTime(l.pid)
-	if result.err = r.group.sleep(clusterIdleTime); result.err != nil {
+	if result.err = r.children.sleep(clusterIdleTime); result.err != nil {
 		return result
 	}
 	idle := (processorTime(l.pid) - processorBefore).Seconds() / clusterIdleTime.Seconds()
@@ -172,7 +172,7 @@
 		if result.err = writeClusters(file, n); result.err != nil {
 			return result
 		}
-		if result.err = r.group.sleep(clusterReloadWait); result.err != nil {
+		if result.err = r.children.sleep(clusterReloadWait); result.err != nil {
 			return result
 		}
 		result.points = append(result.points, [3]float64{float64(n), residentBytes(l.pid), max(0, (processorTime(l.pid)-processorBefore).Seconds()-idle*clusterReloadWait.Seconds())})
@@ -180,18 +180,19 @@
 	if text := l.stderr.String(); strings.Contains(text, "cannot be used") {
 		result.err = fmt.Errorf("the limiter rejected its file of clusters; the last line of its log: %.300s", l.stderr.lastLine())
 	}
-	r.group.kill(l.process)
+	r.children.kill(l.process)
 	return result
 }
 
-// startClusterLimiter starts a limiter whose external group, for the rate limit service, is a cluster read from file.
+// startClusterLimiter starts a limiter with the front for rate limit calls and an external rate limit service, the servers of
+// which are a cluster read from file.
 func (r *run) startClusterLimiter(dir, file string) (*limiter, error) {
 	listen, err := loopback.AnyPort()
 	if err != nil {
 		return nil, err
 	}
 	script := fmt.Sprintf(`bramblefall(ratelimit = ratelimit(listen = %q, others = others(cluster = %q, clusters = %q, endpoints = %q)))`+"\n", listen, limiterCluster, file, file)
-	return r.group.startLimiter(r.binary, filepath.Join(dir, "limiter"), "limiter-services", map[string]any{"name": "services", "listen": listen,
+	return r.children.startLimiter(r.binary, filepath.Join(dir, "limiter"), "limiter-services", map[string]any{"name": "services", "listen": listen,
 		"seed": "1", "limits": map[string]any{"cores": 1.0, "memory_mb": 512, "sockets": 1024}, "settings": r.Sizes.limiterSettings(1, 0)}, script)
 }
 
@@ -243,8 +244,8 @@
 	if err != nil {
 		return err
 	}
-	defer r.group.kill(l.process)
-	if err := r.group.sleep(freshLimiterTime); err != nil {
+	defer r.children.kill(l.process)
+	if err := r.children.sleep(freshLimiterTime); err != nil {
 		return err
 	}
 	after, err := r.takeSample()
@@ -252,7 +253,7 @@
 		return err
 	}
 	var listSize [2]int
-	if err := r.group.call(r.discoveryProcess, "Role.ListSize", 0, &listSize); err != nil {
+	if err := r.children.call(r.discoveryProcess, "Role.ListSize", 0, &listSize); err != nil {
 		return err
 	}
 	wholeLists := after.discovery.Real[0].WholeLists - before.discovery.Real[0].WholeLists
--- a/internal/scale/window.go
+++ b/internal/scale/window.go
@@ -15,10 +15,10 @@
 
 // takeSample reads the traffic and processor time that all roles have used so far.
 func (r *run) takeSample() (s sample, err error) {
-	if err := r.group.call(r.discoveryProcess, "Role.Traffic", 0, &s.discovery); err != nil {
+	if err := r.children.call(r.discoveryProcess, "Role.Traffic", 0, &s.discovery); err != nil {
 		return s, err
 	}
-	if err := r.group.call(r.counterProcess, "Role.Traffic", 0, &s.counter); err != nil {
+	if err := r.children.call(r.counterProcess, "Role.Traffic", 0, &s.counter); err != nil {
 		return s, err
 	}
 	s.at = now()
@@ -38,7 +38,7 @@
 	processor                        map[string]float64 // seconds of processor time a second, by role
 	limiterProcessor                 []float64          // seconds of processor time a second, of each real limiter
 	discoveryRates, counterRates     [2]float64         // messages a second, bytes a second
-	limiterRates                     [][2]float64
+	limiterRates                     [][2]float64       // the same two of each real limiter, at discovery and the counter together
 	discoveryTraffic, counterTraffic GroupTraffic
 }
 
@@ -78,9 +78,9 @@
 		go func() {
 			defer wg.Done()
 			// The load begins earlier than the window, so that its connections are open when the window begins.
-			first.set(r.group.call(r.loadProcess, "Role.Run", LoadRun{targets, r.Sizes.Settle, duration + r.Sizes.Settle, r.Seed}, &load))
+			first.set(r.children.call(r.loadProcess, "Role.Run", LoadRun{targets, r.Sizes.Settle, duration + r.Sizes.Settle, r.Seed}, &load))
 		}()
-		if err := r.group.sleep(r.Sizes.Settle); err != nil {
+		if err := r.children.sleep(r.Sizes.Settle); err != nil {
 			return used, load, err
 		}
 	}
@@ -92,13 +92,13 @@
 	for _, s := range schedules {
 		var t ScheduleResult
 		s.ServersChanged = r.listedServers / 2
-		if err := r.group.call(r.discoveryProcess, "Role.RunSchedule", s, &t); err != nil {
+		if err := r.children.call(r.discoveryProcess, "Role.RunSchedule", s, &t); err != nil {
 			return used, load, err
 		}
 		results = append(results, t)
 	}
 	if left := duration - (now() - before.at); left > 0 {
-		if err := r.group.sleep(left); err != nil {
+		if err := r.children.sleep(left); err != nil {
 			return used, load, err
 		}
 	}
@@ -175,7 +175,7 @@
 // collectGarbage has discovery, the counter and the hollow limiters return unused memory, so that sizes can be compared.
 func (r *run) collectGarbage() error {
 	for _, p := range append([]*process{r.discoveryProcess, r.counterProcess}, r.hollowProcesses...) {
-		if err := r.group.call(p, "Peer.FreeMemory", 0, new(int)); err != nil {
+		if err := r.children.call(p, "Peer.FreeMemory", 0, new(int)); err != nil {
 			return err
 		}
 	}
