--- a/internal/scale/discovery.go
+++ b/internal/scale/discovery.go
@@ -17,56 +17,58 @@
 )
 
 const (
-	beatEvery   = 2 * time.Second // an empty line, as the platform's discovery sends it
-	mostAtOnce  = 5000            // servers that one change names: a line has a bound
-	requestSize = 512
+	heartbeatInterval  = 2 * time.Second // between the empty lines that the platform's discovery also sends
+	maxServersPerLine  = 5000            // limiters accept lines up to a certain length only
+	requestBufferBytes = 512
 )
 
-// Discovery is the stand-in for discovery of a large fleet: to each watch it tells the whole list once, and then changes as
-// changes. A server's start carries the version that last named it (as a time long ago), so that who follows the list can
-// tell how far it is.
+// Discovery is the role of the stand-in discovery of a large fleet. It sends each watch the whole list once and then only
+// changes. The start time of a server (in milliseconds, so a time long ago) is the version of the list that last named it: from
+// that a limiter that follows the list can tell which version it has.
 type Discovery struct {
-	ctx   context.Context
-	meter sides
-	turns int // of steady changes
+	ctx              context.Context
+	meters           groupMeters
+	changesScheduled int // made by RunSchedule so far
 
-	mu      sync.Mutex
-	version int64
-	servers []discovery.Server
-	addrs   []string
-	zones   []string
-	whole   []byte // the list as a chunk; nil: to be made
-	log     [][]byte
-	changed chan struct{}
+	mu        sync.Mutex
+	version   int64
+	servers   []discovery.Server
+	addrs     []string
+	zones     []string
+	wholeList []byte        // the current list as a chunk; nil: has to be encoded again
+	changeLog [][]byte      // each change as a chunk; the one at index k made version k+2
+	changed   chan struct{} // closed and replaced with each change
 }
 
-// DiscoveryStart is what a stand-in discovery begins with.
+// DiscoveryStart configures the stand-in discovery.
 type DiscoveryStart struct {
-	Listen  string // for hollow limiters; "": a free port of loopback
-	Servers int
-	Addrs   []string // of the servers, in turn
-	Zones   []string
-	Real    int // limiters
+	HollowListen string   // address for hollow limiters; "": a free port of loopback
+	Servers      int      // on the list at first
+	Addrs        []string // of the stand-in servers, given to the listed servers in turn
+	Zones        []string // given to the listed servers in turn
+	RealLimiters int      // number of them, each of which gets an address of its own
 }
 
-// Places is where a role listens: for hollow limiters and for each real one, so that it can tell them apart.
-type Places struct {
+// Addresses are where a role listens: one address for all hollow limiters and one for each real limiter, so that the role can
+// tell their connections apart.
+type Addresses struct {
 	Hollow string
 	Real   []string
 }
 
-// listenAt opens the listener for a limiter, or for all hollow ones (0), at the address that is named for these, if any.
-func listenAt(hollow string, limiter int) (net.Listener, error) {
-	if limiter == 0 && hollow != "" {
-		return net.Listen("tcp", hollow)
+// listenForGroup opens the listener of a group of limiters: 0 is the hollow ones, for which an address may be given.
+func listenForGroup(hollowAddr string, group int) (net.Listener, error) {
+	if group == 0 && hollowAddr != "" {
+		return net.Listen("tcp", hollowAddr)
 	}
 	return loopback.Listen()
 }
 
-// listenFor takes connections of hollow limiters at first ("": a free port) and of so many real ones at ports of their own.
-func listenFor(first string, real int, serve func(conn net.Conn, who int)) (p Places, err error) {
-	for k := range real + 1 {
-		l, err := listenAt(first, k)
+// listenForLimiters accepts connections of hollow limiters at hollowAddr ("": a free port), and of each real limiter at a port
+// of its own. serve is called with the group of the limiter: 0 is the hollow ones, k the k-th real one.
+func listenForLimiters(hollowAddr string, realLimiters int, serve func(conn net.Conn, group int)) (p Addresses, err error) {
+	for k := range realLimiters + 1 {
+		l, err := listenForGroup(hollowAddr, k)
 		if err != nil {
 			return p, err
 		}
@@ -88,16 +90,17 @@
 	return p, nil
 }
 
-// Start begins to serve.
-func (d *Discovery) Start(s DiscoveryStart, out *Places) (err error) {
+// Start begins to serve watches and returns the addresses.
+func (d *Discovery) Start(s DiscoveryStart, out *Addresses) (err error) {
 	d.version, d.addrs, d.zones, d.changed = 1, s.Addrs, s.Zones, make(chan struct{})
-	d.grow(s.Servers)
-	d.meter = make(sides, s.Real+1)
-	*out, err = listenFor(s.Listen, s.Real, d.serve)
+	d.addServers(s.Servers)
+	d.meters = make(groupMeters, s.RealLimiters+1)
+	*out, err = listenForLimiters(s.HollowListen, s.RealLimiters, d.serve)
 	return err
 }
 
-func (d *Discovery) grow(to int) (added []discovery.Server) {
+// addServers lengthens the list to the given number of servers and returns the new ones. d.mu is held, or nothing is served yet.
+func (d *Discovery) addServers(to int) (added []discovery.Server) {
 	from := len(d.servers)
 	for k := from; k < to; k++ {
 		d.servers = append(d.servers, discovery.Server{ID: fmt.Sprintf("s-%05x", k), Addr: d.addrs[k%len(d.addrs)], Zone: d.zones[k%len(d.zones)],
@@ -106,54 +109,56 @@
 	return d.servers[from:]
 }
 
-// Change is one step of the list.
+// Change is a change of the list: either its growth to GrowTo servers, or where that is 0 a new State of the servers From,
+// From+Step, ... below To. A server that is gone is remembered and may come back.
 type Change struct {
-	Grow  int    // to so many servers; 0: as they are
-	From  int    // or the servers From, From+Step, ... below To
-	To    int    //
-	Step  int    //
-	State string // get this state; gone ones stay in mind and may come back
+	GrowTo int // servers on the list afterwards
+	From   int
+	To     int
+	Step   int // 0: 1
+	State  string
 }
 
-// Told is when a change was written to the log, and the version that it made.
-type Told struct {
-	Version int64
-	At      time.Duration
+// AppliedChange is the version that a change made, and when it was made.
+type AppliedChange struct {
+	Version   int64
+	AppliedAt time.Duration // by now()
 }
 
-// Change changes the list and tells all watches. A growth beyond what a line bears is told in several.
-func (d *Discovery) Change(c Change, out *Told) error {
+// Change changes the list and notifies all watches. A growth by more than maxServersPerLine is sent as several changes.
+func (d *Discovery) Change(c Change, out *AppliedChange) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	out.At = now()
-	if c.Grow > 0 {
-		for len(d.servers) < c.Grow {
+	out.AppliedAt = now()
+	if c.GrowTo > 0 {
+		for len(d.servers) < c.GrowTo {
 			d.version++
-			d.tell(d.grow(min(c.Grow, len(d.servers)+mostAtOnce)))
+			d.logChange(d.addServers(min(c.GrowTo, len(d.servers)+maxServersPerLine)))
 		}
 		out.Version = d.version
 		return nil
 	}
 	d.version++
-	var named []discovery.Server
+	var changed []discovery.Server
 	for k := c.From; k < min(c.To, len(d.servers)); k += max(c.Step, 1) {
 		d.servers[k].State, d.servers[k].StartedMS = c.State, d.version
-		named = append(named, d.servers[k])
+		changed = append(changed, d.servers[k])
 	}
-	if len(named) == 0 {
-		return fmt.Errorf("a change that names no server: %+v", c)
+	if len(changed) == 0 {
+		return fmt.Errorf("the change %+v names none of %d servers", c, len(d.servers))
 	}
-	d.tell(named)
+	d.logChange(changed)
 	out.Version = d.version
 	return nil
 }
 
-// Steady tells changes at a rate for a time: servers drain and are ready again, in turn. It gives how many and the last.
-func (d *Discovery) Steady(s Steady, out *Steadied) error {
+// RunSchedule makes changes at a rate for a given time: servers are drained and made ready again, one after the other. It
+// returns the number of changes and the last one.
+func (d *Discovery) RunSchedule(s ChangeSchedule, out *ScheduleResult) error {
 	began := now()
 	for {
-		due := began + time.Duration(float64(out.Changes)/s.PerSecond*float64(time.Second)) + s.First
-		if due >= began+s.For {
+		due := began + time.Duration(float64(out.Changes)/s.ChangesPerSecond*float64(time.Second)) + s.FirstAfter
+		if due >= began+s.Duration {
 			return nil
 		}
 		select {
@@ -161,13 +166,13 @@
 		case <-d.ctx.Done():
 			return d.ctx.Err()
 		}
-		for range max(s.Burst, 1) {
-			// Each server is drained by one change and ready by the next: no server stays out.
-			k, state := d.turns/2%s.Among, "draining"
-			if d.turns%2 == 1 {
+		for range max(s.ChangesAtOnce, 1) {
+			// One change drains a server and the next makes it ready again, so that no server stays out of service.
+			k, state := d.changesScheduled/2%s.ServersChanged, "draining"
+			if d.changesScheduled%2 == 1 {
 				state = "ready"
 			}
-			d.turns++
+			d.changesScheduled++
 			if err := d.Change(Change{From: k, To: k + 1, State: state}, &out.Last); err != nil {
 				return err
 			}
@@ -176,152 +181,156 @@
 	}
 }
 
-// Steady is a rate of changes for a time.
-type Steady struct {
-	PerSecond float64
-	First     time.Duration // until the first
-	For       time.Duration
-	Among     int // servers that change
-	Burst     int // changes at once; 0: one
+// ChangeSchedule is a rate of changes for a given time.
+type ChangeSchedule struct {
+	ChangesPerSecond float64
+	FirstAfter       time.Duration // from the beginning until the first change
+	Duration         time.Duration
+	ServersChanged   int // number of servers, from the first of the list on, that are changed in turn
+	ChangesAtOnce    int // made each time one is due; 0: one
 }
 
-// Steadied is what came of it.
-type Steadied struct {
+// ScheduleResult is the number of changes that a schedule made, and the last of them.
+type ScheduleResult struct {
 	Changes int
-	Last    Told
+	Last    AppliedChange
 }
 
-func (d *Discovery) tell(named []discovery.Server) {
-	d.whole = nil
-	d.log = append(d.log, chunk(discovery.List{Version: d.version, Servers: named}))
+// logChange appends a change to the log under the current version and wakes all watches. d.mu is held.
+func (d *Discovery) logChange(changed []discovery.Server) {
+	d.wholeList = nil
+	d.changeLog = append(d.changeLog, encodeChunk(discovery.List{Version: d.version, Servers: changed}))
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-func chunk(l discovery.List) []byte {
+// encodeChunk encodes a list as a line in a chunk of HTTP's chunked transfer encoding.
+func encodeChunk(l discovery.List) []byte {
 	raw, _ := json.Marshal(l)
 	b := strconv.AppendInt(make([]byte, 0, len(raw)+12), int64(len(raw)+1), 16)
 	return append(append(append(b, "\r\n"...), raw...), "\n\r\n"...)
 }
 
-var beatChunk = []byte("1\r\n\n\r\n")
+// heartbeatChunk is a chunk with an empty line.
+var heartbeatChunk = []byte("1\r\n\n\r\n")
 
-// list is the whole list as a chunk. d.mu is held.
-func (d *Discovery) list() []byte {
-	if d.whole == nil {
+// encodeList returns the whole list as a chunk, without servers that are gone. d.mu is held.
+func (d *Discovery) encodeList() []byte {
+	if d.wholeList == nil {
 		l := discovery.List{Version: d.version, Full: true}
 		for _, s := range d.servers {
 			if s.State != "gone" {
 				l.Servers = append(l.Servers, s)
 			}
 		}
-		d.whole = chunk(l)
+		d.wholeList = encodeChunk(l)
 	}
-	return d.whole
+	return d.wholeList
 }
 
-// Size is the length of the whole list's line, and how many servers there are.
-func (d *Discovery) Size(_ int, out *[2]int) error {
+// ListSize returns the length in bytes of the whole list's chunk, and the number of servers, gone ones included.
+func (d *Discovery) ListSize(_ int, out *[2]int) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	*out = [2]int{len(d.list()), len(d.servers)}
+	*out = [2]int{len(d.encodeList()), len(d.servers)}
 	return nil
 }
 
-// Traffic tells what was counted so far.
-func (d *Discovery) Traffic(_ int, out *Sides) error {
-	*out = d.meter.read()
+// Traffic returns the traffic so far.
+func (d *Discovery) Traffic(_ int, out *GroupTraffic) error {
+	*out = d.meters.read()
 	return nil
 }
 
-// counted is a connection whose bytes are counted.
-type counted struct {
+// countingConn counts the bytes of a connection in both directions.
+type countingConn struct {
 	net.Conn
-	m *meter
+	meter *meter
 }
 
-func (c counted) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.m.bytes.Add(int64(n))
+	c.meter.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c counted) Write(b []byte) (int, error) {
+func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.m.bytes.Add(int64(n))
+	c.meter.bytes.Add(int64(n))
 	return n, err
 }
 
-func (d *Discovery) serve(raw net.Conn, who int) {
-	m := &d.meter[who]
-	conn := counted{raw, m}
+// serve serves one watch of a limiter of the given group.
+func (d *Discovery) serve(raw net.Conn, group int) {
+	m := &d.meters[group]
+	conn := countingConn{raw, m}
 	defer conn.Close()
-	m.opened.Add(1)
-	m.open.Add(1)
-	defer m.open.Add(-1)
-	from, ok := asked(conn)
+	m.connsOpened.Add(1)
+	m.connsOpen.Add(1)
+	defer m.connsOpen.Add(-1)
+	from, ok := readWatchRequest(conn)
 	if !ok {
 		return
 	}
 	m.messages.Add(1)
-	out := []byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+	head := []byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 	d.mu.Lock()
-	at := len(d.log)
-	if from < 2 || from > d.version { // versions begin at 1, and it takes one change to make 2
-		out = append(out, d.list()...)
-		m.wholes.Add(1)
+	logIndex := len(d.changeLog)
+	if from < 2 || from > d.version { // the log begins with the change that made version 2
+		head = append(head, d.encodeList()...)
+		m.wholeLists.Add(1)
 	} else {
-		at = int(from - 1)
-		if at == len(d.log) {
-			out = append(out, beatChunk...)
-			m.beats.Add(1)
+		logIndex = int(from - 1)
+		if logIndex == len(d.changeLog) {
+			head = append(head, heartbeatChunk...)
+			m.heartbeats.Add(1)
 		}
 	}
 	d.mu.Unlock()
 	m.messages.Add(1)
-	if _, err := conn.Write(out); err != nil {
+	if _, err := conn.Write(head); err != nil {
 		return
 	}
-	gone := make(chan struct{})
-	go func() { // a watch that its limiter has left must not stay
+	disconnected := make(chan struct{})
+	go func() { // ends the watch when the limiter closes its connection
 		_, _ = raw.Read(make([]byte, 1))
-		close(gone)
+		close(disconnected)
 	}()
-	beat := time.NewTimer(beatEvery)
-	defer beat.Stop()
+	heartbeat := time.NewTimer(heartbeatInterval)
+	defer heartbeat.Stop()
 	for {
 		d.mu.Lock()
-		news, changed := d.log[at:], d.changed
+		unsent, changed := d.changeLog[logIndex:], d.changed
 		d.mu.Unlock()
-		text := beatChunk
-		if len(news) == 0 {
+		out := heartbeatChunk
+		if len(unsent) == 0 {
 			select {
 			case <-changed:
 				continue
-			case <-gone:
+			case <-disconnected:
 				return
-			case <-beat.C:
-				m.beats.Add(1)
+			case <-heartbeat.C:
+				m.heartbeats.Add(1)
 				m.messages.Add(1)
 			}
 		} else {
-			if text = news[0]; len(news) > 1 {
-				text = bytes.Join(news, nil)
+			if out = unsent[0]; len(unsent) > 1 {
+				out = bytes.Join(unsent, nil)
 			}
-			at += len(news)
-			m.changes.Add(int64(len(news)))
-			m.messages.Add(int64(len(news)))
+			logIndex += len(unsent)
+			m.changes.Add(int64(len(unsent)))
+			m.messages.Add(int64(len(unsent)))
 		}
-		beat.Reset(beatEvery)
-		if _, err := conn.Write(text); err != nil {
+		heartbeat.Reset(heartbeatInterval)
+		if _, err := conn.Write(out); err != nil {
 			return
 		}
 	}
 }
 
-// asked reads the request for a watch, and from which version.
-func asked(conn net.Conn) (from int64, ok bool) {
-	req, err := http.ReadRequest(bufio.NewReaderSize(conn, requestSize))
+// readWatchRequest reads the request for a watch and returns the version from which changes are wanted.
+func readWatchRequest(conn net.Conn) (from int64, ok bool) {
+	req, err := http.ReadRequest(bufio.NewReaderSize(conn, requestBufferBytes))
 	if err != nil || req.URL.Path != "/registry/instances" || req.FormValue("watch") != "1" {
 		return 0, false
 	}
--- a/internal/scale/family.go
+++ b/internal/scale/family.go
@@ -21,117 +21,120 @@
 )
 
 const (
-	startLimit = 20 * time.Second
-	mostSaid   = 64 << 10 // bytes kept of what a process writes to standard error
+	startTimeout   = 20 * time.Second
+	maxStderrBytes = 64 << 10 // kept of each process
 )
 
-// family starts processes and ends them all, by their ids. One that ends by itself ends the run.
-type family struct {
-	ctx  context.Context
-	fail context.CancelCauseFunc
+// processSet starts the processes of a run and ends all of them, each by its process id. A process that exits on its own
+// cancels the run.
+type processSet struct {
+	ctx    context.Context
+	cancel context.CancelCauseFunc
 
-	starts chan func()
-	mu     sync.Mutex
-	list   []*process
-	over   bool
+	starts    chan func() // run one after the other on the thread that starts all children
+	mu        sync.Mutex
+	processes []*process
+	closed    bool // no more processes may be started
 }
 
 type process struct {
-	name  string
-	cmd   *exec.Cmd
-	calls *rpc.Client // nil: a real limiter
-	pid   int
-	ended chan struct{}
-	meant atomic.Bool // that it ends
-	said  said
+	name         string
+	cmd          *exec.Cmd
+	client       *rpc.Client // nil for a real limiter, which takes no calls of the rig
+	pid          int
+	exited       chan struct{}
+	exitExpected atomic.Bool // set before the rig kills it
+	stderr       outputTail
 }
 
-// said keeps the last that a process wrote.
-type said struct {
-	mu   sync.Mutex
-	text []byte
-	look func(line string)
+// outputTail keeps the most recent output of a process, at most maxStderrBytes.
+type outputTail struct {
+	mu     sync.Mutex
+	text   []byte
+	onLine func(line string) // called for each line; nil: nothing is called
 }
 
-func (s *said) add(line string) {
-	s.mu.Lock()
-	s.text = append(s.text, line...)
-	if len(s.text) > mostSaid {
-		s.text = bytes.Clone(s.text[len(s.text)-mostSaid/2:])
+func (t *outputTail) add(line string) {
+	t.mu.Lock()
+	t.text = append(t.text, line...)
+	if len(t.text) > maxStderrBytes {
+		t.text = bytes.Clone(t.text[len(t.text)-maxStderrBytes/2:])
 	}
-	s.mu.Unlock()
-	if s.look != nil {
-		s.look(line)
+	t.mu.Unlock()
+	if t.onLine != nil {
+		t.onLine(line)
 	}
 }
 
-func (s *said) all() string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return string(s.text)
+func (t *outputTail) String() string {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return string(t.text)
 }
 
-func (s *said) last() string {
-	lines := strings.Split(strings.TrimSpace(s.all()), "\n")
+func (t *outputTail) lastLine() string {
+	lines := strings.Split(strings.TrimSpace(t.String()), "\n")
 	return lines[len(lines)-1]
 }
 
-func newFamily(ctx context.Context) *family {
-	f := &family{starts: make(chan func())}
-	f.ctx, f.fail = context.WithCancelCause(ctx)
+func newProcessSet(ctx context.Context) *processSet {
+	set := &processSet{starts: make(chan func())}
+	set.ctx, set.cancel = context.WithCancelCause(ctx)
 	go func() {
-		// The kernel ends a child when the thread ends that started it, so all are started by one that stays.
+		// Pdeathsig kills a child when the thread that started it exits, not only when the process does. All children are
+		// therefore started on this one locked thread, which lives until the set is closed.
 		runtime.LockOSThread()
-		for start := range f.starts {
+		for start := range set.starts {
 			start()
 		}
 	}()
-	return f
+	return set
 }
 
-// start starts a process that ends with the rig however that ends, and apart from its terminal's signals.
-func (f *family) start(name string, cmd *exec.Cmd, look func(string)) (*process, error) {
-	p := &process{name: name, cmd: cmd, ended: make(chan struct{})}
-	p.said.look = look
+// start starts a process that the kernel kills when the rig ends, however that ends. The process has a process group of its
+// own, so that the terminal's signals reach only the rig.
+func (g *processSet) start(name string, cmd *exec.Cmd, onLine func(string)) (*process, error) {
+	p := &process{name: name, cmd: cmd, exited: make(chan struct{})}
+	p.stderr.onLine = onLine
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
-	text, err := cmd.StderrPipe()
+	stderr, err := cmd.StderrPipe()
 	if err != nil {
 		return nil, err
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.over {
-		return nil, context.Cause(f.ctx)
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.closed {
+		return nil, context.Cause(g.ctx)
 	}
 	done := make(chan error)
-	f.starts <- func() { done <- cmd.Start() }
+	g.starts <- func() { done <- cmd.Start() }
 	if err := <-done; err != nil {
 		return nil, err
 	}
 	p.pid = cmd.Process.Pid
-	f.list = append(f.list, p)
+	g.processes = append(g.processes, p)
 	go func() {
-		lines := bufio.NewReader(text)
+		lines := bufio.NewReader(stderr)
 		for {
 			line, err := lines.ReadString('\n')
 			if line != "" {
-				p.said.add(line)
+				p.stderr.add(line)
 			}
 			if err != nil {
 				break
 			}
 		}
 		err := cmd.Wait()
-		if !p.meant.Load() {
-			f.fail(fmt.Errorf("the process %s ended by itself: %v: %.200s", name, err, p.said.last()))
+		if !p.exitExpected.Load() {
+			g.cancel(fmt.Errorf("the process %s ended by itself: %v: %.200s", name, err, p.stderr.lastLine()))
 		}
-		close(p.ended)
+		close(p.exited)
 	}()
 	return p, nil
 }
 
-// child starts a process of the rig's own in a role.
-func (f *family) child(name, role string, command func(role string) *exec.Cmd) (*process, error) {
+// startChild starts one of the rig's own processes in a role and connects to it by RPC over its standard input and output.
+func (g *processSet) startChild(name, role string, command func(role string) *exec.Cmd) (*process, error) {
 	cmd := command(role)
 	in, err := cmd.StdinPipe()
 	if err != nil {
@@ -141,80 +144,82 @@
 	if err != nil {
 		return nil, err
 	}
-	p, err := f.start(name, cmd, nil)
+	p, err := g.start(name, cmd, nil)
 	if err != nil {
 		return nil, err
 	}
-	p.calls = rpc.NewClient(pipes{out, in})
+	p.client = rpc.NewClient(stdioPipes{out, in})
 	return p, nil
 }
 
-type pipes struct {
+// stdioPipes joins a child's standard output and input into one RPC connection.
+type stdioPipes struct {
 	io.Reader
 	io.WriteCloser
 }
 
-// call makes a call of a child, and gives up when the run ends.
-func (f *family) call(p *process, method string, args, out any) error {
-	c := p.calls.Go(method, args, out, make(chan *rpc.Call, 1))
+// call calls a method of a child process and returns early when the run is cancelled.
+func (g *processSet) call(p *process, method string, args, out any) error {
+	c := p.client.Go(method, args, out, make(chan *rpc.Call, 1))
 	select {
 	case <-c.Done:
 		if c.Error != nil {
-			select { // the end of a process says more than the call that it ended
-			case <-f.ctx.Done():
-				return context.Cause(f.ctx)
+			select { // the exit of the process, where it is noticed shortly after, explains more than the failed call
+			case <-g.ctx.Done():
+				return context.Cause(g.ctx)
 			case <-time.After(100 * time.Millisecond):
 			}
 			return fmt.Errorf("%s, %s: %w", p.name, method, c.Error)
 		}
 		return nil
-	case <-f.ctx.Done():
-		return context.Cause(f.ctx)
+	case <-g.ctx.Done():
+		return context.Cause(g.ctx)
 	}
 }
 
-// wait waits unless the run ends.
-func (f *family) wait(d time.Duration) error {
+// sleep waits for d, or until the run is cancelled.
+func (g *processSet) sleep(d time.Duration) error {
 	select {
 	case <-time.After(d):
 		return nil
-	case <-f.ctx.Done():
-		return context.Cause(f.ctx)
+	case <-g.ctx.Done():
+		return context.Cause(g.ctx)
 	}
 }
 
-// kill ends one process and waits for its end.
-func (f *family) kill(p *process) {
-	p.meant.Store(true)
+// kill kills one process and waits until it has exited.
+func (g *processSet) kill(p *process) {
+	p.exitExpected.Store(true)
 	_ = p.cmd.Process.Kill()
-	<-p.ended
+	<-p.exited
 }
 
-// close ends all.
-func (f *family) close() {
-	f.mu.Lock()
-	f.over = true
-	list := f.list
-	f.mu.Unlock()
+// close kills all processes, waits until they have exited and cancels the run.
+func (g *processSet) close() {
+	g.mu.Lock()
+	g.closed = true
+	list := g.processes
+	g.mu.Unlock()
 	for _, p := range list {
-		p.meant.Store(true)
+		p.exitExpected.Store(true)
 		_ = p.cmd.Process.Kill()
 	}
 	for _, p := range list {
-		<-p.ended
+		<-p.exited
 	}
-	f.fail(context.Canceled)
-	close(f.starts)
+	g.cancel(context.Canceled)
+	close(g.starts)
 }
 
-// limiter is a real one.
+// limiter is a process that runs the real program.
 type limiter struct {
 	*process
-	addr, socket string
+	addr, socket string // where it serves requests, and the path of its admin socket
 }
 
-// limiter starts the real program and waits until it serves.
-func (f *family) limiter(binary, dir, name string, config map[string]any, script string) (*limiter, error) {
+// startLimiter writes a limiter's configuration and operator script into dir, starts the real program and waits until its log
+// says that it serves.
+func (g *processSet) startLimiter(binary, dir, name string, config map[string]any, script string) (*limiter, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
@@ -222,18 +227,18 @@
 	if err != nil {
 		return nil, err
 	}
-	path, file := filepath.Join(dir, "config.json"), filepath.Join(dir, "operator.star")
-	if err := os.WriteFile(path, raw, 0o600); err != nil {
+	configPath, scriptPath := filepath.Join(dir, "config.json"), filepath.Join(dir, "operator.star")
+	if err := os.WriteFile(configPath, raw, 0o600); err != nil {
 		return nil, err
 	}
-	if err := os.WriteFile(file, []byte(script), 0o600); err != nil {
+	if err := os.WriteFile(scriptPath, []byte(script), 0o600); err != nil {
 		return nil, err
 	}
-	up := make(chan string, 1)
-	p, err := f.start(name, exec.Command(binary, "-config", path, "-operator", file), func(line string) {
-		if _, at, ok := strings.Cut(line, "msg=serving name="); ok {
-			if _, at, ok = strings.Cut(at, "listen="); ok {
-				up <- strings.TrimSpace(at)
+	serving := make(chan string, 1)
+	p, err := g.start(name, exec.Command(binary, "-config", configPath, "-operator", scriptPath), func(line string) {
+		if _, addr, ok := strings.Cut(line, "msg=serving name="); ok {
+			if _, addr, ok = strings.Cut(addr, "listen="); ok {
+				serving <- strings.TrimSpace(addr)
 			}
 		}
 	})
@@ -241,13 +246,14 @@
 		return nil, err
 	}
 	select {
-	case at := <-up:
-		return &limiter{p, at, filepath.Join(dir, "admin.sock")}, nil
-	case <-f.ctx.Done():
-		return nil, context.Cause(f.ctx)
-	case <-time.After(startLimit):
-		return nil, fmt.Errorf("%s does not serve within %s: %.200s", name, startLimit, p.said.last())
+	case addr := <-serving:
+		return &limiter{p, addr, filepath.Join(dir, "admin.sock")}, nil
+	case <-g.ctx.Done():
+		return nil, context.Cause(g.ctx)
+	case <-time.After(startTimeout):
+		return nil, fmt.Errorf("%s is not serving after %s; its last line: %.200s", name, startTimeout, p.stderr.lastLine())
 	}
 }
 
-func name(what string, k int) string { return what + "-" + strconv.Itoa(k) }
+// indexedName names the k-th of several processes of the same kind.
+func indexedName(prefix string, k int) string { return prefix + "-" + strconv.Itoa(k) }
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -8,53 +8,55 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// line fits a straight line by least squares and gives the standard error of its slope; with fewer than three points there
-// is none, and the error is infinite.
-func line(x, y []float64) (intercept, slope, failing float64) {
+// fitLine fits a straight line by least squares and returns the standard error of its slope. Fewer than three points have no
+// such error: the line is then zero and the error infinite.
+func fitLine(x, y []float64) (intercept, slope, slopeError float64) {
 	if len(x) < 3 {
 		return 0, 0, math.Inf(1)
 	}
 	intercept, slope = stat.LinearRegression(x, y, nil, false)
-	mean, rest, spread := stat.Mean(x, nil), 0.0, 0.0
+	mean, squaredResiduals, squaredDeviations := stat.Mean(x, nil), 0.0, 0.0
 	for k := range x {
 		d := y[k] - intercept - slope*x[k]
-		rest += d * d
-		spread += (x[k] - mean) * (x[k] - mean)
+		squaredResiduals += d * d
+		squaredDeviations += (x[k] - mean) * (x[k] - mean)
 	}
-	return intercept, slope, math.Sqrt(rest / float64(len(x)-2) / spread)
+	return intercept, slope, math.Sqrt(squaredResiduals / float64(len(x)-2) / squaredDeviations)
 }
 
-type slopeKey struct{ role, what, against string }
+// slopeKey identifies a slope: whose quantity was measured, and against which size.
+type slopeKey struct{ role, quantity, against string }
 
-// ledger collects what is measured at sizes.
-type ledger struct {
-	points map[slopeKey][][2]float64
-	held   map[string]string // by against
-	units  map[slopeKey]string
+// measurements collects the values measured at each size.
+type measurements struct {
+	points       map[slopeKey][][2]float64 // pairs of size and value
+	heldConstant map[string]string         // by slopeKey.against: what did not vary in that sweep, in words
+	units        map[slopeKey]string       // where they differ from defaultUnits
 }
 
-func newLedger() *ledger {
-	return &ledger{map[slopeKey][][2]float64{}, map[string]string{}, map[slopeKey]string{}}
+func newMeasurements() *measurements {
+	return &measurements{map[slopeKey][][2]float64{}, map[string]string{}, map[slopeKey]string{}}
 }
 
-var usualUnits = map[string]string{"memory": "bytes", "processor": "seconds/s", "messages": "1/s", "bytes": "bytes/s"}
+// defaultUnits are the units of quantities that are measured per second; memory is an amount.
+var defaultUnits = map[string]string{"memory": "bytes", "processor": "seconds/s", "messages": "1/s", "bytes": "bytes/s"}
 
-func (l *ledger) note(role, what, against string, size, value float64) {
-	key := slopeKey{role, what, against}
-	l.points[key] = append(l.points[key], [2]float64{size, value})
+func (m *measurements) add(role, quantity, against string, size, value float64) {
+	key := slopeKey{role, quantity, against}
+	m.points[key] = append(m.points[key], [2]float64{size, value})
 }
 
-// notePer is note for a value that is not for a second.
-func (l *ledger) notePer(unit, role, what, against string, size, value float64) {
-	l.units[slopeKey{role, what, against}] = unit
-	l.note(role, what, against, size, value)
+// addWithUnit is add for a value in a unit other than the default one, such as seconds per change.
+func (m *measurements) addWithUnit(unit, role, quantity, against string, size, value float64) {
+	m.units[slopeKey{role, quantity, against}] = unit
+	m.add(role, quantity, against, size, value)
 }
 
-// slopes fits what was measured at three sizes or more.
-func (l *ledger) slopes() (list []Slope) {
-	for key, points := range l.points {
-		s := Slope{Role: key.role, What: key.what, Unit: usualUnits[key.what], Against: key.against, Held: l.held[key.against]}
-		if unit, ok := l.units[key]; ok {
+// slopes fits a line for each quantity that was measured at three sizes or more, in a fixed order.
+func (m *measurements) slopes() (list []Slope) {
+	for key, points := range m.points {
+		s := Slope{Role: key.role, What: key.quantity, Unit: defaultUnits[key.quantity], Against: key.against, Held: m.heldConstant[key.against]}
+		if unit, ok := m.units[key]; ok {
 			s.Unit = unit
 		}
 		for _, p := range points {
@@ -63,7 +65,7 @@
 		if len(points) < 3 {
 			continue
 		}
-		s.Intercept, s.PerUnit, s.Error = line(s.Sizes, s.Values)
+		s.Intercept, s.PerUnit, s.Error = fitLine(s.Sizes, s.Values)
 		list = append(list, s)
 	}
 	slices.SortFunc(list, func(a, b Slope) int {
--- a/internal/scale/modelled.go
+++ b/internal/scale/modelled.go
@@ -18,13 +18,14 @@
 	"bramblefall/logic"
 )
 
-// Modelled plays the moments that real sockets cannot: regions cut from each other for an hour, and a day of changes.
+// Modelled measures in the model the moments that cannot be played on real sockets: regions that are cut off from each other
+// for an hour, and a day of changes. The result holds those that were complete when an error ended it.
 func Modelled(ctx context.Context, seed uint64, quick bool, progress func(string)) ([]Moment, error) {
 	if progress == nil {
 		progress = func(string) {}
 	}
 	var all []Moment
-	for _, play := range []func(context.Context, uint64, bool, func(string)) (Moment, error){regions, day} {
+	for _, play := range []func(context.Context, uint64, bool, func(string)) (Moment, error){measureRegions, measureDay} {
 		m, err := play(ctx, seed, quick, progress)
 		if err != nil {
 			return all, err
@@ -36,17 +37,20 @@
 
 // ---- regions
 
-// window is what came between two instants of a run.
-type window struct {
+// interval is a span of a modelled run, by the results at its beginning and its end.
+type interval struct {
 	seconds  float64
 	from, to model.Result
 }
 
-func (w window) sent() float64   { return w.to.SentUnits - w.from.SentUnits }
-func (w window) beyond() float64 { return (w.to.BeyondUnits - w.from.BeyondUnits) / max(w.sent(), 1) }
+// sent is the number of units sent on to servers in the interval.
+func (w interval) sent() float64 { return w.to.SentUnits - w.from.SentUnits }
 
-// put notes a window's figures under its name.
-func (w window) put(values map[string]float64, name string) {
+// beyond is the share of those units that was beyond quotas.
+func (w interval) beyond() float64 { return (w.to.BeyondUnits - w.from.BeyondUnits) / max(w.sent(), 1) }
+
+// record adds the interval's figures to values, under names that begin with the interval's.
+func (w interval) record(values map[string]float64, name string) {
 	for k := range w.to.Halls {
 		values[fmt.Sprintf("%s, region %d, units/s", name, k)] = (w.to.Halls[k].Units - w.from.Halls[k].Units) / w.seconds
 	}
@@ -57,50 +61,55 @@
 	values[name+", calls/s"] = float64(w.to.Calls-w.from.Calls) / w.seconds
 }
 
-const healStep, healLooked = 5.0, 60.0 // seconds: a window after the healing, and how long they are looked at
+const (
+	healStepSeconds     = 5.0  // length of the intervals before and after the cut that are compared
+	healObservedSeconds = 60.0 // after the cut, in such intervals
+)
 
-// regionPlay is one seed's: by name what it came to.
-func regionPlay(ctx context.Context, s model.Scenario, seed uint64, cutAt, cutFor float64) map[string]float64 {
+// playRegions plays the scenario with one seed, with the regions cut off from each other at cutAt for cutFor seconds, and
+// returns the figures of its intervals by name.
+func playRegions(ctx context.Context, s model.Scenario, seed uint64, cutAt, cutFor float64) map[string]float64 {
 	s.Faults = []model.Fault{{Kind: model.FaultRegions, At: cutAt, For: cutFor}}
 	w := model.New(s, seed, model.Own(), false)
 	at, values := s.Warm, map[string]float64{}
 	last := w.Play(at)
-	to := func(end float64) window {
-		v := window{end - at, last, last}
-		for at < end && ctx.Err() == nil { // in steps, so that it can be stopped
+	playUntil := func(end float64) interval {
+		v := interval{end - at, last, last}
+		for at < end && ctx.Err() == nil { // in steps, so that a cancelled run stops soon
 			at = min(at+60, end)
 			last = w.Play(at)
 		}
 		v.to = last
 		return v
 	}
-	begun, usual := last, 0.0
+	beforeCut, worstBeforeCut := last, 0.0
 	for at < cutAt && ctx.Err() == nil {
-		usual = max(usual, to(min(at+healStep, cutAt)).beyond())
+		worstBeforeCut = max(worstBeforeCut, playUntil(min(at+healStepSeconds, cutAt)).beyond())
 	}
-	window{cutAt - s.Warm, begun, last}.put(values, "before")
-	values["before, most beyond in 5 s"] = usual
-	to(cutAt+10).put(values, "cut, first 10 s")
-	to(cutAt+cutFor).put(values, "cut")
-	healed, back := last, 0.0
-	for t := healStep; t <= healLooked; t += healStep {
-		v := to(cutAt + cutFor + t)
-		if v.beyond() > usual {
-			back = t
+	interval{cutAt - s.Warm, beforeCut, last}.record(values, "before")
+	values["before, most beyond in 5 s"] = worstBeforeCut
+	playUntil(cutAt+10).record(values, "cut, first 10 s")
+	playUntil(cutAt+cutFor).record(values, "cut")
+	atHealing, recoveredAfter := last, 0.0
+	for t := healStepSeconds; t <= healObservedSeconds; t += healStepSeconds {
+		v := playUntil(cutAt + cutFor + t)
+		if v.beyond() > worstBeforeCut {
+			recoveredAfter = t
 		}
-		if t == healStep {
-			v.put(values, "healed, first 5 s")
+		if t == healStepSeconds {
+			v.record(values, "healed, first 5 s")
 		}
 	}
-	window{healLooked, healed, last}.put(values, "healed, first 60 s")
-	values["healed, calls in 60 s"] = float64(last.Calls - healed.Calls)
-	values["healed, over usual until s"] = back
-	to(s.Seconds).put(values, "after")
+	interval{healObservedSeconds, atHealing, last}.record(values, "healed, first 60 s")
+	values["healed, calls in 60 s"] = float64(last.Calls - atHealing.Calls)
+	values["healed, over usual until s"] = recoveredAfter
+	playUntil(s.Seconds).record(values, "after")
 	values["broken rules"] = float64(last.Broken)
 	return values
 }
 
-func regions(ctx context.Context, seed uint64, quick bool, progress func(string)) (Moment, error) {
+// measureRegions plays the cut between regions with several seeds and returns the means of their figures.
+func measureRegions(ctx context.Context, seed uint64, quick bool, progress func(string)) (Moment, error) {
 	s := model.Base()
 	s.Limiters, s.Nodes, s.Firms.Count, s.Warm = 10, 24, 60, 10
 	s.Firms.Spread = model.Range{10, 10}
@@ -116,7 +125,7 @@
 	done := make(chan int, seeds)
 	for k := range seeds {
 		go func() {
-			list[k] = regionPlay(ctx, s, seed+uint64(k), cutAt, cutFor)
+			list[k] = playRegions(ctx, s, seed+uint64(k), cutAt, cutFor)
 			done <- k
 		}()
 	}
@@ -149,53 +158,60 @@
 
 // ---- a day of changes
 
-const dayChanges, daySeconds = 33_000, 86_400
+const (
+	changesPerDay = 33_000
+	secondsPerDay = 86_400
+)
 
-// drawDay draws the instants of a day's changes, in order. Half of them come in releases, most of them in working hours: a
-// release touches some hundred servers, some in a second. The others come one by one.
-func drawDay(seed uint64) (at []float64) {
+// drawDayChanges draws the times of a day's changes, in seconds and in order. Half of them belong to releases, which come in
+// working hours; a release changes a few hundred servers, several of them a second. The others come one by one: half of them
+// in working hours, and half at any time of the day.
+func drawDayChanges(seed uint64) (changesAt []float64) {
 	rng := rand.New(rand.NewPCG(seed, 0x646179))
-	working := func() float64 { return 3600 * (8 + 10*rng.Float64()) }
-	for len(at) < dayChanges/2 {
-		size := min(int(math.Exp(math.Log(250)+0.9*rng.NormFloat64())), 3000, dayChanges/2-len(at))
-		pace, t := 2+38*rng.Float64()*rng.Float64(), working()
+	workingHour := func() float64 { return 3600 * (8 + 10*rng.Float64()) }
+	for len(changesAt) < changesPerDay/2 {
+		// The size of a release has a log-normal distribution with the median 250, cut off at 3000.
+		size := min(int(math.Exp(math.Log(250)+0.9*rng.NormFloat64())), 3000, changesPerDay/2-len(changesAt))
+		changesPerSecond, t := 2+38*rng.Float64()*rng.Float64(), workingHour()
 		for range max(size, 1) {
-			at, t = append(at, t), min(t+rng.ExpFloat64()/pace, daySeconds-1e-3)
+			changesAt, t = append(changesAt, t), min(t+rng.ExpFloat64()/changesPerSecond, secondsPerDay-1e-3)
 		}
 	}
-	for len(at) < dayChanges {
-		t := daySeconds * rng.Float64()
+	for len(changesAt) < changesPerDay {
+		t := secondsPerDay * rng.Float64()
 		if rng.Float64() < 0.5 {
-			t = working()
+			t = workingHour()
 		}
-		at = append(at, t)
+		changesAt = append(changesAt, t)
 	}
-	slices.Sort(at)
-	return at
+	slices.Sort(changesAt)
+	return changesAt
 }
 
-// worst is the most changes within any span of so many seconds, and where it begins.
-func worst(at []float64, span float64) (most int, from float64) {
+// busiestSpan returns the largest number of changes within any span of the given seconds, and when that span begins.
+func busiestSpan(changesAt []float64, span float64) (most int, from float64) {
 	first := 0
-	for k := range at {
-		for at[k]-at[first] >= span {
+	for k := range changesAt {
+		for changesAt[k]-changesAt[first] >= span {
 			first++
 		}
 		if n := k - first + 1; n > most {
-			most, from = n, at[first]
+			most, from = n, changesAt[first]
 		}
 	}
 	return most, from
 }
 
-// changeBytes is the length of a change of one server as discovery tells it.
+// changeBytes is the length in bytes of discovery's line for a change of one server.
 func changeBytes() float64 {
 	raw, _ := json.Marshal(discovery.List{Version: 1_033_000, Servers: []discovery.Server{{ID: "node-2-0417-3", Addr: "10.12.34.56:7001",
 		Zone: "hall-b", Kind: "std-3core", Cell: 2, State: "draining", Weight: 1, StartedMS: 1_800_000_000_000}}})
 	return float64(len(raw) + 1)
 }
 
-func day(ctx context.Context, seed uint64, quick bool, progress func(string)) (Moment, error) {
+// measureDay draws days of changes to find the busiest second and minute, plays the busiest span of the first day in the model
+// and measures the processor time that a change takes.
+func measureDay(ctx context.Context, seed uint64, quick bool, progress func(string)) (Moment, error) {
 	limiters, servers, days, span := 30, 3000, 20, 60.0
 	if quick {
 		limiters, servers, days, span = 10, 600, 3, 15
@@ -203,26 +219,26 @@
 	values := map[string]float64{}
 	var seconds, minutes []float64
 	for n := range days {
-		at := drawDay(seed + uint64(n))
-		second, _ := worst(at, 1)
-		minute, _ := worst(at, 60)
+		changesAt := drawDayChanges(seed + uint64(n))
+		second, _ := busiestSpan(changesAt, 1)
+		minute, _ := busiestSpan(changesAt, 60)
 		seconds, minutes = append(seconds, float64(second)), append(minutes, float64(minute))
 	}
 	values["worst second, changes"], values["worst second, deviation"] = meanAndDeviation(seconds)
 	values["worst minute, changes"], values["worst minute, deviation"] = meanAndDeviation(minutes)
 	values["worst second of the days, changes"], values["worst minute of the days, changes"] = slices.Max(seconds), slices.Max(minutes)
 
-	r, quiet, firms, err := playBurst(ctx, seed, limiters, servers, span)
+	burst, calm, firms, err := playBurst(ctx, seed, limiters, servers, span)
 	if err != nil {
 		return Moment{}, err
 	}
-	progress(fmt.Sprintf("day: %d changes told in the worst minute, in force after %.2f s at the last", r.Changes.Told, r.Changes.Last))
-	values["played, changes at each limiter"] = float64(r.Changes.Told) / float64(limiters)
-	values["played, served"] = float64(r.Served) / float64(max(r.Requests, 1))
-	values["calm, served"] = float64(quiet.Served) / float64(max(quiet.Requests, 1))
-	values["played, p99 s"], values["calm, p99 s"] = r.P99, quiet.P99
-	values["played, beyond"], values["calm, beyond"] = r.OverQuota(), quiet.OverQuota()
-	values["broken rules"] = float64(r.Broken)
+	progress(fmt.Sprintf("day: %d changes sent to limiters in the busiest span, the last in force after %.2f s", burst.Changes.Told, burst.Changes.Last))
+	values["played, changes at each limiter"] = float64(burst.Changes.Told) / float64(limiters)
+	values["played, served"] = float64(burst.Served) / float64(max(burst.Requests, 1))
+	values["calm, served"] = float64(calm.Served) / float64(max(calm.Requests, 1))
+	values["played, p99 s"], values["calm, p99 s"] = burst.P99, calm.P99
+	values["played, beyond"], values["calm, beyond"] = burst.OverQuota(), calm.OverQuota()
+	values["broken rules"] = float64(burst.Broken)
 	values["bytes of a change"] = changeBytes()
 
 	cost := map[string]float64{}
@@ -231,53 +247,54 @@
 		sizes, times = []int{60, 3000}, 2000
 	}
 	for _, size := range sizes {
-		mean, most, all := changeCost(size, times)
-		cost[fmt.Sprintf("a change among %d servers, us", size)] = mean
-		cost[fmt.Sprintf("a change among %d servers, p99 us", size)] = most
-		cost[fmt.Sprintf("a whole list of %d servers, ms", size)] = all
-		progress(fmt.Sprintf("day: a change among %d servers takes %.1f us of a limiter, 99th percentile %.1f us", size, mean, most))
+		meanMicros, p99Micros, wholeListMS := measureChangeCost(size, times)
+		cost[fmt.Sprintf("a change among %d servers, us", size)] = meanMicros
+		cost[fmt.Sprintf("a change among %d servers, p99 us", size)] = p99Micros
+		cost[fmt.Sprintf("a whole list of %d servers, ms", size)] = wholeListMS
+		progress(fmt.Sprintf("day: a change among %d servers takes a limiter %.1f us on average, 99th percentile %.1f us", size, meanMicros, p99Micros))
 	}
 	largest := sizes[len(sizes)-1]
 	cost[fmt.Sprintf("worst second among %d servers, s", largest)] =
 		values["worst second of the days, changes"] * cost[fmt.Sprintf("a change among %d servers, us", largest)] / 1e6
-	return Moment{Name: "day", Limiters: limiters, Servers: servers, Model: true, P99: r.Changes.P99, Last: r.Changes.Last,
+	return Moment{Name: "day", Limiters: limiters, Servers: servers, Model: true, P99: burst.Changes.P99, Last: burst.Changes.Last,
 		Messages: values["worst minute of the days, changes"], Bytes: values["worst minute of the days, changes"] * changeBytes(),
 		Values: values, Cost: cost,
 		Note: fmt.Sprintf("%d changes a day, half of them in releases of some hundred servers; %d days drawn; the worst %.0f s of the first played with "+
 			"%d limiters, %d firms and %d servers (held small); p99_s and last_s: from a change until it is in force at a limiter, the most of it "+
-			"discovery's own 0.5 to 3 s; messages and bytes: what one limiter takes in the worst minute of these days", dayChanges, days, span,
+			"discovery's own 0.5 to 3 s; messages and bytes: what one limiter takes in the worst minute of these days", changesPerDay, days, span,
 			limiters, firms, servers)}, nil
 }
 
-// playBurst plays the span of a day in which the most changes come, and the same time without any.
+// playBurst plays the span of the seed's day in which the most changes come (burst), and the same time without any (calm).
 func playBurst(ctx context.Context, seed uint64, limiters, servers int, span float64) (burst, calm model.Result, firms int, err error) {
-	at := drawDay(seed)
-	_, from := worst(at, span)
-	s := model.Base()
-	s.Name, s.Limiters, s.Nodes, s.Firms.Count, s.Warm = "worst minute", limiters, servers, 12*limiters, 10
-	s.Firms.Spread = model.Range{float64(limiters), float64(limiters)}
-	s.Seconds = s.Warm + span + 10
-	quiet := s
-	// A server that is replaced is three changes: it drains, is gone, and another comes.
-	n := 0
-	for _, t := range at {
+	changesAt := drawDayChanges(seed)
+	_, from := busiestSpan(changesAt, span)
+	burstScenario := model.Base()
+	burstScenario.Name, burstScenario.Limiters, burstScenario.Nodes, burstScenario.Firms.Count, burstScenario.Warm = "worst minute", limiters, servers, 12*limiters, 10
+	burstScenario.Firms.Spread = model.Range{float64(limiters), float64(limiters)}
+	burstScenario.Seconds = burstScenario.Warm + span + 10
+	calmScenario := burstScenario
+	// Replacing a server takes three changes: it drains, it is gone, and another one is ready. Each third change is thus played
+	// as the drain of one server.
+	changes := 0
+	for _, t := range changesAt {
 		if t >= from && t < from+span {
-			if n++; n%3 == 1 {
-				s.Faults = append(s.Faults, model.Fault{Kind: model.FaultDrain, At: s.Warm + t - from, Part: 0.1 / float64(servers)})
+			if changes++; changes%3 == 1 {
+				burstScenario.Faults = append(burstScenario.Faults, model.Fault{Kind: model.FaultDrain, At: burstScenario.Warm + t - from, Part: 0.1 / float64(servers)})
 			}
 		}
 	}
-	list := lab.Parallel(ctx, []lab.Job{{Scenario: s, Policy: model.Own(), Seed: seed}, {Scenario: quiet, Policy: model.Own(), Seed: seed}}, nil)
+	list := lab.Parallel(ctx, []lab.Job{{Scenario: burstScenario, Policy: model.Own(), Seed: seed}, {Scenario: calmScenario, Policy: model.Own(), Seed: seed}}, nil)
 	if len(list) < 2 {
 		return burst, calm, 0, ctx.Err()
 	}
-	return list[0].Result, list[1].Result, s.Firms.Count, nil
+	return list[0].Result, list[1].Result, burstScenario.Firms.Count, nil
 }
 
-// changeCost is the processor time, in us, that the reducer takes for a change of one server among many: the mean, and the
-// 99th percentile. all is that of a whole list without a change, in ms.
-func changeCost(servers, times int) (mean, p99, all float64) {
-	r, now := costReducer()
+// measureChangeCost measures how long the reducer takes for a change of one server among many: the mean and the 99th
+// percentile, in microseconds. wholeListMS is how long it takes for a whole list without a change, in milliseconds.
+func measureChangeCost(servers, times int) (meanMicros, p99Micros, wholeListMS float64) {
+	r, now := newCostReducer()
 	var list []logic.Server
 	for k := range servers {
 		list = append(list, logic.Server{ID: logic.ServerID(k + 1), Weight: 1, Zone: k % 2, State: logic.Ready})
@@ -290,41 +307,42 @@
 		effects = r.Reduce(at, ev, effects[:0])
 		took := time.Since(began)
 		for _, e := range effects {
-			if t, ok := e.(core.SetTimer); ok { // without requests there is one timer, the tick
+			if t, ok := e.(core.SetTimer); ok { // the tick is the only timer while there are no requests
 				tick = t
 			}
 		}
 		return took
 	}
 	reduce(now, core.UpstreamGroup{ServerList: whole})
-	all = float64(reduce(now, core.UpstreamGroup{ServerList: whole}).Microseconds()) / 1000
+	wholeListMS = float64(reduce(now, core.UpstreamGroup{ServerList: whole}).Microseconds()) / 1000
 	next := logic.ServerID(servers + 1)
 	took := make([]float64, 0, times)
 	rng := rand.New(rand.NewPCG(1, 0x636f7374))
 	for range times {
 		k := rng.IntN(len(list))
-		line := &list[k]
-		switch line.State { // each is drained, then gone, then there is another in its place
+		server := &list[k]
+		switch server.State { // each server drains, is gone, and is replaced by another one
 		case logic.Ready:
-			line.State = logic.Draining
+			server.State = logic.Draining
 		case logic.Draining:
-			line.State = logic.Gone
+			server.State = logic.Gone
 		case logic.Gone:
-			*line = logic.Server{ID: next, Weight: 1, Zone: k % 2, State: logic.Ready, Started: now}
+			*server = logic.Server{ID: next, Weight: 1, Zone: k % 2, State: logic.Ready, Started: now}
 			next++
 		}
-		for now += time.Second / 50; tick.At <= now; { // ticks go on, and are not the changes'
+		for now += time.Second / 50; tick.At <= now; { // ticks go on as usual; their time is not counted as that of the change
 			reduce(tick.At, tick.Timer)
 		}
-		changed := reduce(now, core.UpstreamGroup{ServerList: logic.ServerList{Servers: []logic.Server{*line}}})
+		changed := reduce(now, core.UpstreamGroup{ServerList: logic.ServerList{Servers: []logic.Server{*server}}})
 		took = append(took, float64(changed.Nanoseconds())/1000)
 	}
-	mean, _ = meanAndDeviation(took)
+	meanMicros, _ = meanAndDeviation(took)
 	slices.Sort(took)
-	return mean, took[len(took)*99/100], all
+	return meanMicros, took[len(took)*99/100], wholeListMS
 }
 
-func costReducer() (*core.Reducer, time.Duration) {
+// newCostReducer returns a reducer with the settings of a usual limiter, and the time at which it starts.
+func newCostReducer() (*core.Reducer, time.Duration) {
 	s := model.Base()
 	set := logic.Settings{Gateways: 300, Zones: 2, Plans: s.Tiers, HasCounter: true, CounterLimit: 30 * time.Millisecond, MostUnits: 1,
 		MaxAttempts: 6, MaxRetryAfter: time.Second, RetryAfter: true, Cancelling: true, StartCapacity: s.Node.ColdShare, Cold: 18 * time.Second,
@@ -333,7 +351,7 @@
 	return core.New(set, 1, plans.New(set.Plans, plans.DefaultLimits)), 1_800_000_000 * time.Second
 }
 
-// MomentTable is moments as a table: a row for each figure.
+// MomentTable returns moments as a table with a row for each figure.
 func MomentTable(list []Moment) *lab.Table {
 	t := &lab.Table{Name: "moments", Head: []string{"moment", "what", "figure"}}
 	for _, m := range list {
--- a/internal/scale/moments.go
+++ b/internal/scale/moments.go
@@ -6,115 +6,118 @@
 	"time"
 )
 
-// change tells one change and waits until the hollow limiters have it.
-func (r *run) change(c Change, limit time.Duration) (m Moment, err error) {
-	before, err := r.sample()
+// measureChange makes one change of the list, waits until the hollow limiters have it and returns how long that took.
+func (r *run) measureChange(c Change, timeout time.Duration) (moment Moment, err error) {
+	before, err := r.takeSample()
 	if err != nil {
-		return m, err
+		return moment, err
 	}
-	var told Told
-	if err := r.f.call(r.discovery, "Role.Change", c, &told); err != nil {
-		return m, err
+	var applied AppliedChange
+	if err := r.children.call(r.discoveryProcess, "Role.Change", c, &applied); err != nil {
+		return moment, err
 	}
-	r.version = told.Version
-	all, behind, err := r.arrivals(limit, r.hollow)
+	r.lastVersion = applied.Version
+	arrivedAt, behind, err := r.awaitVersion(timeout, r.hollowProcesses)
 	if err != nil {
-		return m, err
+		return moment, err
 	}
-	after, err := r.sample()
+	after, err := r.takeSample()
 	if err != nil {
-		return m, err
+		return moment, err
 	}
-	m = r.moment(all, told.At, behind)
-	t := after.discovery.less(before.discovery).all()
-	m.Messages, m.Bytes = float64(t.Messages), float64(t.Bytes)
-	return m, nil
+	moment = r.newMoment(arrivedAt, applied.AppliedAt, behind)
+	t := after.discovery.minus(before.discovery).total()
+	moment.Messages, moment.Bytes = float64(t.Messages), float64(t.Bytes)
+	return moment, nil
 }
 
-// moment is how long arrivals took.
-func (r *run) moment(at []time.Duration, from time.Duration, behind int) (m Moment) {
-	slices.Sort(at)
-	m.Limiters, m.Servers = r.hollows()+len(r.real), r.listed
-	if n := len(at); n > 0 {
-		m.P99, m.Last = (at[(n*99+99)/100-1] - from).Seconds(), (at[n-1] - from).Seconds()
+// newMoment sums up how long after since a version arrived at limiters; behind is the number that did not get it in time.
+func (r *run) newMoment(arrivedAt []time.Duration, since time.Duration, behind int) (moment Moment) {
+	slices.Sort(arrivedAt)
+	moment.Limiters, moment.Servers = r.hollowLimiterCount()+len(r.realLimiters), r.listedServers
+	if n := len(arrivedAt); n > 0 {
+		moment.P99, moment.Last = (arrivedAt[(n*99+99)/100-1] - since).Seconds(), (arrivedAt[n-1] - since).Seconds()
 	}
 	if behind > 0 {
-		m.Note = fmt.Sprintf("%d hollow limiters %s", behind, unheard)
+		moment.Note = fmt.Sprintf("%d hollow limiters %s", behind, notHeardNote)
 	}
-	return m
+	return moment
 }
 
 const (
-	quietBytes = 1000 // of a real limiter's watch in quietFor, where nothing is told but empty lines
-	quietFor   = 300 * time.Millisecond
-	lookAgain  = 20 * time.Millisecond
-	hearLimit  = 20 * time.Second // until the last has a change or a list
+	maxIdleBytes    = 1000                   // of a real limiter's watch in idlePeriod when only heartbeats are sent
+	idlePeriod      = 300 * time.Millisecond // without more than that the list counts as read
+	pollInterval    = 20 * time.Millisecond  // between two looks at how far limiters are
+	deliveryTimeout = 20 * time.Second       // until the last limiter has a change or a list
 )
 
-// arrivals waits until the hollow limiters of these processes have the last version.
-func (r *run) arrivals(limit time.Duration, from []*process) (at []time.Duration, behind int, err error) {
+// awaitVersion waits until the hollow limiters of the given processes have the last version, or until the timeout is over. It
+// returns when each of them got it and how many have not.
+func (r *run) awaitVersion(timeout time.Duration, processes []*process) (arrivedAt []time.Duration, behind int, err error) {
 	for began := now(); ; {
-		at, behind = nil, 0
-		for _, p := range from {
-			var a Arrived
-			if err := r.f.call(p, "Role.Arrivals", r.version, &a); err != nil {
+		arrivedAt, behind = nil, 0
+		for _, p := range processes {
+			var a HollowStatus
+			if err := r.children.call(p, "Role.Arrivals", r.lastVersion, &a); err != nil {
 				return nil, 0, err
 			}
-			at = append(at, a.At...)
+			arrivedAt = append(arrivedAt, a.ArrivedAt...)
 			behind += a.Behind
 		}
-		if behind == 0 || now()-began > limit {
-			return at, behind, nil
+		if behind == 0 || now()-began > timeout {
+			return arrivedAt, behind, nil
 		}
-		if err := r.f.wait(lookAgain); err != nil {
+		if err := r.children.sleep(pollInterval); err != nil {
 			return nil, 0, err
 		}
 	}
 }
 
-// moments has a rack and a zone go and come back, and a tenth of the limiters restart, with the real ones under load.
-func (r *run) moments() error {
-	if err := r.goAndComeBack("rack", Change{To: max(r.listed/20, 2)}, r.Sizes.Settle); err != nil {
+// measureMoments measures the outage and return of a rack and of a zone, with the real limiters under load, and the restart of
+// a tenth of the hollow limiters.
+func (r *run) measureMoments() error {
+	if err := r.measureOutage("rack", Change{To: max(r.listedServers/20, 2)}, r.Sizes.Settle); err != nil {
 		return err
 	}
-	if err := r.goAndComeBack("zone", Change{To: r.listed, Step: len(zones)}, r.Sizes.Settle); err != nil {
+	if err := r.measureOutage("zone", Change{To: r.listedServers, Step: len(zones)}, r.Sizes.Settle); err != nil {
 		return err
 	}
-	return r.restart()
+	return r.measureRestart()
 }
 
-// goAndComeBack tells that servers are gone, and a moment later that they are ready again, under load.
-func (r *run) goAndComeBack(name string, c Change, between time.Duration) error {
-	var load Loaded
+// measureOutage reports servers as gone and, after the given time, as ready again, while the real limiters are under load.
+func (r *run) measureOutage(name string, change Change, pause time.Duration) error {
+	var load LoadResult
 	done := make(chan error, 1)
 	go func() {
-		done <- r.f.call(r.load, "Role.Run", LoadRun{r.usual(targetRate), 0, 2*between + time.Second, r.Seed}, &load)
+		done <- r.children.call(r.loadProcess, "Role.Run", LoadRun{r.regularLoad(targetRequestsPerSecond), 0, 2*pause + time.Second, r.Seed}, &load)
 	}()
 	for k, state := range []string{"gone", "ready"} {
-		if err := r.f.wait(between); err != nil {
+		if err := r.children.sleep(pause); err != nil {
 			return err
 		}
-		c.State = state
-		m, err := r.change(c, hearLimit)
+		change.State = state
+		moment, err := r.measureChange(change, deliveryTimeout)
 		if err != nil {
 			return err
 		}
-		m.Name = name
-		what := []string{"gone", "back"}[k]
-		m.Note = joinNotes(fmt.Sprintf("%s: %d servers", what, (c.To-c.From+max(c.Step, 1)-1)/max(c.Step, 1)), m.Note)
-		r.figures.Moments = append(r.figures.Moments, m)
-		r.say("a %s %s, told to %d limiters: 99 in 100 have it after %.0f ms, the last after %.0f ms", name, what, m.Limiters, 1000*m.P99, 1000*m.Last)
+		moment.Name = name
+		direction := []string{"gone", "back"}[k]
+		moment.Note = joinNotes(fmt.Sprintf("%s: %d servers", direction, (change.To-change.From+max(change.Step, 1)-1)/max(change.Step, 1)), moment.Note)
+		r.figures.Moments = append(r.figures.Moments, moment)
+		r.say("a %s %s, sent to %d limiters: it reached 99 in 100 hollow ones after %.0f ms, the last after %.0f ms", name, direction, moment.Limiters, 1000*moment.P99, 1000*moment.Last)
 	}
 	if err := <-done; err != nil {
 		return err
 	}
-	r.lost, r.refused, r.sent = r.lost+load.Lost, r.refused+load.Refused, r.sent+load.Sent
-	if r.lostWhy == "" {
-		r.lostWhy = load.Why
+	r.lostRequests, r.refusedRequests, r.sentRequests = r.lostRequests+load.Lost, r.refusedRequests+load.Refused, r.sentRequests+load.Sent
+	if r.lostReason == "" {
+		r.lostReason = load.LostReason
 	}
 	return nil
 }
 
+// joinNotes joins two notes, either of which may be empty.
 func joinNotes(a, b string) string {
 	if a == "" || b == "" {
 		return a + b
@@ -122,70 +125,72 @@
 	return a + "; " + b
 }
 
-// restart ends one of the hollow processes, a tenth of the limiters, and starts it anew: all its limiters ask at once.
-func (r *run) restart() error {
-	before, err := r.sample()
+// measureRestart kills one of the hollow processes, which holds a tenth of the hollow limiters, and starts it again, so that all
+// its limiters ask for the whole list at the same time.
+func (r *run) measureRestart() error {
+	before, err := r.takeSample()
 	if err != nil {
 		return err
 	}
-	n := r.hollowCount[0]
-	r.f.kill(r.hollow[0])
-	p, err := r.f.child(name(hollowRole, 0), hollowRole, r.Child)
+	n := r.hollowCounts[0]
+	r.children.kill(r.hollowProcesses[0])
+	p, err := r.children.startChild(indexedName(hollowRole, 0), hollowRole, r.Child)
 	if err != nil {
 		return err
 	}
-	r.hollow[0], r.hollowCount[0] = p, 0
-	from := now()
-	if err := r.add(0, n); err != nil {
+	r.hollowProcesses[0], r.hollowCounts[0] = p, 0
+	since := now()
+	if err := r.addHollow(0, n); err != nil {
 		return err
 	}
-	at, behind, err := r.arrivals(hearLimit, r.hollow[:1])
+	arrivedAt, behind, err := r.awaitVersion(deliveryTimeout, r.hollowProcesses[:1])
 	if err != nil {
 		return err
 	}
-	after, err := r.sample()
+	after, err := r.takeSample()
 	if err != nil {
 		return err
 	}
-	m := r.moment(at, from, behind)
-	m.Name = "restart"
-	t := after.discovery.less(before.discovery).all()
-	m.Messages, m.Bytes = float64(t.Messages), float64(t.Bytes)
-	m.Note = joinNotes(fmt.Sprintf("%d limiters at once, until each has the whole list", n), m.Note)
-	r.figures.Moments = append(r.figures.Moments, m)
-	r.say("%d limiters restarted at once: 99 in 100 have the list after %.0f ms, the last after %.0f ms", n, 1000*m.P99, 1000*m.Last)
+	moment := r.newMoment(arrivedAt, since, behind)
+	moment.Name = "restart"
+	t := after.discovery.minus(before.discovery).total()
+	moment.Messages, moment.Bytes = float64(t.Messages), float64(t.Bytes)
+	moment.Note = joinNotes(fmt.Sprintf("%d limiters at once, until each has the whole list", n), moment.Note)
+	r.figures.Moments = append(r.figures.Moments, moment)
+	r.say("%d limiters restarted at once: 99 in 100 had the list after %.0f ms, the last after %.0f ms", n, 1000*moment.P99, 1000*moment.Last)
 	return nil
 }
 
-// changes sweeps the changes a second, with a small fleet and no requests: what the control side alone costs a limiter.
-func (r *run) changes() error {
-	if err := r.shrink(); err != nil {
+// sweepChanges sweeps the rate of changes with a small fleet and no requests, to measure what the control side alone costs a
+// limiter.
+func (r *run) sweepChanges() error {
+	if err := r.stopHollow(); err != nil {
 		return err
 	}
-	r.clusters = make(chan clustersDone, 1)
-	go func() { r.clusters <- r.followClusters() }() // it waits for a file to be seen, mostly
-	if err := r.grow(fewHollow); err != nil {
+	r.clusterResults = make(chan clusterResult, 1)
+	go func() { r.clusterResults <- r.followClusters() }() // in parallel, as it mostly waits for the limiter to read its file
+	if err := r.growFleet(fewHollowLimiters); err != nil {
 		return err
 	}
 	if r.Model && r.Quick {
-		r.think()
+		r.startModel()
 	}
-	r.ledger.held["changes"] = fmt.Sprintf("%d hollow limiters without calls, %d real ones without requests, %d servers; each change names one server",
-		fewHollow, len(r.real), r.listed)
-	for _, p := range r.hollow {
-		if err := r.f.call(p, "Role.Calls", 0.0, new(int)); err != nil {
+	r.measurements.heldConstant["changes"] = fmt.Sprintf("%d hollow limiters without calls, %d real ones without requests, %d servers; each change names one server",
+		fewHollowLimiters, len(r.realLimiters), r.listedServers)
+	for _, p := range r.hollowProcesses {
+		if err := r.children.call(p, "Role.Calls", 0.0, new(int)); err != nil {
 			return err
 		}
 	}
-	for _, rate := range r.Sizes.Changes {
-		lasts := max(r.Sizes.Window, time.Duration(1.1/rate*float64(time.Second)))
-		x, _, err := r.window(lasts, nil, []Steady{{PerSecond: rate, For: lasts}})
+	for _, rate := range r.Sizes.ChangesPerSecond {
+		duration := max(r.Sizes.Window, time.Duration(1.1/rate*float64(time.Second)))
+		used, _, err := r.measureWindow(duration, nil, []ChangeSchedule{{ChangesPerSecond: rate, Duration: duration}})
 		if err != nil {
 			return err
 		}
-		told := float64(x.discoveryTold.real().Changes) / float64(len(r.real)) / lasts.Seconds()
-		r.limiterPoint("changes", told, x)
-		r.rolePoint("changes", told, x, discoveryRole)
+		changesPerLimiter := float64(used.discoveryTraffic.realTotal().Changes) / float64(len(r.realLimiters)) / duration.Seconds()
+		r.recordLimiters("changes", changesPerLimiter, used)
+		r.recordRoles("changes", changesPerLimiter, used, discoveryRole)
 	}
 	return nil
 }
--- a/internal/scale/quota.go
+++ b/internal/scale/quota.go
@@ -11,54 +11,55 @@
 	"bramblefall/internal/model"
 )
 
-// AllPlans is the plan's name in a row that sums over all plans.
+// AllPlans stands in place of a plan's name in a row about all plans together.
 const AllPlans = "all"
 
-// quotaLoad is a load under which the quota's error is measured while limiters grow.
+// quotaLoad is a load under which the quota error is measured for several numbers of limiters.
 type quotaLoad struct {
-	name, held string
-	counters   []counterKind
-	warm       float64 // seconds
-	make       func(limiters int) (model.Scenario, error)
+	name, description string
+	counters          []counterKind
+	warmupSeconds     float64 // with more than maxDenseLimiters limiters
+	scenario          func(limiters int) (model.Scenario, error)
 }
 
-// counterKind is a counter of some times the platform's speed, 0: unlimited, and whether limiters' own budget of calls is lifted.
+// counterKind is a kind of quota counter: its speed as a multiple of the platform's (0: unlimited), and whether the limiters'
+// own budget of calls is lifted.
 type counterKind struct {
-	speed float64
-	free  bool
+	speed      float64
+	unbudgeted bool
 }
 
 var (
-	ladder = []counterKind{{speed: 1}, {speed: 2}, {speed: 8}, {speed: 0}, {speed: 0, free: true}}
-	ends   = []counterKind{{speed: 1}, {speed: 0}, {speed: 0, free: true}}
-	slow   = counterKind{speed: 0.25} // crowded where the total is held, too
+	allCounters = []counterKind{{speed: 1}, {speed: 2}, {speed: 8}, {speed: 0}, {speed: 0, unbudgeted: true}}
+	keyCounters = []counterKind{{speed: 1}, {speed: 0}, {speed: 0, unbudgeted: true}}
+	slowCounter = counterKind{speed: 0.25} // overloaded even where the total load stays the same
 )
 
-// A limiter begins with a third of its calls and takes up the others by some fifty answers, which takes the longer the fewer
-// requests it sees: what is measured is the time after that.
+// A limiter begins with a third of its budget of calls and gets the rest in the course of some fifty answers, which takes
+// longer the fewer requests it sees. Only the time after that is measured.
 const (
-	warmThin, warmBusy = 50.0, 15.0 // seconds; thin: through more limiters than that the total is thin
-	thin               = 30
-	measured           = 25.0
+	sparseWarmupSeconds = 50.0 // where a limiter sees few requests
+	denseWarmupSeconds  = 15.0
+	maxDenseLimiters    = 30 // beyond it a load with a fixed total leaves each limiter few requests
+	measuredSeconds     = 25.0
 )
 
-// quotaLoads are the loads. Nodes have room for twice what is asked for and more, so that what is refused is refused by
-// quotas.
+// quotaLoads returns the loads. Nodes can serve at least twice what is asked for, so that all refusals are due to quotas.
 func quotaLoads() []quotaLoad {
 	return []quotaLoad{
 		{"total, all", "360 firms with their quotas and about 550 requests a second in all; a firm comes through every limiter",
-			ladder, warmThin, func(n int) (model.Scenario, error) { return quotaBase(n, 360, 120, n), nil }},
+			allCounters, sparseWarmupSeconds, func(n int) (model.Scenario, error) { return quotaScenario(n, 360, 120, n), nil }},
 		{"total, even", "the same, but evenly: without a busiest limiter that takes 0.6 of a firm's requests and changes every 6 to 22 s",
-			ends, warmThin, func(n int) (model.Scenario, error) {
-				s := quotaBase(n, 360, 120, n)
+			keyCounters, sparseWarmupSeconds, func(n int) (model.Scenario, error) {
+				s := quotaScenario(n, 360, 120, n)
 				s.Firms.Skew = 0
 				return s, nil
 			}},
 		{"total, few", "as the first, but a firm comes through 2 to 4 limiters",
-			ends, warmThin, func(n int) (model.Scenario, error) { return quotaBase(n, 360, 120, 0), nil }},
+			keyCounters, sparseWarmupSeconds, func(n int) (model.Scenario, error) { return quotaScenario(n, 360, 120, 0), nil }},
 		{"total, no ceiling", "as the first, but the full plan has no ceiling",
-			ends[2:], warmThin, func(n int) (model.Scenario, error) {
-				s := quotaBase(n, 360, 120, n)
+			keyCounters[2:], sparseWarmupSeconds, func(n int) (model.Scenario, error) {
+				s := quotaScenario(n, 360, 120, n)
 				s.Tiers = slices.Clone(s.Tiers)
 				for k := range s.Tiers {
 					s.Tiers[k].CeilingRate, s.Tiers[k].CeilingBurst, s.Tiers[k].CeilingSlack = 0, 0, 0
@@ -66,13 +67,15 @@
 				return s, nil
 			}},
 		{"each, 30", "13 firms and about 20 requests a second for each limiter; a firm comes through 30 limiters (of fewer: all)",
-			ladder, warmBusy, func(n int) (model.Scenario, error) { return quotaBase(n, 13*n, max(4*n, 12), min(n, 30)), nil }},
+			allCounters, denseWarmupSeconds, func(n int) (model.Scenario, error) { return quotaScenario(n, 13*n, max(4*n, 12), min(n, 30)), nil }},
 		{"units, all", "requests of 1.5 units on the mean, at most 8; 480 firms with the quotas of booking, about 900 requests a second in all; a firm comes through every limiter",
-			slices.Insert(slices.Clone(ends), 0, slow), warmThin, unitsLoad},
+			slices.Insert(slices.Clone(keyCounters), 0, slowCounter), sparseWarmupSeconds, unitsScenario},
 	}
 }
 
-func quotaBase(limiters, firms, nodes, spread int) model.Scenario {
+// quotaScenario is the model's usual scenario with other sizes; spread is the number of limiters through which each firm
+// comes (0: 2 to 4).
+func quotaScenario(limiters, firms, nodes, spread int) model.Scenario {
 	s := model.Base()
 	s.Limiters, s.Nodes, s.Firms.Count = limiters, nodes, firms
 	s.Firms.Spread = model.Range{2, min(4, float64(limiters))}
@@ -82,40 +85,41 @@
 	return s
 }
 
-func unitsLoad(limiters int) (model.Scenario, error) {
+// unitsScenario is a scenario with requests of several units.
+func unitsScenario(limiters int) (model.Scenario, error) {
 	s, err := lab.LoadScenario("booking")
 	if err != nil {
 		return s, err
 	}
 	s.Limiters, s.Nodes, s.Firms.Count = limiters, 100, 480
-	s.Units.Mean = 1.25 // rounded to whole units and at least one: 1.5 on the mean
+	s.Units.Mean = 1.25 // after rounding to whole units, at least one, the mean is 1.5
 	s.Firms.Spread = model.Range{float64(limiters), float64(limiters)}
 	return s, nil
 }
 
-// quotaPoint is one size, load and counter.
+// quotaPoint is one combination of load, number of limiters and counter.
 type quotaPoint struct {
-	load     quotaLoad
-	limiters int
-	speed    float64 // 0: unlimited
-	free     bool
+	load       quotaLoad
+	limiters   int
+	speed      float64 // see counterKind
+	unbudgeted bool
 }
 
-// quotaPoints are the points of a run. Those that tell most come first, so that a run that is ended early tells them:
-// the counter as it is and an unlimited one, the smallest fleets first.
+// quotaPoints returns the points of a run. The most informative ones come first, so that they are known even if the run is
+// stopped early: those with the counter as it is and with an unlimited one, beginning with the smallest fleets.
 func quotaPoints(quick bool) (all []quotaPoint) {
 	sizes := []int{3, 10, 30, 100, 300}
 	if quick {
 		sizes = []int{3, 30}
 	}
-	first := []string{"total, all", "each, 30", "units, all"}
+	firstLoads := []string{"total, all", "each, 30", "units, all"}
 	for pass := range 2 {
 		for _, n := range sizes {
 			for _, load := range quotaLoads() {
 				for _, c := range load.counters {
-					tells := slices.Contains(first, load.name) && (c == slow || slices.Contains(ends, c))
-					if tells == (pass == 0) && (!quick || tells && load.name != "each, 30") {
-						all = append(all, quotaPoint{load, n, c.speed, c.free})
+					informative := slices.Contains(firstLoads, load.name) && (c == slowCounter || slices.Contains(keyCounters, c))
+					if informative == (pass == 0) && (!quick || informative && load.name != "each, 30") {
+						all = append(all, quotaPoint{load, n, c.speed, c.unbudgeted})
 					}
 				}
 			}
@@ -124,26 +128,26 @@
 	return all
 }
 
-// inOrder sorts figures by load, limiters and counter, whatever their turn was.
-func inOrder(list []QuotaError) []QuotaError {
+// sortRows sorts figures by load, limiters and counter, whatever order they were measured in.
+func sortRows(list []QuotaError) []QuotaError {
 	loads := quotaLoads()
-	place := func(q QuotaError) int {
+	rank := func(q QuotaError) int {
 		load := slices.IndexFunc(loads, func(l quotaLoad) bool { return l.name == q.Set })
-		return (load*1000+q.Limiters)*10 + slices.Index(ladder, counterKind{q.Speed, q.Free}) // a slower one is none of the ladder, and the first
+		return (load*1000+q.Limiters)*10 + slices.Index(allCounters, counterKind{q.Speed, q.Free}) // slowCounter is not in allCounters: its index is -1, so it comes first
 	}
-	slices.SortStableFunc(list, func(a, b QuotaError) int { return cmp.Compare(place(a), place(b)) })
+	slices.SortStableFunc(list, func(a, b QuotaError) int { return cmp.Compare(rank(a), rank(b)) })
 	return list
 }
 
-// scenario is the point's.
+// scenario returns the scenario and the policy that measure the point.
 func (p quotaPoint) scenario(quick bool) (model.Scenario, model.Policy, error) {
-	s, err := p.load.make(p.limiters)
-	s.Name = fmt.Sprintf("%s, %d limiters, %s", p.load.name, p.limiters, speedName(p.speed, p.free))
-	s.Warm, s.Faults = p.load.warm, nil
-	if p.limiters <= thin {
-		s.Warm = warmBusy
+	s, err := p.load.scenario(p.limiters)
+	s.Name = fmt.Sprintf("%s, %d limiters, %s", p.load.name, p.limiters, counterName(p.speed, p.unbudgeted))
+	s.Warm, s.Faults = p.load.warmupSeconds, nil
+	if p.limiters <= maxDenseLimiters {
+		s.Warm = denseWarmupSeconds
 	}
-	s.Seconds = s.Warm + measured
+	s.Seconds = s.Warm + measuredSeconds
 	if quick {
 		s.Seconds, s.Warm = 15, 6
 	}
@@ -151,13 +155,14 @@
 		s.Counter.PerSecond, s.Counter.Unlimited = 1e6, true
 	}
 	policy := model.Own()
-	if p.free {
+	if p.unbudgeted {
 		policy = model.Unbudgeted()
 	}
 	return s, policy, err
 }
 
-func speedName(speed float64, free bool) string {
+// counterName names a kind of counter in tables and progress lines.
+func counterName(speed float64, free bool) string {
 	switch {
 	case free:
 		return "unlimited, calls free"
@@ -167,17 +172,19 @@
 	return fmt.Sprintf("%gx", speed)
 }
 
-// Quota measures in the model how far quotas are missed against the number of limiters and the counter's speed: what is
-// sent on beyond them, and what is refused with half of one unused, by plan.
+// Quota measures in the model how far quotas are missed, by plan, depending on the number of limiters and the speed of the
+// counter: the share sent on beyond quotas, and the share refused while half of a quota is unused.
 func Quota(ctx context.Context, seed uint64, quick bool, progress func(string)) ([]QuotaError, error) {
 	seeds := 3
 	if quick {
 		seeds = 1
 	}
-	return quota(ctx, seed, seeds, quick, quotaPoints(quick), progress)
+	return measureQuota(ctx, seed, seeds, quick, quotaPoints(quick), progress)
 }
 
-func quota(ctx context.Context, seed uint64, seeds int, quick bool, points []quotaPoint, progress func(string)) (all []QuotaError, err error) {
+// measureQuota measures the given points with several seeds each. When ctx ends early it returns the points that are complete,
+// and the error.
+func measureQuota(ctx context.Context, seed uint64, seeds int, quick bool, points []quotaPoint, progress func(string)) (all []QuotaError, err error) {
 	var jobs []lab.Job
 	for _, p := range points {
 		s, policy, err := p.scenario(quick)
@@ -195,22 +202,22 @@
 				100*r.OverQuota(), 100*float64(r.RoomRefused)/float64(max(r.Tries, 1)), d.Wall.Seconds()))
 		}
 	})
-	for k := 0; k+seeds <= len(done); k += seeds { // whole points alone
+	for k := 0; k+seeds <= len(done); k += seeds { // only points of which all seeds are done
 		all = append(all, points[k/seeds].rows(done[k:k+seeds])...)
 	}
-	return inOrder(all), ctx.Err()
+	return sortRows(all), ctx.Err()
 }
 
-// rows sums up the seeds of a point: a row for all plans, and one for each.
+// rows averages the seeds of a point: one row for all plans together, then one for each plan.
 func (p quotaPoint) rows(done []lab.Done) (all []QuotaError) {
 	s := done[0].Scenario
 	for tier := -1; tier < len(s.Tiers); tier++ {
 		q := QuotaError{Plan: AllPlans, Limiters: p.limiters, Counters: s.Counter.Parts, Speed: p.speed, Seeds: len(done),
-			Set: p.load.name, Held: p.load.held, Free: p.free}
+			Set: p.load.name, Held: p.load.description, Free: p.unbudgeted}
 		if tier >= 0 {
 			q.Plan, q.Held = s.Tiers[tier].Name, ""
 		}
-		var beyond, room, inside, each, unanswered, lost, rate, calls []float64
+		var beyond, refusedWithRoom, insideRefused, callsPerRequest, unanswered, lost, requestRate, callRate []float64
 		for _, d := range done {
 			var t model.TierResult
 			for k, x := range d.Result.Tiers {
@@ -220,28 +227,29 @@
 					t.Units, t.Beyond = t.Units+x.Units, t.Beyond+x.Beyond
 				}
 			}
-			c, span := d.Result.Called, s.Seconds-s.Warm
+			called, span := d.Result.Called, s.Seconds-s.Warm
 			q.Tries += t.Tries
 			beyond = append(beyond, t.Beyond/max(t.Units, 1))
-			inside = append(inside, float64(t.InsideRefused)/float64(max(t.Inside, 1)))
-			room = append(room, float64(t.RoomRefused)/float64(max(t.Tries, 1)))
-			each = append(each, float64(c.Made)/float64(max(d.Result.Requests, 1)))
-			unanswered, lost = append(unanswered, c.Unanswered()), append(lost, c.Lost())
-			rate, calls = append(rate, float64(d.Result.Requests)/span), append(calls, float64(c.Made)/span)
+			insideRefused = append(insideRefused, float64(t.InsideRefused)/float64(max(t.Inside, 1)))
+			refusedWithRoom = append(refusedWithRoom, float64(t.RoomRefused)/float64(max(t.Tries, 1)))
+			callsPerRequest = append(callsPerRequest, float64(called.Made)/float64(max(d.Result.Requests, 1)))
+			unanswered, lost = append(unanswered, called.Unanswered()), append(lost, called.Lost())
+			requestRate, callRate = append(requestRate, float64(d.Result.Requests)/span), append(callRate, float64(called.Made)/span)
 		}
-		q.Beyond, q.Spread = meanAndDeviation(beyond)
-		q.RefusedWithRoom, q.RoomSpread = meanAndDeviation(room)
-		q.Inside, _ = meanAndDeviation(inside)
-		q.CallsPerRequest, _ = meanAndDeviation(each)
+		q.Beyond, q.BeyondDeviation = meanAndDeviation(beyond)
+		q.RefusedWithRoom, q.RefusedWithRoomDeviation = meanAndDeviation(refusedWithRoom)
+		q.InsideRefusedShare, _ = meanAndDeviation(insideRefused)
+		q.CallsPerRequest, _ = meanAndDeviation(callsPerRequest)
 		q.Unanswered, _ = meanAndDeviation(unanswered)
 		q.Lost, _ = meanAndDeviation(lost)
-		q.PerSecond, _ = meanAndDeviation(rate)
-		q.Calls, _ = meanAndDeviation(calls)
+		q.PerSecond, _ = meanAndDeviation(requestRate)
+		q.Calls, _ = meanAndDeviation(callRate)
 		all = append(all, q)
 	}
 	return all
 }
 
+// meanAndDeviation returns the mean and the sample standard deviation, which is 0 for fewer than two values.
 func meanAndDeviation(values []float64) (mean, deviation float64) {
 	for _, v := range values {
 		mean += v / float64(len(values))
@@ -255,7 +263,7 @@
 	return mean, math.Sqrt(deviation / float64(len(values)-1))
 }
 
-// QuotaTable is the figures as a table: the sums over plans, or those of each plan.
+// QuotaTable returns the figures as a table, either the rows of all plans together or those of each plan.
 func QuotaTable(list []QuotaError, byPlan bool) *lab.Table {
 	t := &lab.Table{Name: "quota", Head: []string{"load", "limiters", "counter", "requests/s", "beyond %", "±", "refused with room %", "±", "refused inside %",
 		"calls a request", "calls/s", "unanswered %", "lost %"}}
@@ -266,8 +274,8 @@
 		if byPlan == (q.Plan == AllPlans) {
 			continue
 		}
-		cells := []any{q.Set, q.Limiters, speedName(q.Speed, q.Free), fmt.Sprintf("%.0f", q.PerSecond), percent(q.Beyond), percent(q.Spread),
-			percent(q.RefusedWithRoom), percent(q.RoomSpread), percent(q.Inside), fmt.Sprintf("%.2f", q.CallsPerRequest), fmt.Sprintf("%.0f", q.Calls),
+		cells := []any{q.Set, q.Limiters, counterName(q.Speed, q.Free), fmt.Sprintf("%.0f", q.PerSecond), percent(q.Beyond), percent(q.BeyondDeviation),
+			percent(q.RefusedWithRoom), percent(q.RefusedWithRoomDeviation), percent(q.InsideRefusedShare), fmt.Sprintf("%.2f", q.CallsPerRequest), fmt.Sprintf("%.0f", q.Calls),
 			percent(q.Unanswered), percent(q.Lost)}
 		if byPlan {
 			cells = slices.Insert(cells, 3, any(q.Plan))
--- a/internal/scale/resident_test.go
+++ b/internal/scale/resident_test.go
@@ -10,15 +10,15 @@
 	"bramblefall/internal/lab"
 )
 
-// The real program, with small lists: each slope is there, from all sizes, and a longer list costs more.
+// With the real program and small lists every slope is measured, at all sizes, and a longer list costs more.
 func TestResident(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts the real program a dozen times")
 	}
 	binary, err := lab.Build(t.Context(), t.TempDir())
 	require.NoError(t, err)
-	sizes := ResidentSizes{Servers: []int{100, 6_000, 12_000}, Rates: []float64{0, 100}, Firms: []int{50, 1_000}, Module: []int{1_000, 20_000},
-		Known: []int{50, 5_000}, Plays: 1, Settle: 200e6}
+	sizes := ResidentSizes{ListedServers: []int{100, 6_000, 12_000}, ChangesPerSecond: []float64{0, 100}, ActiveFirms: []int{50, 1_000}, ModuleFirms: []int{1_000, 20_000},
+		KnownFirms: []int{50, 5_000}, Repeats: 1, Settle: 200e6}
 	slopes, refused, err := Resident(t.Context(), binary, sizes, nil, t.Logf)
 	require.NoError(t, err)
 	assert.Empty(t, refused)
@@ -34,17 +34,17 @@
 		"limiter processor changes": 1, "limiter bytes changes": 1, "limiter memory tenants_active": 2, "limiter memory tenants_known": 1}, count)
 }
 
-func TestAPartThatIsNoneIsRefused(t *testing.T) {
+func TestUnknownPartIsRejected(t *testing.T) {
 	_, _, err := Resident(t.Context(), "none", QuickResident(), []string{"list"}, t.Logf)
 	assert.ErrorContains(t, err, `no part "list"`)
 }
 
-// A list of another form is not taken: the wait has an end, and says so.
-func TestAListThatIsNotTakenIsTold(t *testing.T) {
-	d, err := newResidentList(10, 10, "10.0.0.1:1")
+// The wait for a limiter that does not take in its list ends when it is cancelled, with that error.
+func TestWaitForListEndsWhenCancelled(t *testing.T) {
+	d, err := newListServer(10, 10, "10.0.0.1:1")
 	require.NoError(t, err)
 	defer d.close()
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
-	assert.ErrorIs(t, d.taken(ctx), context.Canceled)
+	assert.ErrorIs(t, d.awaitTaken(ctx), context.Canceled)
 }
