--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -51,14 +51,14 @@
 // step hands one record to its instance. Instances share nothing: each has a module of its own.
 func step(gateways map[uint32]*logic.Gateway, now time.Duration, rec wire.Record, reply *wire.Reply) error {
 	switch ev := rec.Event.(type) {
-	case wire.Born:
+	case wire.InstanceInit:
 		s, err := wire.ParseSettings(ev.Settings)
 		if err != nil {
 			return fmt.Errorf("instance %d: %w", rec.Instance, err)
 		}
 		gateways[rec.Instance] = logic.New(s, ev.Seed)
 		return nil
-	case wire.Killed:
+	case wire.InstanceStop:
 		delete(gateways, rec.Instance)
 		return nil
 	}
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin is the operators' service on a Unix socket: it puts their questions and changes to the reducer, and
-// decides nothing.
+// Package admin is the operators' gRPC service on a Unix socket. It forwards their queries and changes to the reducer
+// (package core) and makes no decisions itself.
 package admin
 
 import (
@@ -25,44 +25,45 @@
 )
 
 const (
-	mostCall  = 16 << 20 // bytes: a version may name a hundred thousand firms
-	mostCalls = 16       // at once
-	mostWait  = 5 * time.Second
-	onlyOwner = 0o600
+	maxMessageBytes    = 16 << 20        // a version may name 100,000 firms
+	maxConcurrentCalls = 16              // on one connection
+	replyTimeout       = 5 * time.Second // for an answer of the reducer
+	socketMode         = 0o600           // only the owner may connect
 )
 
-// Descriptors is how many the service may hold.
+// Descriptors is the number of file descriptors that the service is granted of the process's limit.
 const Descriptors = 16
 
-// Owner takes the questions.
-type Owner interface{ Post(core.Event) }
+// EventPoster accepts events for the reducer.
+type EventPoster interface{ Post(core.Event) }
 
 // Service is the admin service.
 type Service struct {
 	adminpb.UnimplementedAdminServer
-	owner  Owner
-	server *grpc.Server
+	reducer EventPoster
+	server  *grpc.Server
 }
 
-// New makes a service.
-func New(owner Owner) *Service {
-	s := &Service{owner: owner}
-	s.server = grpc.NewServer(grpc.MaxRecvMsgSize(mostCall), grpc.MaxConcurrentStreams(mostCalls), grpc.UnaryInterceptor(guarded))
+// New returns a service that is not yet listening.
+func New(reducer EventPoster) *Service {
+	s := &Service{reducer: reducer}
+	s.server = grpc.NewServer(grpc.MaxRecvMsgSize(maxMessageBytes), grpc.MaxConcurrentStreams(maxConcurrentCalls), grpc.UnaryInterceptor(withCrashGuard))
 	adminpb.RegisterAdminServer(s.server, s)
 	return s
 }
 
-func guarded(ctx context.Context, req any, _ *grpc.UnaryServerInfo, handle grpc.UnaryHandler) (any, error) {
+// withCrashGuard applies crash.Guard to handlers: gRPC runs them on goroutines of its own, which no other guard covers.
+func withCrashGuard(ctx context.Context, req any, _ *grpc.UnaryServerInfo, handle grpc.UnaryHandler) (any, error) {
 	defer crash.Guard()
 	return handle(ctx, req)
 }
 
-// Listen opens the socket, which its owner alone may use, and serves it until Stop. A socket that a dead process left
-// behind is taken over; one that is served, or a file of another kind, is not.
+// Listen opens the Unix socket, with access for its owner only, and serves it until Stop. It replaces a stale socket that no
+// process serves, and returns an error if another process serves the socket or the path is a file of another kind.
 func (s *Service) Listen(path string) error {
 	if info, err := os.Lstat(path); err == nil {
 		if info.Mode()&os.ModeSocket == 0 {
-			return fmt.Errorf("admin socket %s: a file of another kind stands there", path)
+			return fmt.Errorf("admin socket %s: the path exists and is not a socket (mode %s)", path, info.Mode())
 		}
 		if conn, err := net.DialTimeout("unix", path, time.Second); err == nil {
 			_ = conn.Close()
@@ -72,16 +73,16 @@
 			return fmt.Errorf("admin socket: %w", err)
 		}
 	}
-	// Made under another name with its mode set, then moved: nobody else may connect in between.
-	made := filepath.Join(filepath.Dir(path), fmt.Sprintf(".%s.%d", filepath.Base(path), os.Getpid()))
-	before := syscall.Umask(0o177)
-	l, err := socket.RetryListen(func() (net.Listener, error) { return net.Listen("unix", made) })
-	syscall.Umask(before)
+	// Create the socket under a temporary name and rename it once its mode is set, so that no other user can connect in between.
+	temporary := filepath.Join(filepath.Dir(path), fmt.Sprintf(".%s.%d", filepath.Base(path), os.Getpid()))
+	previousUmask := syscall.Umask(0o177)
+	l, err := socket.RetryListen(func() (net.Listener, error) { return net.Listen("unix", temporary) })
+	syscall.Umask(previousUmask)
 	if err != nil {
 		return fmt.Errorf("admin socket: %w", err)
 	}
 	l.(*net.UnixListener).SetUnlinkOnClose(false)
-	if err := errors.Join(os.Chmod(made, onlyOwner), os.Rename(made, path)); err != nil {
+	if err := errors.Join(os.Chmod(temporary, socketMode), os.Rename(temporary, path)); err != nil {
 		_ = l.Close()
 		return fmt.Errorf("admin socket: %w", err)
 	}
@@ -92,77 +93,77 @@
 	return nil
 }
 
-// Stop ends the service.
+// Stop closes the socket and ends all calls.
 func (s *Service) Stop() { s.server.Stop() }
 
-// ask puts a question to the reducer and waits for the answer.
-func (s *Service) ask(ctx context.Context, question any) (core.Reply, error) {
-	ctx, cancel := context.WithTimeout(ctx, mostWait)
+// query posts a question to the reducer and waits up to replyTimeout for the answer.
+func (s *Service) query(ctx context.Context, question any) (core.Reply, error) {
+	ctx, cancel := context.WithTimeout(ctx, replyTimeout)
 	defer cancel()
-	answer := make(chan core.Reply, 1) // has a place for the answer, whoever still waits
-	s.owner.Post(core.Ask{Question: question, Reply: func(r core.Reply) { answer <- r }})
+	reply := make(chan core.Reply, 1) // buffered: the reducer does not block if the caller has given up
+	s.reducer.Post(core.Ask{Question: question, Reply: func(r core.Reply) { reply <- r }})
 	select {
-	case r := <-answer:
+	case r := <-reply:
 		if r.Err != nil {
 			return r, status.Error(codes.InvalidArgument, r.Err.Error())
 		}
 		return r, nil
 	case <-ctx.Done():
-		// What was asked for may have been done: a version or a reservation asked for again is the same one.
+		// The change may have been made nevertheless. The caller can retry: applying the same version or reservation is idempotent.
 		return core.Reply{}, status.FromContextError(ctx.Err()).Err()
 	}
 }
 
-// ShowPlans implements the service.
+// ShowPlans implements adminpb.AdminServer.
 func (s *Service) ShowPlans(ctx context.Context, _ *adminpb.ShowPlansRequest) (*adminpb.Book, error) {
-	r, err := s.ask(ctx, core.Show{})
+	r, err := s.query(ctx, core.Show{})
 	if err != nil {
 		return nil, err
 	}
-	return bookOut(r), nil
+	return bookToProto(r), nil
 }
 
-// ApplyPlans implements the service.
+// ApplyPlans implements adminpb.AdminServer.
 func (s *Service) ApplyPlans(ctx context.Context, req *adminpb.ApplyPlansRequest) (*adminpb.ApplyPlansResponse, error) {
-	v := VersionIn(req.GetVersion())
+	v := VersionFromProto(req.GetVersion())
 	v.Source = plans.Admin
-	r, err := s.ask(ctx, core.Propose{Version: v, DryRun: req.GetDryRun()})
+	r, err := s.query(ctx, core.Propose{Version: v, DryRun: req.GetDryRun()})
 	if err != nil {
 		return nil, err
 	}
-	return &adminpb.ApplyPlansResponse{Effects: effectsOut(r.Effects), Book: bookOut(r)}, nil
+	return &adminpb.ApplyPlansResponse{Effects: effectsToProto(r.Effects), Book: bookToProto(r)}, nil
 }
 
-// WithdrawPlans implements the service.
+// WithdrawPlans implements adminpb.AdminServer.
 func (s *Service) WithdrawPlans(ctx context.Context, req *adminpb.WithdrawPlansRequest) (*adminpb.Book, error) {
-	r, err := s.ask(ctx, core.Withdraw{Number: req.GetNumber()})
+	r, err := s.query(ctx, core.Withdraw{Number: req.GetNumber()})
 	if err != nil {
 		return nil, err
 	}
-	return bookOut(r), nil
+	return bookToProto(r), nil
 }
 
-// GrantReservation implements the service.
+// GrantReservation implements adminpb.AdminServer.
 func (s *Service) GrantReservation(ctx context.Context, req *adminpb.GrantReservationRequest) (*adminpb.Book, error) {
-	x := ReservationIn(req.GetReservation())
+	x := ReservationFromProto(req.GetReservation())
 	x.Source, x.State = plans.Admin, ""
-	r, err := s.ask(ctx, core.Grant{Reservation: x})
+	r, err := s.query(ctx, core.Grant{Reservation: x})
 	if err != nil {
 		return nil, err
 	}
-	return bookOut(r), nil
+	return bookToProto(r), nil
 }
 
-// RevokeReservation implements the service.
+// RevokeReservation implements adminpb.AdminServer.
 func (s *Service) RevokeReservation(ctx context.Context, req *adminpb.RevokeReservationRequest) (*adminpb.Book, error) {
-	r, err := s.ask(ctx, core.Revoke{ID: req.GetId()})
+	r, err := s.query(ctx, core.Revoke{ID: req.GetId()})
 	if err != nil {
 		return nil, err
 	}
-	return bookOut(r), nil
+	return bookToProto(r), nil
 }
 
-// Dial connects to the service of a limiter.
+// Dial returns a client of the admin service at a socket, and a function that closes it. It fails at once if path is absent.
 func Dial(path string) (adminpb.AdminClient, func() error, error) {
 	if _, err := os.Stat(path); err != nil {
 		return nil, nil, fmt.Errorf("admin socket: %w", err)
@@ -172,7 +173,7 @@
 		return nil, nil, err
 	}
 	conn, err := grpc.NewClient("unix://"+abs, grpc.WithTransportCredentials(insecure.NewCredentials()),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(mostCall)))
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes)))
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/wire/config.go
+++ b/internal/wire/config.go
@@ -11,11 +11,11 @@
 	"bramblefall/logic"
 )
 
-// SettingsFromJSON reads the settings of a real limiter: the same object as the simulator's, nested. It is
-// flattened into the pairs that ParseSettings takes, so that there is one reader and one type.
+// SettingsFromJSON reads the settings of a deployed limiter: the simulator's settings as a nested JSON object. The object
+// is flattened into the path=value pairs that ParseSettings reads, so that both sources share one parser and one type.
 func SettingsFromJSON(raw json.RawMessage) (logic.Settings, error) {
 	dec := json.NewDecoder(bytes.NewReader(raw))
-	dec.UseNumber() // the text of a number stays as it was written
+	dec.UseNumber() // keeps the text of each number as written
 	var nested map[string]any
 	if err := dec.Decode(&nested); err != nil {
 		return logic.Settings{}, fmt.Errorf("settings: %w", err)
@@ -27,7 +27,7 @@
 	return ParseSettings(pairs.String())
 }
 
-// flatten writes a value as path=value lines.
+// flatten writes a value, at any depth of nesting, as path=value lines.
 func flatten(pairs *strings.Builder, path string, v any) {
 	switch v := v.(type) {
 	case map[string]any:
@@ -37,18 +37,18 @@
 	case []any:
 		flattenList(pairs, path, v)
 	default:
-		fmt.Fprintf(pairs, "%s=%s\n", path, scalar(v))
+		fmt.Fprintf(pairs, "%s=%s\n", path, scalarText(v))
 	}
 }
 
-// flattenList writes plain values joined by commas, and objects under their numbers with their count.
+// flattenList writes scalars as one comma-separated value, and objects under path.INDEX with their number in path.count.
 func flattenList(pairs *strings.Builder, path string, list []any) {
 	var plain []string
 	for k, item := range list {
 		if _, nested := item.(map[string]any); nested {
 			flatten(pairs, path+"."+strconv.Itoa(k), item)
 		} else {
-			plain = append(plain, scalar(item))
+			plain = append(plain, scalarText(item))
 		}
 	}
 	if len(plain) < len(list) || len(list) == 0 {
@@ -59,17 +59,17 @@
 	}
 }
 
-// scalar is the text of a plain value. A comma, a space or the end of a line in it would be read as more
-// values or as a further setting.
-func scalar(v any) string {
+// scalarText returns the text of a scalar. Commas, spaces and line ends become underscores: the parser would take them for
+// separators between values or between settings.
+func scalarText(v any) string {
 	if v == nil {
 		return ""
 	}
 	return strings.NewReplacer(",", "_", " ", "_", "\n", "_", "\r", "_").Replace(fmt.Sprint(v))
 }
 
-// LoadFieldOf is the value that a load report's field names, in the settings' words or the servers' own.
-func LoadFieldOf(name string) logic.LoadField {
+// loadFieldByName returns the load field of a name, either the servers' own (in their load reports) or that of the settings.
+func loadFieldByName(name string) logic.LoadField {
 	switch name {
 	case "inflight":
 		return logic.Inflight
@@ -87,14 +87,14 @@
 	return loadFields[name]
 }
 
-// Load orders the values of a report such as "inflight=7,queue=2" as the settings name them; nil: it cannot be
-// read. Guards against a server's garbage: half a report would be taken for an idle server.
+// Load parses a load report such as "inflight=7,queue=2" and returns its values in the order of fields. It returns nil if
+// any field is missing or malformed: a partial report would make a server look idle.
 func Load(report string, fields []logic.LoadField) []float64 {
 	values := map[logic.LoadField]float64{}
 	for _, pair := range strings.Split(report, ",") {
 		name, text, _ := strings.Cut(pair, "=")
 		if v, err := strconv.ParseFloat(text, 64); err == nil {
-			values[LoadFieldOf(name)] = v
+			values[loadFieldByName(name)] = v
 		}
 	}
 	load := make([]float64, len(fields))
@@ -108,14 +108,14 @@
 	return load
 }
 
-// Names numbers names: those of the settings first, then others in the order in which they are seen. Guards
-// against two unknown halls being taken for one: they drop no repeats of each other's requests.
+// Names assigns an index to each name: those of the settings first, then others in the order in which they are seen. So two
+// halls that the settings do not list are not taken for one: hosts in different halls do not deduplicate each other's requests.
 type Names struct{ seen []string }
 
-// NewNames starts with the settings' names.
+// NewNames returns an index that starts with the names of the settings.
 func NewNames(known []string) *Names { return &Names{slices.Clone(known)} }
 
-// Number is a name's place.
+// Number returns the index of a name, and adds the name if it is new.
 func (n *Names) Number(name string) int {
 	at := slices.Index(n.seen, name)
 	if at < 0 {
--- a/internal/wire/mutate_test.go
+++ b/internal/wire/mutate_test.go
@@ -13,8 +13,9 @@
 	"bramblefall/logic"
 )
 
-// other is settings unlike those of the other tests: a third shed, two kinds, a cap beside a ceiling, an unsafe class.
-const other = `{"balancers":3,"rank":1,"zone":2,"zones":["a","b","c"],"skus":["big","small"],"discovery":"automatic","resolution":0.002,
+// fullSettings covers what the settings of the other tests lack: a limiter in the third hall, two kinds of servers, a limit on
+// open requests beside a ceiling, and a class that must never run twice.
+const fullSettings = `{"balancers":3,"rank":1,"zone":2,"zones":["a","b","c"],"skus":["big","small"],"discovery":"automatic","resolution":0.002,
 "caps":{"cancelling":true,"connIdle":15,"connectTimeout":0.25,"maxAttempts":3,"maxOpen":20000,"maxRetryAfter":0.5,"peers":true,"probes":true,"retryAfter":true},
 "extra":{"hasCounter":true,"countLimit":0.05,"settles":false,"meter":0,"unitsTop":8,"peerIntake":100},
 "report":{"fields":["throughput"],"how":"piggyback"},
@@ -25,8 +26,8 @@
 "tariffs":[{"name":"starter","perSecond":1.6,"depth":16,"concurrency":0,"worthFactor":0.45,"extraWorth":0,"overCost":1.2,"hardRate":0,"hardBurst":0,"hardSlack":0},
 {"name":"busy","perSecond":8.7,"depth":32,"concurrency":3,"worthFactor":1.1,"extraWorth":0,"overCost":0.6,"hardRate":17,"hardBurst":64,"hardSlack":8}]}`
 
-// drive plays a second of a limiter with these settings: lists, requests of all classes and plans, outcomes, its timers.
-func drive(set logic.Settings) {
+// runLimiter simulates about one second of a limiter: a server list, requests of all classes and plans, outcomes and timers.
+func runLimiter(set logic.Settings) {
 	g := logic.New(set, 1)
 	now, out := 5*time.Second, []logic.Send(nil)
 	var timers []logic.SetTimer
@@ -61,24 +62,24 @@
 	}
 }
 
-// A settings object with one value absent, of another type, zero, negative or huge must be refused with one line that names
-// the setting, or leave a limiter that works.
-func TestASettingThatDoesNotFitIsNamedOrBorne(t *testing.T) {
-	set, err := SettingsFromJSON(json.RawMessage(other))
+// Settings with one value that is absent, of another type, zero, negative or huge must either be rejected with a one-line
+// error that names the setting, or give a limiter that does not panic.
+func TestMutatedSettingsAreRejectedByNameOrUsable(t *testing.T) {
+	set, err := SettingsFromJSON(json.RawMessage(fullSettings))
 	require.NoError(t, err)
-	drive(set)
-	refused, borne := 0, 0
-	for what, raw := range fault.Mutants([]byte(other)) {
+	runLimiter(set)
+	rejected, accepted := 0, 0
+	for mutation, raw := range fault.Mutants([]byte(fullSettings)) {
 		set, err := SettingsFromJSON(raw)
 		if err != nil {
 			require.Equal(t, 1, strings.Count(err.Error()+"\n", "\n"))
-			refused++
+			rejected++
 			continue
 		}
-		borne++
-		require.NotPanics(t, func() { drive(set) }, what)
+		accepted++
+		require.NotPanics(t, func() { runLimiter(set) }, mutation)
 	}
-	require.Greater(t, refused, 300)
-	require.Greater(t, borne, 300)
-	t.Log(fmt.Sprintf("%d refused, %d borne", refused, borne))
+	require.Greater(t, rejected, 300)
+	require.Greater(t, accepted, 300)
+	t.Log(fmt.Sprintf("%d mutations rejected, %d accepted", rejected, accepted))
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -10,13 +10,13 @@
 	"bramblefall/logic"
 )
 
-// settings reads path=value pairs and remembers the first thing that was wrong.
-type settings struct {
+// settingsReader reads typed values from path=value pairs and keeps the first error.
+type settingsReader struct {
 	pairs map[string]string
 	err   error
 }
 
-func (s *settings) text(key string) string {
+func (s *settingsReader) text(key string) string {
 	v, ok := s.pairs[key]
 	if !ok && s.err == nil {
 		s.err = fmt.Errorf("setting %s is missing", key)
@@ -24,90 +24,96 @@
 	return v
 }
 
-func (s *settings) bad(key, v string) {
+func (s *settingsReader) invalid(key, v, want string) {
 	if s.err == nil {
-		s.err = fmt.Errorf("setting %s: cannot read %q", key, v)
+		s.err = fmt.Errorf("setting %s: got %q, want %s", key, v, want)
 	}
 }
 
-func (s *settings) number(key string) float64 {
+func (s *settingsReader) number(key string) float64 {
 	v := s.text(key)
 	f, err := strconv.ParseFloat(v, 64)
 	if err != nil || math.IsNaN(f) || math.IsInf(f, 0) {
-		s.bad(key, v)
+		s.invalid(key, v, "a finite number")
 		return 0
 	}
 	return f
 }
 
-func (s *settings) count(key string) int { return whole(s.number(key)) }
+func (s *settingsReader) count(key string) int { return toInt(s.number(key)) }
 
-func (s *settings) seconds(key string) time.Duration { return toDuration(s.number(key)) }
+func (s *settingsReader) seconds(key string) time.Duration { return toDuration(s.number(key)) }
 
-func (s *settings) flag(key string) bool {
+func (s *settingsReader) flag(key string) bool {
 	v := s.text(key)
 	if v != "true" && v != "false" {
-		s.bad(key, v)
+		s.invalid(key, v, "true or false")
 	}
 	return v == "true"
 }
 
-func (s *settings) word(key string, words ...string) int {
+// enum returns the index of a value in words.
+func (s *settingsReader) enum(key string, words ...string) int {
 	v := s.text(key)
 	for k, w := range words {
 		if v == w {
 			return k
 		}
 	}
-	s.bad(key, v)
+	s.invalid(key, v, "one of "+strings.Join(words, ", "))
 	return 0
 }
 
-func (s *settings) words(key string) []string {
+// list returns comma-separated values.
+func (s *settingsReader) list(key string) []string {
 	if v := s.text(key); v != "" {
 		return strings.Split(v, ",")
 	}
 	return nil
 }
 
-func (s *settings) length(key string) int {
+// listLength reads the number of objects in a list. Each object has at least one setting, so a number above that of all
+// settings is invalid; without this bound a huge count would loop almost forever.
+func (s *settingsReader) listLength(key string) int {
 	n := s.count(key)
 	if n < 0 || n > len(s.pairs) {
-		s.bad(key, s.pairs[key])
+		s.invalid(key, s.pairs[key], fmt.Sprintf("a count from 0 to %d, the number of settings", len(s.pairs)))
 		return 0
 	}
 	return n
 }
 
-// optional is the text of a setting that only some deployments have.
-func (s *settings) optional(key string) string { return s.pairs[key] }
+// optional returns the text of a setting that only some deployments have, or "" if it is absent.
+func (s *settingsReader) optional(key string) string { return s.pairs[key] }
 
-// optionalSeconds reads a duration that may be absent; absent is 0.
-func (s *settings) optionalSeconds(key string) time.Duration {
+// optionalSeconds reads a duration, or returns 0 if the setting is absent.
+func (s *settingsReader) optionalSeconds(key string) time.Duration {
 	if s.pairs[key] == "" {
 		return 0
 	}
 	return s.seconds(key)
 }
 
+// loadFields are the names of load fields in the settings.
 var loadFields = map[string]logic.LoadField{
 	"outstanding": logic.Inflight, "backlog": logic.Queue, "utilization": logic.Utilization,
 	"recent_ms": logic.ServiceMillis, "throughput": logic.Throughput, "errors_per_s": logic.ErrorRate,
 }
 
-const mostGateways = 1 << 16
+// maxGateways bounds the number of limiters in a fleet.
+const maxGateways = 1 << 16
 
-// ParseSettings reads the settings of an instance. Keys it does not know are passed over.
+// ParseSettings reads the settings of an instance from path=value lines. It ignores keys that it does not know.
 func ParseSettings(text string) (logic.Settings, error) {
-	s := settings{pairs: map[string]string{}}
+	s := settingsReader{pairs: map[string]string{}}
 	for _, line := range strings.Split(text, "\n") {
 		if key, value, ok := strings.Cut(strings.TrimSpace(line), "="); ok {
 			s.pairs[key] = value
 		}
 	}
 	out := logic.Settings{
-		Gateways: s.count("balancers"), Rank: s.count("rank"), Zone: s.count("zone"), Zones: len(s.words("zones")),
-		AskForList: s.word("discovery", "automatic", "subscribe") == 1, AskWithin: s.seconds("rules.askWithin"),
+		Gateways: s.count("balancers"), Rank: s.count("rank"), Zone: s.count("zone"), Zones: len(s.list("zones")),
+		AskForList: s.enum("discovery", "automatic", "subscribe") == 1, AskWithin: s.seconds("rules.askWithin"),
 		HasCounter: s.flag("extra.hasCounter"), Settles: s.flag("extra.settles"), Meter: s.seconds("extra.meter"),
 		MostUnits: s.number("extra.unitsTop"),
 		Probes:    s.flag("caps.probes"), Cancelling: s.flag("caps.cancelling"), Peers: s.flag("caps.peers"),
@@ -116,10 +122,10 @@
 		StartCapacity: s.number("rules.startCapacity"), Cold: s.seconds("rules.cold"), Fall: s.seconds("rules.fall"),
 		FallMultiple: s.number("rules.fallMultiple"), DrainGrace: s.seconds("rules.drainGrace"),
 	}
-	if s.err == nil && (out.Gateways < 1 || out.Gateways > mostGateways) { // every share is by this number
-		s.bad("balancers", s.pairs["balancers"])
+	if s.err == nil && (out.Gateways < 1 || out.Gateways > maxGateways) { // divides every share of a quota
+		s.invalid("balancers", s.pairs["balancers"], fmt.Sprintf("a count from 1 to %d", maxGateways))
 	}
-	out.ZoneNames = s.words("zones")
+	out.ZoneNames = s.list("zones")
 	if kinds := s.optional("skus"); kinds != "" {
 		out.KindNames = strings.Split(kinds, ",")
 	}
@@ -133,25 +139,25 @@
 	if out.Peers {
 		out.PeerIntake = s.number("extra.peerIntake")
 	}
-	how := s.word("report.how", "silent", "pull", "piggyback")
+	how := s.enum("report.how", "silent", "pull", "piggyback")
 	out.ReportsInAnswers = how == 2
 	if how != 0 {
-		for _, w := range s.words("report.fields") {
+		for _, w := range s.list("report.fields") {
 			out.ReportFields = append(out.ReportFields, loadFields[w])
 		}
 	}
-	for k := range s.length("classes.count") {
+	for k := range s.listLength("classes.count") {
 		p := fmt.Sprintf("classes.%d.", k)
 		c := logic.Class{Name: s.optional(p + "name"), Aim: s.seconds(p + "aim"), Deadline: s.seconds(p + "deadline"), Worth: s.number(p + "worth"),
 			Late: s.number(p + "lateValue"), Streamed: s.flag(p + "streamed")}
-		c.Effect = logic.Effect(s.word(p+"semantics", "free", "guarded", "single_shot"))
+		c.Effect = logic.Effect(s.enum(p+"semantics", "free", "guarded", "single_shot"))
 		if c.Effect == logic.Keyed {
-			c.KeyGroup = logic.Group(s.word(p+"keyScope", "all", "zone", "cell"))
+			c.KeyGroup = logic.Group(s.enum(p+"keyScope", "all", "zone", "cell"))
 			c.KeyTTL = s.seconds(p + "keyTtl")
 		}
 		out.Classes = append(out.Classes, c)
 	}
-	for k := range s.length("tariffs.count") {
+	for k := range s.listLength("tariffs.count") {
 		p := fmt.Sprintf("tariffs.%d.", k)
 		out.Plans = append(out.Plans, logic.Plan{Name: s.optional(p + "name"), Rate: s.number(p + "perSecond"), Burst: s.number(p + "depth"),
 			Open: s.count(p + "concurrency"), Price: s.number(p + "worthFactor"), OverWorth: s.number(p + "extraWorth"),
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire turns the simulator's frames into the module's events and its actions into replies. It decides
-// nothing.
+// Package wire decodes the simulator's frames into events of the decision module (package logic) and encodes the module's
+// actions into replies. It makes no decisions itself. It also reads the settings of instances.
 package wire
 
 import (
@@ -13,63 +13,64 @@
 	"bramblefall/logic"
 )
 
-// Event codes.
+// Event codes of the simulator's protocol.
 const (
-	evProbed  = 16
-	evTimer   = 17
-	evGone    = 18
-	evMembers = 19
-	evPeer    = 20
-	evOutcome = 21
-	evStop    = 22
-	evRequest = 23
-	evInit    = 24
-	evCounted = 25
-	evFirst   = 26
+	eventProbeResult   = 16
+	eventTimer         = 17
+	eventClientGone    = 18
+	eventServerList    = 19
+	eventPeerMessage   = 20
+	eventOutcome       = 21
+	eventInstanceStop  = 22
+	eventRequest       = 23
+	eventInstanceInit  = 24
+	eventCountResult   = 25
+	eventStreamStarted = 26
 )
 
-// Action codes.
+// Action codes of the simulator's protocol.
 const (
-	acSend   = 80
-	acRefuse = 81
-	acFail   = 82
-	acCancel = 83
-	acTimer  = 84
-	acProbe  = 85
-	acClose  = 86
-	acTell   = 87
-	acLog    = 88
-	acFault  = 89
-	acWatch  = 90
-	acFetch  = 91
-	acCount  = 92
+	actionSend        = 80
+	actionReject      = 81
+	actionFail        = 82
+	actionCancel      = 83
+	actionSetTimer    = 84
+	actionProbe       = 85
+	actionCloseIdle   = 86
+	actionPeerMessage = 87
+	actionLog         = 88
+	actionFault       = 89
+	actionWatch       = 90
+	actionFetchList   = 91
+	actionCount       = 92
 )
 
-const entrySize = 24
+// serverEntryBytes is the length of one server in a server list.
+const serverEntryBytes = 24
 
-// Born starts an instance.
-type Born struct {
+// InstanceInit starts an instance.
+type InstanceInit struct {
 	Seed     uint64
 	Settings string
 }
 
-// Killed ends an instance.
-type Killed struct{}
+// InstanceStop ends an instance.
+type InstanceStop struct{}
 
-// Record is one event of a batch: Event is Born, Killed or one of the module's.
+// Record is one event of a batch: Event is an InstanceInit, an InstanceStop or an event of package logic.
 type Record struct {
 	Instance uint32
 	Event    any
 }
 
-// Batch is a decoded frame.
+// Batch is a decoded frame. Seq is the number that its reply repeats.
 type Batch struct {
 	Now     time.Duration
 	Seq     uint32
 	Records []Record
 }
 
-// ReadBatch reads one frame. At the end of input between frames it returns io.EOF.
+// ReadBatch reads one frame. It returns io.EOF if the input ends between two frames.
 func ReadBatch(r io.Reader) (Batch, error) {
 	var head [8]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
@@ -83,7 +84,7 @@
 	if size < 12 {
 		return Batch{}, fmt.Errorf("frame length %d is under the header's 12 bytes", size)
 	}
-	// LimitReader with ReadAll grows with the bytes that come: a huge length alone allocates nothing.
+	// ReadAll grows its buffer as bytes arrive, so that a huge length in a header allocates nothing by itself.
 	body, err := io.ReadAll(io.LimitReader(r, int64(size)))
 	if err != nil {
 		return Batch{}, fmt.Errorf("frame body: %w", err)
@@ -104,25 +105,25 @@
 		}
 		b.Records = append(b.Records, rec)
 	}
-	if d.at != len(d.buf) {
-		return Batch{}, fmt.Errorf("batch %d: %d bytes behind the last record", b.Seq, len(d.buf)-d.at)
+	if d.offset != len(d.buf) {
+		return Batch{}, fmt.Errorf("batch %d: %d bytes behind the last record", b.Seq, len(d.buf)-d.offset)
 	}
 	return b, nil
 }
 
 type decoder struct {
-	buf   []byte
-	at    int
-	short bool
+	buf       []byte
+	offset    int
+	truncated bool
 }
 
 func (d *decoder) take(n int) []byte {
-	if d.short || n < 0 || len(d.buf)-d.at < n {
-		d.short = true
+	if d.truncated || n < 0 || len(d.buf)-d.offset < n {
+		d.truncated = true
 		return nil
 	}
-	d.at += n
-	return d.buf[d.at-n : d.at]
+	d.offset += n
+	return d.buf[d.offset-n : d.offset]
 }
 
 func (d *decoder) u8() uint8 {
@@ -159,7 +160,7 @@
 
 func (d *decoder) bytes(n uint32) []byte {
 	if int64(n) > int64(len(d.buf)) {
-		d.short = true
+		d.truncated = true
 		return nil
 	}
 	return append([]byte(nil), d.take(int(n))...)
@@ -182,21 +183,21 @@
 	return load
 }
 
-// whole turns a count that travels as a float into an int; what no int can hold becomes 0.
-func whole(f float64) int {
+// toInt converts a count that is encoded as a float to an int. NaN and magnitudes of 1e9 or more become 0.
+func toInt(f float64) int {
 	if !(f > -1e9 && f < 1e9) {
 		return 0
 	}
 	return int(f)
 }
 
-// toDuration turns seconds into a duration; what a duration cannot hold is cut to its ends.
+// toDuration converts seconds to a duration and clamps them to 1<<33 s either way, which a duration can hold. NaN becomes 0.
 func toDuration(s float64) time.Duration {
-	const most = float64(1 << 33)
+	const maxSeconds = float64(1 << 33)
 	if math.IsNaN(s) {
 		return 0
 	}
-	return time.Duration(math.Round(math.Max(-most, math.Min(most, s)) * float64(time.Second)))
+	return time.Duration(math.Round(math.Max(-maxSeconds, math.Min(maxSeconds, s)) * float64(time.Second)))
 }
 
 func (d *decoder) record() (Record, error) {
@@ -204,43 +205,43 @@
 	rec := Record{Instance: d.u32()}
 	var err error
 	switch code {
-	case evInit:
+	case eventInstanceInit:
 		seed := d.u64()
-		rec.Event = Born{Seed: seed, Settings: string(d.bytes(d.u32()))}
-	case evStop:
-		rec.Event = Killed{}
-	case evMembers:
-		rec.Event, err = d.members()
-	case evRequest:
+		rec.Event = InstanceInit{Seed: seed, Settings: string(d.bytes(d.u32()))}
+	case eventInstanceStop:
+		rec.Event = InstanceStop{}
+	case eventServerList:
+		rec.Event, err = d.serverList()
+	case eventRequest:
 		q := logic.Request{ID: uint64(d.u32()), Class: int(d.u16()), Plan: int(d.u32()), Customer: d.u64(),
-			TTL: d.seconds(), Units: d.f32(), Spread: whole(d.f32()), First: whole(d.f32())}
+			TTL: d.seconds(), Units: d.f32(), Spread: toInt(d.f32()), First: toInt(d.f32())}
 		q.Repeat = d.u8()&2 != 0
 		rec.Event = q
-	case evOutcome:
+	case eventOutcome:
 		o := logic.Outcome{ID: uint64(d.u32()), Attempt: int(d.u8()), Server: d.server()}
 		o.Status, err = status(d.u16())
 		o.Latency, o.Closed = d.seconds(), d.u8() != 0
 		o.Used, o.Units, o.Load = int(d.u16()), float64(d.u16()), d.load()
 		rec.Event = o
-	case evFirst:
+	case eventStreamStarted:
 		s := logic.Started{ID: uint64(d.u32()), Attempt: int(d.u8())}
 		d.server()
 		d.seconds()
 		rec.Event = s
-	case evGone:
+	case eventClientGone:
 		rec.Event = logic.ClientGone{ID: uint64(d.u32())}
-	case evTimer:
+	case eventTimer:
 		rec.Event = logic.Timer{Token: d.u32()}
-	case evProbed:
+	case eventProbeResult:
 		p := logic.ProbeResult{Server: d.server()}
 		p.Status, err = status(d.u16())
 		d.seconds()
 		p.Load = d.load()
 		rec.Event = p
-	case evPeer:
+	case eventPeerMessage:
 		from := int(d.u16())
 		rec.Event = logic.Message{From: from, Data: d.bytes(uint32(d.u16()))}
-	case evCounted:
+	case eventCountResult:
 		c := logic.CountResult{Name: d.u64()}
 		c.Status, err = status(d.u16())
 		c.Total, c.Latency = d.f32(), d.seconds()
@@ -248,15 +249,15 @@
 	default:
 		return rec, fmt.Errorf("unknown event code %d", code)
 	}
-	if d.short {
+	if d.truncated {
 		return rec, fmt.Errorf("event code %d is cut short", code)
 	}
 	return rec, err
 }
 
-func (d *decoder) members() (logic.ServerList, error) {
+func (d *decoder) serverList() (logic.ServerList, error) {
 	var l logic.ServerList
-	d.u64() // the version: lists come in order and leave nothing out
+	d.u64() // skip the version: lists arrive in order and none is left out
 	mode := d.u8()
 	switch mode {
 	case 0:
@@ -267,11 +268,11 @@
 	case 3:
 		l.Whole = true
 	default:
-		return l, fmt.Errorf("unknown list mode %d", mode)
+		return l, fmt.Errorf("unknown list mode %d, want 0 to 3", mode)
 	}
 	n := d.u32()
-	if int64(n)*entrySize > int64(len(d.buf)-d.at) {
-		d.short = true
+	if int64(n)*serverEntryBytes > int64(len(d.buf)-d.offset) {
+		d.truncated = true
 		return l, nil
 	}
 	for ; n > 0; n-- {
@@ -285,7 +286,7 @@
 		case 2:
 			s.State = logic.Draining
 		default:
-			return l, fmt.Errorf("unknown server state %d", health)
+			return l, fmt.Errorf("unknown server state %d, want 0 to 2", health)
 		}
 		s.Started = d.seconds()
 		l.Servers = append(l.Servers, s)
@@ -306,7 +307,7 @@
 	return s, nil
 }
 
-// Reply gathers the actions that answer one batch.
+// Reply collects the encoded actions that answer one batch.
 type Reply struct {
 	buf   []byte
 	count uint32
@@ -332,69 +333,69 @@
 	r.buf = append(binary.BigEndian.AppendUint16(r.buf, uint16(len(b))), b...)
 }
 
-// Add appends an action of an instance.
+// Add appends an action of an instance. It returns an error if the protocol has no code for the action.
 func (r *Reply) Add(inst uint32, a logic.Action) error {
 	switch a := a.(type) {
 	case logic.Send:
-		r.begin(acSend, inst)
+		r.begin(actionSend, inst)
 		r.u32(uint32(a.ID))
 		r.server(a.Server)
 		r.seconds(a.Timeout)
 	case logic.Refuse:
-		r.begin(acRefuse, inst)
+		r.begin(actionReject, inst)
 		r.u32(uint32(a.ID))
 		r.seconds(a.RetryAfter)
 	case logic.Fail:
-		r.begin(acFail, inst)
+		r.begin(actionFail, inst)
 		r.u32(uint32(a.ID))
 	case logic.Cancel:
-		r.begin(acCancel, inst)
+		r.begin(actionCancel, inst)
 		r.u32(uint32(a.ID))
 		r.buf = append(r.buf, uint8(a.Attempt))
 	case logic.SetTimer:
-		r.begin(acTimer, inst)
+		r.begin(actionSetTimer, inst)
 		r.u32(a.Token)
 		r.seconds(a.After)
 	case logic.Probe:
-		r.begin(acProbe, inst)
+		r.begin(actionProbe, inst)
 		r.server(a.Server)
 	case logic.CloseIdle:
-		r.begin(acClose, inst)
+		r.begin(actionCloseIdle, inst)
 		r.server(a.Server)
 	case logic.Tell:
-		r.begin(acTell, inst)
-		r.buf = binary.BigEndian.AppendUint16(r.buf, uint16(a.To)) // -1 sets all bits: all peers
+		r.begin(actionPeerMessage, inst)
+		r.buf = binary.BigEndian.AppendUint16(r.buf, uint16(a.To)) // -1 becomes 0xffff, which addresses all peers
 		r.text(a.Data)
 	case logic.Log:
-		r.begin(acLog, inst)
+		r.begin(actionLog, inst)
 		r.text([]byte(a.Text))
 	case logic.Watch:
-		r.begin(acWatch, inst)
+		r.begin(actionWatch, inst)
 		if a.On {
 			r.buf = append(r.buf, 1)
 		} else {
 			r.buf = append(r.buf, 0)
 		}
 	case logic.FetchList:
-		r.begin(acFetch, inst)
+		r.begin(actionFetchList, inst)
 	case logic.Count:
-		r.begin(acCount, inst)
+		r.begin(actionCount, inst)
 		r.u64(a.Name)
 		r.u32(math.Float32bits(float32(a.Amount)))
 		r.seconds(a.Lives)
 	default:
-		return fmt.Errorf("unknown action %T", a)
+		return fmt.Errorf("action %T has no code in the protocol", a)
 	}
 	return nil
 }
 
-// Fault appends the report that an instance's decision code has failed.
+// Fault appends a report that an instance's decision code has failed.
 func (r *Reply) Fault(inst uint32, text string) {
-	r.begin(acFault, inst)
+	r.begin(actionFault, inst)
 	r.text([]byte(text))
 }
 
-// WriteTo writes the reply to batch seq as one frame and empties it.
+// WriteTo writes the reply to batch seq as one frame and clears the reply for the next batch.
 func (r *Reply) WriteTo(w io.Writer, seq uint32) error {
 	head := binary.BigEndian.AppendUint32(nil, r.count)
 	head = binary.BigEndian.AppendUint32(head, uint32(len(r.buf)+4))
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -23,7 +23,7 @@
 	return b
 }
 
-// frame wraps records in a batch of number 7.
+// frame encodes records as batch 7, at 1.5 s.
 func frame(count uint32, records []byte) []byte {
 	b := binary.BigEndian.AppendUint32(nil, count)
 	b = binary.BigEndian.AppendUint32(b, uint32(12+len(records)))
@@ -41,7 +41,7 @@
 		t.Fatal(err)
 	}
 	if b.Seq != 12 || b.Now.Round(time.Millisecond) != 8412*time.Millisecond {
-		t.Errorf("seq %d at %v", b.Seq, b.Now)
+		t.Errorf("got batch %d at %v, want batch 12 at 8.412s", b.Seq, b.Now)
 	}
 	want := []Record{
 		{3, logic.Request{ID: 0x5d3a91c4, Customer: 0x91f03b7c55d20a64, TTL: 240 * time.Millisecond, Units: 2,
@@ -103,7 +103,7 @@
 		}
 	}
 	if _, err := ReadBatch(bytes.NewReader(nil)); !errors.Is(err, io.EOF) {
-		t.Errorf("end of input: %v", err)
+		t.Errorf("end of input: got error %v, want io.EOF", err)
 	}
 }
 
@@ -134,7 +134,7 @@
 		t.Errorf("got  %x\nwant %x", out.Bytes(), want)
 	}
 	if err := r.Add(1, 5); err == nil {
-		t.Error("an unknown action was taken")
+		t.Error("Add(5): got no error, want one for an unknown action")
 	}
 }
 
@@ -150,7 +150,7 @@
 	}
 }
 
-const someSettings = `balancers=3
+const validSettings = `balancers=3
 rank=1
 zone=2
 zones=a,b,c
@@ -204,7 +204,7 @@
 `
 
 func TestParseSettings(t *testing.T) {
-	s, err := ParseSettings(someSettings)
+	s, err := ParseSettings(validSettings)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -237,9 +237,9 @@
 		{"caps.probes=true", "caps.probes=perhaps", "caps.probes"},
 		{"classes.count=2", "classes.count=999999999", "classes.count"},
 	} {
-		_, err := ParseSettings(strings.Replace(someSettings, c.old, c.new, 1))
+		_, err := ParseSettings(strings.Replace(validSettings, c.old, c.new, 1))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%q for %q: %v", c.new, c.old, err)
+			t.Errorf("%q in place of %q: got error %v, want one with %q", c.new, c.old, err, c.want)
 		}
 	}
 }
@@ -250,7 +250,7 @@
 	f.Fuzz(func(t *testing.T, in []byte) {
 		b, err := ReadBatch(bytes.NewReader(in))
 		if err != nil && b.Records != nil {
-			t.Error("records beside an error")
+			t.Errorf("got %d records beside error %v, want none", len(b.Records), err)
 		}
 	})
 }
