--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,4 +1,5 @@
-// Command adapter lets the decision module speak the simulator's wire on standard input and output.
+// Command adapter connects the decision module (package logic) to the simulator, whose protocol it speaks on standard input
+// and output.
 package main
 
 import (
@@ -21,7 +22,7 @@
 	}
 }
 
-// run answers batches until the input ends.
+// run reads batches and writes a reply to each until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	r, w := bufio.NewReaderSize(in, 1<<16), bufio.NewWriterSize(out, 1<<16)
 	gateways := map[uint32]*logic.Gateway{}
@@ -35,7 +36,7 @@
 			return err
 		}
 		for k, rec := range batch.Records {
-			if err := step(gateways, batch.Now, rec, &reply); err != nil {
+			if err := applyRecord(gateways, batch.Now, rec, &reply); err != nil {
 				return fmt.Errorf("batch %d, record %d: %w", batch.Seq, k, err)
 			}
 		}
@@ -48,8 +49,8 @@
 	}
 }
 
-// step hands one record to its instance. Instances share nothing: each has a module of its own.
-func step(gateways map[uint32]*logic.Gateway, now time.Duration, rec wire.Record, reply *wire.Reply) error {
+// applyRecord passes one record to its instance. Instances share no state: each has a decision module of its own.
+func applyRecord(gateways map[uint32]*logic.Gateway, now time.Duration, rec wire.Record, reply *wire.Reply) error {
 	switch ev := rec.Event.(type) {
 	case wire.InstanceInit:
 		s, err := wire.ParseSettings(ev.Settings)
@@ -64,7 +65,7 @@
 	}
 	g := gateways[rec.Instance]
 	if g == nil {
-		return nil // a stopped instance hears no more
+		return nil // events for a stopped instance are dropped
 	}
 	actions, err := handle(g, now, rec.Event)
 	if err != nil {
@@ -80,7 +81,7 @@
 	return nil
 }
 
-// handle turns a panic of the module into an error.
+// handle passes an event to a decision module and converts a panic to an error.
 func handle(g *logic.Gateway, now time.Duration, ev logic.Event) (actions []logic.Action, err error) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// A bad frame must not be answered in part: the other side would take it for a whole reply.
+// A malformed frame must not get a partial reply: the simulator would take it for a complete one.
 func TestRunWritesNothingForABadFrame(t *testing.T) {
 	var out bytes.Buffer
 	err := run(bytes.NewReader(batch(17, 0, 0)), &out)
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestUnknownInstanceIsSilent(t *testing.T) {
+func TestEventForUnknownInstanceIsIgnored(t *testing.T) {
 	var out bytes.Buffer
 	if err := run(bytes.NewReader(batch(17, 0, 0, 0, 3, 0, 0, 0, 0)), &out); err != nil || out.Len() != 12 {
 		t.Errorf("error %v, %d bytes out", err, out.Len())
@@ -48,12 +48,12 @@
 }
 
 func TestPanicBecomesFault(t *testing.T) {
-	broken := new(logic.Gateway) // no maps: the first request panics
+	broken := new(logic.Gateway) // its maps are nil, so that handling an event panics
 	gateways := map[uint32]*logic.Gateway{3: broken}
 	var reply wire.Reply
-	req := wire.Record{Instance: 3, Event: logic.Timer{Token: 5}}
-	req.Event = logic.ServerList{Servers: []logic.Server{{ID: 1, State: logic.Ready}}}
-	if err := step(gateways, 0, req, &reply); err != nil {
+	record := wire.Record{Instance: 3, Event: logic.Timer{Token: 5}}
+	record.Event = logic.ServerList{Servers: []logic.Server{{ID: 1, State: logic.Ready}}}
+	if err := applyRecord(gateways, 0, record, &reply); err != nil {
 		t.Fatal(err)
 	}
 	var out bytes.Buffer
@@ -64,6 +64,6 @@
 		t.Errorf("reply %x", out.Bytes())
 	}
 	if gateways[3] != nil {
-		t.Error("the failed instance lives on")
+		t.Error("instance 3 still exists after its module panicked, want it removed")
 	}
 }
--- a/cmd/bramblefall-eval/main.go
+++ b/cmd/bramblefall-eval/main.go
@@ -1,5 +1,5 @@
-// Command bramblefall-eval evaluates an operators' file for the limiter beside it, within bounds of memory, and writes
-// what the file says, or what is wrong with it, as JSON.
+// Command bramblefall-eval evaluates an operators' file for the limiter, within a memory limit, and writes the file's content
+// or its errors to standard output as JSON (operator.Outcome).
 package main
 
 import (
@@ -11,7 +11,7 @@
 
 func main() {
 	if len(os.Args) != 2 {
-		fmt.Fprintln(os.Stderr, "bramblefall-eval: one file is needed; bramblefall check FILE is the command for operators")
+		fmt.Fprintf(os.Stderr, "bramblefall-eval: got %d arguments, want one file; operators use bramblefall check FILE\n", len(os.Args)-1)
 		os.Exit(2)
 	}
 	if err := evaluate.Main(os.Args[1], os.Stdout); err != nil {
