--- a/cmd/bramblefall/check.go
+++ b/cmd/bramblefall/check.go
@@ -10,10 +10,10 @@
 	"bramblefall/internal/sharding"
 )
 
-// checkCommand reads an operators' file as the limiter would. No running limiter is needed.
+// checkCommand evaluates and checks an operators' file as the limiter does at its start. It needs no running limiter.
 func checkCommand() *cobra.Command {
 	o := &output{}
-	c := &cobra.Command{Use: "check FILE", Short: "Check an operators' file, without a limiter", Args: cobra.ExactArgs(1),
+	c := &cobra.Command{Use: "check FILE", Short: "Check an operators' file without a running limiter", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			file, err := readOperator(args[0])
 			if err != nil {
@@ -21,10 +21,10 @@
 			}
 			var rows [][]string
 			for _, v := range file.Plans {
-				rows = append(rows, []string{"plans", strconv.FormatUint(v.Number, 10), from(v.Effective), strconv.Itoa(len(v.Tiers)) + " tiers", v.Note})
+				rows = append(rows, []string{"plans", strconv.FormatUint(v.Number, 10), formatStart(v.Effective), strconv.Itoa(len(v.Tiers)) + " tiers", v.Note})
 			}
 			for _, r := range file.Reservations {
-				rows = append(rows, []string{"reservation", r.ID, from(r.From), number(r.Units) + " units", r.Note})
+				rows = append(rows, []string{"reservation", r.ID, formatStart(r.From), formatNumber(r.Units) + " units", r.Note})
 			}
 			if file.RateLimit != nil {
 				rows = append(rows, []string{"ratelimit", file.RateLimit.Listen, "at the start", "domain " + strconv.Quote(file.RateLimit.Domain), ""})
@@ -33,7 +33,7 @@
 				rows = append(rows, []string{"admin", file.Admin.Socket, "at the start", "", ""})
 			}
 			for _, x := range file.Counters {
-				rows = append(rows, []string{"counter", x.Address, "at once", "", fmt.Sprintf("one of %d, list %s", len(file.Counters), sharding.Fingerprint(file.Addresses()))})
+				rows = append(rows, []string{"counter", x.Address, "at once", "", fmt.Sprintf("one of %d, list %s", len(file.Counters), sharding.Fingerprint(file.CounterAddresses()))})
 			}
 			return o.write(c.OutOrStdout(), file, "WHAT WHICH FROM SIZE NOTE", rows)
 		}}
@@ -41,7 +41,8 @@
 	return c
 }
 
-func from(d time.Duration) string {
+// formatStart formats the instant from which a version or a reservation holds; 0 is that of its receipt.
+func formatStart(d time.Duration) string {
 	if d == 0 {
 		return "on receipt"
 	}
--- a/cmd/bramblefall/config.go
+++ b/cmd/bramblefall/config.go
@@ -13,7 +13,7 @@
 	"bramblefall/logic"
 )
 
-// config is what the platform tells a limiter.
+// config is the platform's configuration of one limiter.
 type config struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -32,9 +32,9 @@
 	seed     uint64
 }
 
-// unlike names what another reading of the file says otherwise and what holds until a restart: all but the plans, the
-// addresses that are followed, the seed and the list that was known.
-func (c config) unlike(next config) (names []string) {
+// changedSettings names the settings that differ in next and that take effect only at a restart. These are all but the plans,
+// the addresses of discovery and counter, the seed and the list of known servers.
+func (c config) changedSettings(next config) (names []string) {
 	old, now := reflect.ValueOf(c.settings), reflect.ValueOf(next.settings)
 	for k := range old.NumField() {
 		if name := old.Type().Field(k).Name; name != "Plans" && !reflect.DeepEqual(old.Field(k).Interface(), now.Field(k).Interface()) {
@@ -50,11 +50,11 @@
 	return names
 }
 
-// readConfig reads the platform's file. At the start, what the environment says of this limiter's place goes first.
-// Where the file is read again it is the file that has the news, and the environment only fills in.
-func readConfig(path string, again bool) (c config, err error) {
+// readConfig reads the platform's file. At the start, the environment variables for a limiter's name and addresses override the
+// file. When the file is read again, its content is newer than the environment, which then only supplies what the file lacks.
+func readConfig(path string, reread bool) (c config, err error) {
 	if path == "" {
-		return c, errors.New("no configuration: set RELAY_CONFIG or -config")
+		return c, errors.New("no configuration file given: set RELAY_CONFIG or --config")
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -65,20 +65,20 @@
 	}
 	for name, field := range map[string]*string{"RELAY_NAME": &c.Name, "RELAY_LISTEN": &c.Listen,
 		"RELAY_DISCOVERY": &c.Discovery} {
-		if v := os.Getenv(name); v != "" && !(again && *field != "") {
+		if v := os.Getenv(name); v != "" && !(reread && *field != "") {
 			*field = v
 		}
 	}
 	if c.Listen == "" {
-		return c, fmt.Errorf("%s: no address to listen on", path)
+		return c, fmt.Errorf("%s: listen is missing, want an address to listen on", path)
 	}
 	if c.Seed != "" {
 		if c.seed, err = strconv.ParseUint(c.Seed, 16, 64); err != nil {
-			return c, fmt.Errorf("%s: seed %q is not a hex number", path, c.Seed)
+			return c, fmt.Errorf("%s: seed: got %q, want a hex number of up to 64 bits", path, c.Seed)
 		}
 	}
 	if len(c.Settings) == 0 {
-		return c, fmt.Errorf("%s: no settings", path)
+		return c, fmt.Errorf("%s: settings are missing", path)
 	}
 	if c.settings, err = wire.SettingsFromJSON(c.Settings); err != nil {
 		return c, fmt.Errorf("%s: %w", path, err)
--- a/cmd/bramblefall/main.go
+++ b/cmd/bramblefall/main.go
@@ -1,5 +1,5 @@
-// Command bramblefall is one limiter: it holds member firms to their quotas in front of the exchange nodes. Its
-// sub-commands tend a running one.
+// Command bramblefall is a rate limiter: it enforces the quotas of member firms in front of a group of exchange nodes. Its
+// sub-commands check an operators' file and manage the plans and reservations of a running limiter.
 package main
 
 import (
@@ -21,55 +21,57 @@
 	"bramblefall/internal/plans"
 )
 
-// Exit codes beside 0.
+// Exit codes other than 0.
 const (
-	exitOther  = 1
-	exitUnfit  = 2 // what was given cannot be used
-	socketName = "BRAMBLEFALL_ADMIN"
+	exitFailure = 1
+	exitInvalid = 2 // invalid command line, operators' file or request
 )
 
+// adminSocketEnv is the environment variable with the default of --socket.
+const adminSocketEnv = "BRAMBLEFALL_ADMIN"
+
 func main() {
 	defer crash.Guard()
 	root := rootCommand()
-	root.SetArgs(oldFlags(os.Args[1:]))
+	root.SetArgs(doubleDashFlags(os.Args[1:]))
 	if err := root.Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "bramblefall:", err)
 		os.Exit(exitCode(err))
 	}
 }
 
-var oldFlag = regexp.MustCompile(`^-(config|ratelimit|log|operator)(=|$)`)
+var singleDashFlag = regexp.MustCompile(`^-(config|ratelimit|log|operator)(=|$)`)
 
-// oldFlags takes flags with one dash, as they were before there were sub-commands.
-func oldFlags(args []string) []string {
+// doubleDashFlags accepts flags with a single dash, as they were written before the program had sub-commands.
+func doubleDashFlags(args []string) []string {
 	out := make([]string, len(args))
 	for k, a := range args {
-		if out[k] = a; oldFlag.MatchString(a) {
+		if out[k] = a; singleDashFlag.MatchString(a) {
 			out[k] = "-" + a
 		}
 	}
 	return out
 }
 
-// exitCode tells what cannot be used from what went wrong.
+// exitCode distinguishes invalid input from other failures.
 func exitCode(err error) int {
-	var unfit operator.Errors
+	var fileErrors operator.Errors
 	var problems plans.Problems
 	var usage usageError
-	if errors.As(err, &unfit) || errors.As(err, &problems) || errors.As(err, &usage) || status.Code(err) == codes.InvalidArgument {
-		return exitUnfit
+	if errors.As(err, &fileErrors) || errors.As(err, &problems) || errors.As(err, &usage) || status.Code(err) == codes.InvalidArgument {
+		return exitInvalid
 	}
-	return exitOther
+	return exitFailure
 }
 
-// usageError is a command line that cannot be used.
+// usageError is an error in the command line.
 type usageError struct{ error }
 
 func rootCommand() *cobra.Command {
 	var o serveOptions
 	root := &cobra.Command{
 		Use:   "bramblefall",
-		Short: "A limiter in front of exchange nodes; without a sub-command it serves",
+		Short: "A rate limiter in front of exchange nodes; without a sub-command it serves",
 		Args:  cobra.NoArgs, SilenceUsage: true, SilenceErrors: true,
 		RunE: func(*cobra.Command, []string) error { return serveCommand(o) },
 	}
@@ -77,21 +79,21 @@
 		RunE: func(*cobra.Command, []string) error { return serveCommand(o) }}
 	for _, c := range []*cobra.Command{root, serve} {
 		c.Flags().StringVar(&o.config, "config", os.Getenv("RELAY_CONFIG"), "the platform's configuration, JSON")
-		c.Flags().StringVar(&o.operator, "operator", "", "the operators' file, Starlark; without one all that it switches on is off")
-		c.Flags().StringVar(&o.ratelimit, "ratelimit", "", "a JSON file that says where the gRPC front listens; the operators' file says it, too")
+		c.Flags().StringVar(&o.operator, "operator", "", "the operators' file, Starlark; without one, everything that it enables is disabled")
+		c.Flags().StringVar(&o.ratelimit, "ratelimit", "", "a JSON file that configures the gRPC front, instead of ratelimit(...) in the operators' file")
 		c.Flags().StringVar(&o.level, "log", "info", "log level: debug, info, warn or error")
 	}
-	version := &cobra.Command{Use: "version", Short: "Tell which build this is", Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error { return tellVersion(c) }}
+	version := &cobra.Command{Use: "version", Short: "Print the version of this build", Args: cobra.NoArgs,
+		RunE: func(c *cobra.Command, _ []string) error { return printVersion(c) }}
 	root.AddCommand(serve, version, checkCommand(), plansCommand(), reserveCommand())
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
 	return root
 }
 
-func tellVersion(c *cobra.Command) error {
+func printVersion(c *cobra.Command) error {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
-		return errors.New("this build tells nothing of itself")
+		return errors.New("this binary has no build information")
 	}
 	revision := ""
 	for _, s := range info.Settings {
@@ -105,16 +107,16 @@
 
 type serveOptions struct{ config, operator, ratelimit, level string }
 
-// serveCommand reads all that the limiter is told and serves.
+// serveCommand reads the configuration and the operators' file, then serves until SIGTERM.
 func serveCommand(o serveOptions) error {
-	told := signals{make(chan os.Signal, 1), make(chan os.Signal, 1)}
-	signal.Notify(told.end, syscall.SIGTERM, syscall.SIGINT) // before all else: a SIGHUP must not end it
-	signal.Notify(told.again, syscall.SIGHUP)
-	var least slog.Level
-	if err := least.UnmarshalText([]byte(o.level)); err != nil {
+	received := signals{make(chan os.Signal, 1), make(chan os.Signal, 1)}
+	signal.Notify(received.terminate, syscall.SIGTERM, syscall.SIGINT) // before all else: an unhandled SIGHUP would end the process
+	signal.Notify(received.hangup, syscall.SIGHUP)
+	var minLevel slog.Level
+	if err := minLevel.UnmarshalText([]byte(o.level)); err != nil {
 		return usageError{err}
 	}
-	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: least})))
+	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: minLevel})))
 	cfg, err := readConfig(o.config, false)
 	if err != nil {
 		return err
@@ -125,20 +127,20 @@
 	}
 	if o.ratelimit != "" {
 		if file.RateLimit != nil {
-			return usageError{errors.New("the gRPC front stands in the operators' file and in -ratelimit")}
+			return usageError{errors.New("the gRPC front is configured both in the operators' file and by --ratelimit, want one of them")}
 		}
 		if file.RateLimit, err = readRateLimit(o.ratelimit); err != nil {
 			return err
 		}
 	}
-	return serve(cfg, file, o, told)
+	return serve(cfg, file, o, received)
 }
 
-// signals are what the platform says. Each kind has a channel of its own: an end must not be dropped behind others, nor wait
-// until the files are read.
-type signals struct{ end, again chan os.Signal }
+// signals are the signals from the platform. Each kind has a channel of its own, so that a request to terminate is neither
+// dropped behind others nor delayed until the files are read.
+type signals struct{ terminate, hangup chan os.Signal }
 
-// readOperator reads the operators' file; "": there is none.
+// readOperator reads the operators' file. An empty path means that there is none, and gives the defaults.
 func readOperator(path string) (operator.File, error) {
 	if path == "" {
 		return operator.File{Limits: plans.DefaultLimits}, nil
--- a/cmd/bramblefall/output.go
+++ b/cmd/bramblefall/output.go
@@ -16,17 +16,17 @@
 	"bramblefall/internal/admin/adminpb"
 )
 
-// output is how a sub-command tells its result.
-type output struct{ form string }
+// output is the format in which a sub-command writes its result.
+type output struct{ format string }
 
 func (o *output) flag(c *cobra.Command) {
-	c.PersistentFlags().StringVar(&o.form, "output", "table", "table or json")
+	c.PersistentFlags().StringVar(&o.format, "output", "table", "table or json")
 	_ = c.RegisterFlagCompletionFunc("output", cobra.FixedCompletions([]string{"table", "json"}, cobra.ShellCompDirectiveNoFileComp))
 }
 
-// write tells v as JSON, or the rows as a table.
+// write writes v as JSON or the rows as a table. The headings are separated by spaces.
 func (o *output) write(w io.Writer, v any, head string, rows [][]string) error {
-	switch o.form {
+	switch o.format {
 	case "json":
 		enc := json.NewEncoder(w)
 		enc.SetIndent("", "  ")
@@ -39,17 +39,18 @@
 		}
 		return t.Flush()
 	}
-	return usageError{fmt.Errorf("--output is table or json, not %q", o.form)}
+	return usageError{fmt.Errorf("--output: got %q, want table or json", o.format)}
 }
 
-// plain tells an error of the admin service in its own words.
-func plain(err error) error {
+// serviceErrorOf strips the gRPC prefix from an error of the admin service, so that only the service's own message is shown.
+func serviceErrorOf(err error) error {
 	if s, ok := status.FromError(err); ok && err != nil {
 		return &serviceError{s.Message(), err}
 	}
 	return err
 }
 
+// serviceError is an error with the text of the admin service that still unwraps to its gRPC status.
 type serviceError struct {
 	text string
 	err  error
@@ -58,8 +59,8 @@
 func (e *serviceError) Error() string { return e.text }
 func (e *serviceError) Unwrap() error { return e.err }
 
-// when reads an instant: RFC 3339, or a time from now such as +90s.
-func when(text string) (time.Time, error) {
+// parseInstant reads an instant, either in RFC 3339 or relative to now, such as +90s.
+func parseInstant(text string) (time.Time, error) {
 	if after, ok := strings.CutPrefix(text, "+"); ok {
 		d, err := time.ParseDuration(after)
 		if err != nil {
@@ -69,19 +70,19 @@
 	}
 	t, err := time.Parse(time.RFC3339Nano, text)
 	if err != nil {
-		return t, usageError{fmt.Errorf("%q is neither like 2026-12-31T21:00:00+03:00 nor like +90s", text)}
+		return t, usageError{fmt.Errorf("got time %q, want one like 2026-12-31T21:00:00+03:00 or like +90s", text)}
 	}
 	return t, nil
 }
 
-func number(v float64) string { return strconv.FormatFloat(v, 'g', -1, 64) }
+func formatNumber(v float64) string { return strconv.FormatFloat(v, 'g', -1, 64) }
 
 func tierRow(t *adminpb.Tier) []string {
-	return []string{t.GetName(), number(t.GetRate()), number(t.GetBurst()), strconv.FormatInt(t.GetOpen(), 10),
-		number(t.GetCeilingRate()), number(t.GetCeilingBurst()), number(t.GetCeilingSlack()), number(t.GetPrice()),
-		number(t.GetOverWorth()), number(t.GetOverCost())}
+	return []string{t.GetName(), formatNumber(t.GetRate()), formatNumber(t.GetBurst()), strconv.FormatInt(t.GetOpen(), 10),
+		formatNumber(t.GetCeilingRate()), formatNumber(t.GetCeilingBurst()), formatNumber(t.GetCeilingSlack()), formatNumber(t.GetPrice()),
+		formatNumber(t.GetOverWorth()), formatNumber(t.GetOverCost())}
 }
 
-const tierHead = "TIER RATE BURST OPEN CEILING-RATE CEILING-BURST CEILING-SLACK PRICE OVER-WORTH OVER-COST"
+const tierColumns = "TIER RATE BURST OPEN CEILING-RATE CEILING-BURST CEILING-SLACK PRICE OVER-WORTH OVER-COST"
 
-var errNoSocket = usageError{errors.New("which limiter? name its admin socket with --socket or " + socketName)}
+var errNoSocket = usageError{errors.New("no limiter given: name its admin socket with --socket or " + adminSocketEnv)}
--- a/cmd/bramblefall/plans.go
+++ b/cmd/bramblefall/plans.go
@@ -18,9 +18,10 @@
 	"bramblefall/internal/operator"
 )
 
-const callLimit = 10 * time.Second
+// callTimeout bounds one call of the admin service, which itself waits up to 5 s for an answer.
+const callTimeout = 10 * time.Second
 
-// remote is a sub-command that speaks to a running limiter.
+// remote is a sub-command that calls the admin service of a running limiter.
 type remote struct {
 	output
 	socket string
@@ -28,11 +29,11 @@
 
 func (r *remote) flags(c *cobra.Command) {
 	r.output.flag(c)
-	c.PersistentFlags().StringVar(&r.socket, "socket", os.Getenv(socketName), "the admin socket of a running limiter")
+	c.PersistentFlags().StringVar(&r.socket, "socket", os.Getenv(adminSocketEnv), "the admin socket of a running limiter")
 }
 
-// do makes one call.
-func (r *remote) do(call func(context.Context, adminpb.AdminClient) error) error {
+// call connects to the admin service and passes a client to method, bounded by callTimeout.
+func (r *remote) call(method func(context.Context, adminpb.AdminClient) error) error {
 	if r.socket == "" {
 		return errNoSocket
 	}
@@ -41,25 +42,25 @@
 		return err
 	}
 	defer end()
-	ctx, cancel := context.WithTimeout(context.Background(), callLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	return plain(call(ctx, client))
+	return serviceErrorOf(method(ctx, client))
 }
 
-// book shows the book and tells what tell picks of it.
-func (r *remote) book(tell func(*adminpb.Book) error) error {
-	return r.do(func(ctx context.Context, client adminpb.AdminClient) error {
+// showBook fetches the plan book and passes it to show, which writes a part of it.
+func (r *remote) showBook(show func(*adminpb.Book) error) error {
+	return r.call(func(ctx context.Context, client adminpb.AdminClient) error {
 		b, err := client.ShowPlans(ctx, &adminpb.ShowPlansRequest{})
 		if err != nil {
 			return err
 		}
-		return tell(b)
+		return show(b)
 	})
 }
 
-// plainJSON turns messages into values that the output's encoder takes.
-func plainJSON[M proto.Message](list ...M) (out []raw) {
-	out = []raw{}
+// protoJSON encodes protobuf messages, with the field names of the schema, for the output's JSON encoder.
+func protoJSON[M proto.Message](list ...M) (out []rawJSON) {
+	out = []rawJSON{}
 	for _, m := range list {
 		b, err := protojson.MarshalOptions{EmitUnpopulated: true, UseProtoNames: true}.Marshal(m)
 		if err == nil {
@@ -69,12 +70,14 @@
 	return out
 }
 
-type raw []byte
+// rawJSON is text that is already JSON.
+type rawJSON []byte
 
 // MarshalJSON implements json.Marshaler.
-func (r raw) MarshalJSON() ([]byte, error) { return r, nil }
+func (r rawJSON) MarshalJSON() ([]byte, error) { return r, nil }
 
-func at(t *timestamppb.Timestamp) string {
+// formatTimestamp formats a time in the local zone, or "-" if it is absent.
+func formatTimestamp(t *timestamppb.Timestamp) string {
 	if t == nil {
 		return "-"
 	}
@@ -82,30 +85,30 @@
 }
 
 func versionRow(state string, v *adminpb.Version) []string {
-	return []string{strconv.FormatUint(v.GetNumber(), 10), state, at(v.GetEffective()), v.GetSource(),
+	return []string{strconv.FormatUint(v.GetNumber(), 10), state, formatTimestamp(v.GetEffective()), v.GetSource(),
 		strconv.Itoa(len(v.GetTiers())), strconv.Itoa(len(v.GetFirms())), v.GetNote()}
 }
 
-const versionHead = "VERSION STATE EFFECTIVE SOURCE TIERS FIRMS NOTE"
+const versionColumns = "VERSION STATE EFFECTIVE SOURCE TIERS FIRMS NOTE"
 
 func plansCommand() *cobra.Command {
 	r := &remote{}
-	c := &cobra.Command{Use: "plans", Short: "Plans of a running limiter"}
+	c := &cobra.Command{Use: "plans", Short: "Show and change the plans of a running limiter"}
 	r.flags(c)
-	list := &cobra.Command{Use: "list", Short: "The version in force and those to come", Args: cobra.NoArgs,
+	list := &cobra.Command{Use: "list", Short: "List the version in force and those to come", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			return r.book(func(b *adminpb.Book) error {
+			return r.showBook(func(b *adminpb.Book) error {
 				rows := [][]string{versionRow("in force", b.GetCurrent())}
 				for _, v := range b.GetPending() {
 					rows = append(rows, versionRow("to come", v))
 				}
-				return r.write(c.OutOrStdout(), plainJSON(append([]*adminpb.Version{b.GetCurrent()}, b.GetPending()...)...), versionHead, rows)
+				return r.write(c.OutOrStdout(), protoJSON(append([]*adminpb.Version{b.GetCurrent()}, b.GetPending()...)...), versionColumns, rows)
 			})
 		}}
-	show := &cobra.Command{Use: "show [NUMBER]", Short: "The tiers of a version, by default the one in force", Args: cobra.MaximumNArgs(1),
+	show := &cobra.Command{Use: "show [NUMBER]", Short: "Show the tiers of a version, by default the one in force", Args: cobra.MaximumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			return r.book(func(b *adminpb.Book) error {
-				v, err := pick(b, args)
+			return r.showBook(func(b *adminpb.Book) error {
+				v, err := findVersion(b, args)
 				if err != nil {
 					return err
 				}
@@ -113,43 +116,43 @@
 				for _, t := range v.GetTiers() {
 					rows = append(rows, tierRow(t))
 				}
-				return r.write(c.OutOrStdout(), plainJSON(v), tierHead, rows)
+				return r.write(c.OutOrStdout(), protoJSON(v), tierColumns, rows)
 			})
 		}}
-	history := &cobra.Command{Use: "history", Short: "Versions that have ended", Args: cobra.NoArgs,
+	history := &cobra.Command{Use: "history", Short: "List the versions that have ended", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			return r.book(func(b *adminpb.Book) error {
+			return r.showBook(func(b *adminpb.Book) error {
 				var rows [][]string
 				for _, e := range b.GetHistory() {
-					state := "until " + at(e.GetUntil())
+					state := "until " + formatTimestamp(e.GetUntil())
 					if e.GetWithdrawn() {
 						state = "withdrawn"
 					}
 					rows = append(rows, versionRow(state, e.GetVersion()))
 				}
-				return r.write(c.OutOrStdout(), plainJSON(b.GetHistory()...), versionHead, rows)
+				return r.write(c.OutOrStdout(), protoJSON(b.GetHistory()...), versionColumns, rows)
 			})
 		}}
-	withdraw := &cobra.Command{Use: "withdraw NUMBER", Short: "Take back a version before its time", Args: cobra.ExactArgs(1),
+	withdraw := &cobra.Command{Use: "withdraw NUMBER", Short: "Withdraw a version that is not yet in force", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			n, err := strconv.ParseUint(args[0], 10, 64)
 			if err != nil {
 				return usageError{err}
 			}
-			return r.do(func(ctx context.Context, client adminpb.AdminClient) error {
+			return r.call(func(ctx context.Context, client adminpb.AdminClient) error {
 				b, err := client.WithdrawPlans(ctx, &adminpb.WithdrawPlansRequest{Number: n})
 				if err != nil {
 					return err
 				}
-				return r.write(c.OutOrStdout(), plainJSON(b.GetPending()...), versionHead, nil)
+				return r.write(c.OutOrStdout(), protoJSON(b.GetPending()...), versionColumns, nil)
 			})
 		}}
 	c.AddCommand(list, show, history, withdraw, r.diff(), r.apply())
 	return c
 }
 
-// pick finds the version that an argument names.
-func pick(b *adminpb.Book, args []string) (*adminpb.Version, error) {
+// findVersion returns the version that an argument names, or the one in force if there is no argument.
+func findVersion(b *adminpb.Book, args []string) (*adminpb.Version, error) {
 	if len(args) == 0 {
 		return b.GetCurrent(), nil
 	}
@@ -163,47 +166,47 @@
 	}
 	k := slices.IndexFunc(all, func(v *adminpb.Version) bool { return v.GetNumber() == n })
 	if k < 0 {
-		return nil, usageError{fmt.Errorf("no version %d is known", n)}
+		return nil, usageError{fmt.Errorf("the limiter has no version %d", n)}
 	}
 	return all[k], nil
 }
 
-// diff tells what a file's versions would change, and changes nothing.
+// diff shows what the versions of a file would change, without applying them.
 func (r *remote) diff() *cobra.Command {
-	return &cobra.Command{Use: "diff FILE", Short: "What the versions of an operators' file would change", Args: cobra.ExactArgs(1),
+	return &cobra.Command{Use: "diff FILE", Short: "Show what the versions of an operators' file would change", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error { return r.propose(c, args[0], true) }}
 }
 
 func (r *remote) apply() *cobra.Command {
-	dry := false
-	c := &cobra.Command{Use: "apply FILE", Short: "Put the versions of an operators' file in force at their instants", Args: cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error { return r.propose(c, args[0], dry) }}
-	c.Flags().BoolVar(&dry, "dry-run", false, "only tell what would change, for which tiers and how many firms that the limiter knows")
+	dryRun := false
+	c := &cobra.Command{Use: "apply FILE", Short: "Apply the versions of an operators' file; each takes effect at its instant", Args: cobra.ExactArgs(1),
+		RunE: func(c *cobra.Command, args []string) error { return r.propose(c, args[0], dryRun) }}
+	c.Flags().BoolVar(&dryRun, "dry-run", false, "only show what would change, for which tiers and for how many firms known to the limiter")
 	return c
 }
 
-func (r *remote) propose(c *cobra.Command, path string, dry bool) error {
+func (r *remote) propose(c *cobra.Command, path string, dryRun bool) error {
 	file, err := readOperator(path)
 	if err != nil {
 		return err
 	}
 	if len(file.Plans) == 0 {
-		return operator.Errors{path + ": names no plans"}
+		return operator.Errors{path + ": got 0 plans, want at least one to apply"}
 	}
-	var told []*adminpb.Effect
+	var effects []*adminpb.Effect
 	var rows [][]string
-	err = r.do(func(ctx context.Context, client adminpb.AdminClient) error {
+	err = r.call(func(ctx context.Context, client adminpb.AdminClient) error {
 		for k, v := range file.Plans {
-			answer, err := client.ApplyPlans(ctx, &adminpb.ApplyPlansRequest{Version: admin.VersionOut(v), DryRun: dry})
+			answer, err := client.ApplyPlans(ctx, &adminpb.ApplyPlansRequest{Version: admin.VersionOut(v), DryRun: dryRun})
 			if err != nil {
-				return fmt.Errorf("version %d (plans[%d], those before it were taken): %w", v.Number, k, plain(err))
+				return fmt.Errorf("version %d (plans[%d]; those before it were accepted): %w", v.Number, k, serviceErrorOf(err))
 			}
-			told = append(told, answer.GetEffects()...)
+			effects = append(effects, answer.GetEffects()...)
 			for _, e := range answer.GetEffects() {
 				rows = append(rows, []string{strconv.FormatUint(v.Number, 10), e.GetTier(), e.GetKind(), strconv.FormatInt(e.GetFirms(), 10),
-					number(e.GetFrom().GetRate()) + "->" + number(e.GetTo().GetRate()),
-					number(e.GetFrom().GetBurst()) + "->" + number(e.GetTo().GetBurst()),
-					number(e.GetFrom().GetCeilingRate()) + "->" + number(e.GetTo().GetCeilingRate())})
+					formatNumber(e.GetFrom().GetRate()) + "->" + formatNumber(e.GetTo().GetRate()),
+					formatNumber(e.GetFrom().GetBurst()) + "->" + formatNumber(e.GetTo().GetBurst()),
+					formatNumber(e.GetFrom().GetCeilingRate()) + "->" + formatNumber(e.GetTo().GetCeilingRate())})
 			}
 		}
 		return nil
@@ -211,5 +214,5 @@
 	if err != nil {
 		return err
 	}
-	return r.write(c.OutOrStdout(), plainJSON(told...), "VERSION TIER CHANGE FIRMS RATE BURST CEILING-RATE", rows)
+	return r.write(c.OutOrStdout(), protoJSON(effects...), "VERSION TIER CHANGE FIRMS RATE BURST CEILING-RATE", rows)
 }
--- a/cmd/bramblefall/ratelimit.go
+++ b/cmd/bramblefall/ratelimit.go
@@ -18,7 +18,7 @@
 	"bramblefall/logic"
 )
 
-// rateLimit is the second front, as its file describes it.
+// rateLimit is the gRPC front with its configuration and the upstream group that it calls.
 type rateLimit struct {
 	operator.RateLimit
 	front  *ratelimit.Front
@@ -33,7 +33,7 @@
 	return &rateLimit{RateLimit: *r}
 }
 
-// readRateLimit reads the file. The paths in it are meant from where it stands.
+// readRateLimit reads the JSON file of --ratelimit. Relative paths in it are resolved against the file's directory.
 func readRateLimit(path string) (*operator.RateLimit, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -41,12 +41,12 @@
 	}
 	r := &operator.RateLimit{}
 	dec := json.NewDecoder(bytes.NewReader(raw))
-	dec.DisallowUnknownFields() // a misspelt name must not switch something off unseen
+	dec.DisallowUnknownFields() // a misspelt name must not disable something silently
 	if err := dec.Decode(r); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if r.Listen == "" {
-		return nil, fmt.Errorf("%s: no address to listen on", path)
+		return nil, fmt.Errorf("%s: listen is missing, want an address to listen on", path)
 	}
 	if r.Others != nil {
 		for _, file := range []*string{&r.Others.Clusters, &r.Others.Endpoints} {
@@ -58,7 +58,7 @@
 	return r, nil
 }
 
-// prepare makes the front and the caller of its upstream group.
+// prepare creates the front and the caller of its upstream group, and returns the caller.
 func (r *rateLimit) prepare(set logic.Settings, owner *loop.Loop, board *plans.Board, callers, endpoints int) loop.Caller {
 	r.front = ratelimit.NewFront(set, owner, board, r.Domain, r.Others != nil, callers)
 	r.caller = ratelimit.NewCaller(owner.Post, loop.Now, endpoints)
@@ -75,11 +75,11 @@
 		}
 		crash.Go(func() { r.group.Run(ctx) })
 	}
-	at, err := r.front.Listen(r.Listen)
+	address, err := r.front.Listen(r.Listen)
 	if err != nil {
 		return err
 	}
-	slog.Info("serving rate limit calls", "listen", at)
+	slog.Info("serving rate limit calls", "listen", address)
 	return nil
 }
 
--- a/cmd/bramblefall/reserve.go
+++ b/cmd/bramblefall/reserve.go
@@ -17,15 +17,15 @@
 
 func reserveCommand() *cobra.Command {
 	r := &remote{}
-	c := &cobra.Command{Use: "reserve", Short: "Reservations of allowance for single firms"}
+	c := &cobra.Command{Use: "reserve", Short: "Manage reservations of units for single firms"}
 	r.flags(c)
-	list := &cobra.Command{Use: "list", Short: "Reservations, with what is known of their use", Args: cobra.NoArgs,
+	list := &cobra.Command{Use: "list", Short: "List the reservations and their known use", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			return r.book(func(b *adminpb.Book) error { return r.reservations(c.OutOrStdout(), b) })
+			return r.showBook(func(b *adminpb.Book) error { return r.reservations(c.OutOrStdout(), b) })
 		}}
 	revoke := &cobra.Command{Use: "revoke ID", Short: "End a reservation now", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			return r.do(func(ctx context.Context, client adminpb.AdminClient) error {
+			return r.call(func(ctx context.Context, client adminpb.AdminClient) error {
 				b, err := client.RevokeReservation(ctx, &adminpb.RevokeReservationRequest{Id: args[0]})
 				if err != nil {
 					return err
@@ -40,23 +40,23 @@
 func (r *remote) grant() *cobra.Command {
 	var id, firm, start, end, note string
 	var units, rate float64
-	c := &cobra.Command{Use: "grant", Short: "Grant a firm units beside its plan, for a time; twice the same is one", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "grant", Short: "Grant a firm units beside its plan for a time; repeating the same grant changes nothing", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			n, err := strconv.ParseUint(firm, 16, 64)
 			if err != nil {
-				return usageError{fmt.Errorf("--firm: %q is not a hex number", firm)}
+				return usageError{fmt.Errorf("--firm: got %q, want a hex number", firm)}
 			}
-			from, err := when(start)
+			from, err := parseInstant(start)
 			if err != nil {
 				return err
 			}
-			until, err := when(end)
+			until, err := parseInstant(end)
 			if err != nil {
 				return err
 			}
 			x := plans.Reservation{ID: id, Firm: n, Units: units, Rate: rate, Note: note, From: time.Duration(from.UnixNano()),
 				Until: time.Duration(until.UnixNano())}
-			return r.do(func(ctx context.Context, client adminpb.AdminClient) error {
+			return r.call(func(ctx context.Context, client adminpb.AdminClient) error {
 				b, err := client.GrantReservation(ctx, &adminpb.GrantReservationRequest{
 					Reservation: admin.ReservationOut(x, core.ReservationUse{})})
 				if err != nil {
@@ -65,13 +65,13 @@
 				return r.reservations(c.OutOrStdout(), b)
 			})
 		}}
-	c.Flags().StringVar(&id, "id", "", "the grant's own name: asked for again, it is the same grant")
+	c.Flags().StringVar(&id, "id", "", "identifier of the grant; a grant with the same identifier and content is the same one")
 	c.Flags().StringVar(&firm, "firm", "", "the firm's number, hex")
-	c.Flags().Float64Var(&units, "units", 0, "units in all")
-	c.Flags().Float64Var(&rate, "rate", 0, "units a second at most; 0: any")
-	c.Flags().StringVar(&start, "start", "+0s", "RFC 3339, or a time from now such as +10m; give both as instants to have the same grant on several limiters")
-	c.Flags().StringVar(&end, "end", "", "likewise")
-	c.Flags().StringVar(&note, "note", "", "why")
+	c.Flags().Float64Var(&units, "units", 0, "total units")
+	c.Flags().Float64Var(&rate, "rate", 0, "limit in units per second; 0: none")
+	c.Flags().StringVar(&start, "start", "+0s", "start, in RFC 3339 or relative to now such as +10m; for the same grant on several limiters, give start and end in RFC 3339")
+	c.Flags().StringVar(&end, "end", "", "end, in the same forms as --start")
+	c.Flags().StringVar(&note, "note", "", "reason for the grant")
 	for _, name := range []string{"id", "firm", "units", "end"} {
 		_ = c.MarkFlagRequired(name)
 	}
@@ -81,8 +81,8 @@
 func (r *remote) reservations(w io.Writer, b *adminpb.Book) error {
 	var rows [][]string
 	for _, x := range b.GetReservations() {
-		rows = append(rows, []string{x.GetId(), fmt.Sprintf("%x", x.GetFirm()), x.GetState(), number(x.GetUnits()), number(x.GetRate()),
-			number(x.GetUsed()), number(x.GetLeased()), at(x.GetStart()), at(x.GetEnd()), x.GetSource(), x.GetNote()})
+		rows = append(rows, []string{x.GetId(), fmt.Sprintf("%x", x.GetFirm()), x.GetState(), formatNumber(x.GetUnits()), formatNumber(x.GetRate()),
+			formatNumber(x.GetUsed()), formatNumber(x.GetLeased()), formatTimestamp(x.GetStart()), formatTimestamp(x.GetEnd()), x.GetSource(), x.GetNote()})
 	}
-	return r.write(w, plainJSON(b.GetReservations()...), "ID FIRM STATE UNITS RATE USED-HERE LEASED START END SOURCE NOTE", rows)
+	return r.write(w, protoJSON(b.GetReservations()...), "ID FIRM STATE UNITS RATE USED-HERE LEASED START END SOURCE NOTE", rows)
 }
--- a/cmd/bramblefall/serve.go
+++ b/cmd/bramblefall/serve.go
@@ -24,80 +24,80 @@
 )
 
 const (
-	ownDescriptors = 64 // standard streams, pollers, listener, watch, and the counter's 32 at most
-	fewDescriptors = 128
-	memoryShare    = 0.75  // of the cap: the rest is for stacks and the kernel's buffers
-	heldShare      = 0.125 // of the cap, for the bytes of commands in hand: a body is held as read, as written and in buffers
-	moreGarbage    = 200   // per cent: 8 MB before the first collection, which half of the smallest cap holds
+	reservedDescriptors = 64    // for standard streams, pollers, listener, watch, and up to 32 of the counter
+	minDescriptors      = 128   // lower bound for the limit, and for what remains after the fronts take their share
+	goMemoryShare       = 0.75  // of the platform's memory limit; the rest is for stacks and the kernel's buffers
+	commandMemoryShare  = 0.125 // of the memory limit, for commands in flight: a body is held as read, as written and in buffers
+	gcPercent           = 200   // 8 MB before the first collection, which fits into half of the smallest memory limit
 
-	firstList   = time.Second            // for discovery's first word, before clients are let in
-	longestWait = 3 * time.Second        // a longer deadline counts as this at a planned restart
-	lastAnswers = 400 * time.Millisecond // after that: SIGKILL may come 300 ms later
-	lastFlush   = 250 * time.Millisecond // for the last answers to be read; most go out at once
+	firstListTimeout  = time.Second            // wait for discovery's first list before accepting clients
+	maxDrainDeadline  = 3 * time.Second        // longer deadlines are taken as this at a planned restart
+	finalAnswerDelay  = 400 * time.Millisecond // after the longest deadline; SIGKILL may follow 300 ms later
+	finalFlushTimeout = 250 * time.Millisecond // for clients to read the final answers; most are written immediately
 )
 
-func serve(cfg config, file operator.File, o serveOptions, told signals) error {
+func serve(cfg config, file operator.File, o serveOptions, received signals) error {
 	if cfg.Limits.Cores > 0 {
-		// On one core, a second scheduler thread only wakes and parks: measured, a sixth more CPU on a calm day.
+		// On one core, a second scheduler thread only wakes and parks. It was measured to cost a sixth more CPU under light load.
 		runtime.GOMAXPROCS(int(math.Ceil(cfg.Limits.Cores)))
 	}
-	debug.SetGCPercent(moreGarbage)
+	debug.SetGCPercent(gcPercent)
 	if cfg.Limits.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(cfg.Limits.MemoryMB<<20)))
+		debug.SetMemoryLimit(int64(goMemoryShare * float64(cfg.Limits.MemoryMB<<20)))
 	}
-	most := max(cfg.Limits.Sockets, fewDescriptors) - ownDescriptors
+	descriptors := max(cfg.Limits.Sockets, minDescriptors) - reservedDescriptors
 	service := newRateLimit(file.RateLimit)
-	callers, endpoints := ratelimit.Descriptors(most)
+	callers, endpoints := ratelimit.Descriptors(descriptors)
 	if service != nil {
-		most = max(most-callers-endpoints, fewDescriptors)
+		descriptors = max(descriptors-callers-endpoints, minDescriptors)
 	}
 	if file.Admin != nil {
-		most = max(most-admin.Descriptors, fewDescriptors)
+		descriptors = max(descriptors-admin.Descriptors, minDescriptors)
 	}
-	links := counter.Connections(len(file.Counters), max(cfg.Limits.Sockets, fewDescriptors))
-	most -= min(links-counter.Connections(0, 0), most/2) // those beyond the program's own
+	counterConns := counter.Connections(len(file.Counters), max(cfg.Limits.Sockets, minDescriptors))
+	descriptors -= min(counterConns-counter.Connections(0, 0), descriptors/2) // only those beyond the counter's connections in reservedDescriptors
 	book, keeper, err := openBook(cfg, file)
 	if err != nil {
 		return err
 	}
 	if n := cfg.settings.Gateways; cfg.settings.Rank < 0 || cfg.settings.Rank >= n {
-		slog.Warn("this limiter's number is beyond the fleet: it counts round", "number", cfg.settings.Rank, "limiters", n)
+		slog.Warn("this limiter's number is beyond the fleet: using it modulo the number of limiters", "number", cfg.settings.Rank, "limiters", n)
 	}
 	board := &plans.Board{}
 	reducer := core.New(cfg.settings, cfg.seed, book)
 	if file.Counters != nil {
-		reducer.Spread(loop.Now(), file.Addresses(), false)
+		reducer.Spread(loop.Now(), file.CounterAddresses(), false)
 	}
 	owner := loop.New(reducer)
-	pool := upstream.New(cfg.settings, most/2, owner.Post, loop.Now)
-	list := discovery.New(cfg.Discovery, cfg.settings, pool, owner.Post)
+	pool := upstream.New(cfg.settings, descriptors/2, owner.Post, loop.Now)
+	discoveryClient := discovery.New(cfg.Discovery, cfg.settings, pool, owner.Post)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	counts := &counterList{Set: counter.New(cfg.Counter, links, owner.Post, loop.Now), platform: cfg.Counter, listed: file.Addresses(),
-		several: file.Counters != nil}
+	counts := &counterList{Set: counter.New(cfg.Counter, counterConns, owner.Post, loop.Now), platform: cfg.Counter, listed: file.CounterAddresses(),
+		listInForce: file.Counters != nil}
 	groups := []loop.Caller{pool}
 	if service != nil {
 		groups = append(groups, service.prepare(cfg.settings, owner, board, callers, endpoints))
 	}
 	owner.Connect(groups, counts, board, keeper)
 	owner.Begin()
-	list.Known(cfg.Known)
-	for _, run := range []func(context.Context){owner.Run, pool.Run, counts.Run, list.Run} {
+	discoveryClient.Known(cfg.Known)
+	for _, run := range []func(context.Context){owner.Run, pool.Run, counts.Run, discoveryClient.Run} {
 		crash.Go(func() { run(ctx) })
 	}
 	if cfg.Discovery != "" {
 		select {
-		case <-list.Heard():
-		case <-time.After(firstList):
+		case <-discoveryClient.Heard():
+		case <-time.After(firstListTimeout):
 			slog.Info("discovery says nothing yet, serving by the list that was known", "servers", len(cfg.Known.Servers))
-		case <-told.end:
-			slog.Info("told to end before clients were let in")
+		case <-received.terminate:
+			slog.Info("received a signal to terminate before any client was accepted")
 			return nil
 		}
 	}
-	front := platform.New(cfg.settings, owner, board, most-most/2, int64(heldShare*float64(cfg.Limits.MemoryMB<<20)),
+	front := platform.New(cfg.settings, owner, board, descriptors-descriptors/2, int64(commandMemoryShare*float64(cfg.Limits.MemoryMB<<20)),
 		cfg.Limits.Cores)
-	at, err := front.Listen(cfg.Listen)
+	address, err := front.Listen(cfg.Listen)
 	if err != nil {
 		return err
 	}
@@ -116,15 +116,15 @@
 		slog.Info("serving operators", "socket", file.Admin.Socket)
 	}
 	crash.Go(func() { front.Run(ctx) })
-	slog.Info("serving", "name", cfg.Name, "listen", at)
+	slog.Info("serving", "name", cfg.Name, "listen", address)
 
 	crash.Go(func() {
-		for range told.again { // also while it drains: discovery may move meanwhile
-			reload(cfg, o, owner, list, counts)
+		for range received.hangup { // also while draining: the address of discovery may change meanwhile
+			reload(cfg, o, owner, discoveryClient, counts)
 		}
 	})
-	<-told.end
-	ended := time.After(lastAnswersAfter(cfg.settings.Classes))
+	<-received.terminate
+	finalAnswers := time.After(lastAnswersAfter(cfg.settings.Classes))
 	slog.Info("draining", "open", owner.Open())
 	drained := make(chan struct{})
 	crash.Go(func() {
@@ -134,21 +134,21 @@
 		}
 	})
 	front.Drain()
-	finish(owner, front, drained, ended)
+	awaitDrain(owner, front, drained, finalAnswers)
 	return nil
 }
 
-// lastAnswersAfter is when what is still open at a planned restart is answered. The platform kills no sooner than the
-// longest deadline, counted as 3 s where it is longer, and 0.7 s more after SIGTERM.
+// lastAnswersAfter returns how long after SIGTERM the requests that are still open get their final answers. The platform sends
+// SIGKILL no sooner than 0.7 s after the longest deadline, which it takes as 3 s if it is longer.
 func lastAnswersAfter(classes []logic.Class) time.Duration {
 	longest := time.Duration(0)
 	for _, c := range classes {
 		longest = max(longest, c.Deadline)
 	}
-	return max(min(longest, longestWait), 0) + lastAnswers
+	return max(min(longest, maxDrainDeadline), 0) + finalAnswerDelay
 }
 
-// openBook makes the plan book: the platform's tiers, what the state directory keeps, and the operators' file.
+// openBook creates the plan book from the platform's tiers, the stored plans in the state directory and the operators' file.
 func openBook(cfg config, file operator.File) (*plans.Book, loop.Keeper, error) {
 	limits := file.Limits
 	limits.MostUnits = cfg.settings.MostUnits
@@ -159,20 +159,21 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		kept, found, err := dir.Load()
+		restored, found, err := dir.Load()
 		if err != nil {
-			slog.Error("the plans that were kept cannot be used", "err", err)
+			slog.Error("the stored plans cannot be used", "err", err)
 		}
 		if found {
-			book.Restore(kept)
+			book.Restore(restored)
 		}
 		keeper = dir
 	}
 	return book, keeper, book.Replace(plans.File, file.Plans, file.Reservations, loop.Now(), nil)
 }
 
-// reload reads both files again. What cannot be used leaves the last good one. Addresses are followed; of the settings only
-// the plans can change in service, and they do not where others differ: half of another deployment's must not be in force.
+// reload reads both files again. An invalid file leaves the last valid one in force. Changed addresses take effect. Of the
+// settings, only the plans can change in service, and only if no other setting differs: the settings of a new deployment must
+// not be in force in part.
 func reload(cfg config, o serveOptions, owner *loop.Loop, list *discovery.Client, counts *counterList) {
 	next, err := readConfig(o.config, true)
 	if err != nil {
@@ -180,10 +181,10 @@
 		return
 	}
 	list.Reload(next.Discovery)
-	if other := cfg.unlike(next); len(other) > 0 {
-		slog.Warn("settings differ that hold until a restart, the plans beside them are not taken either", "settings", other)
+	if changed := cfg.changedSettings(next); len(changed) > 0 {
+		slog.Warn("settings differ that hold until a restart, the plans beside them are not taken either", "settings", changed)
 	} else {
-		replan(owner, "the platform's tiers", core.Reread{Tiers: next.settings.Plans})
+		changePlans(owner, "the platform's tiers", core.Reread{Tiers: next.settings.Plans})
 	}
 	listed := counts.listed
 	if o.operator != "" {
@@ -191,27 +192,27 @@
 		if err != nil {
 			slog.Error("the new operators' file cannot be used, the old one is kept", "err", err)
 		} else {
-			listed = file.Addresses()
-			replan(owner, "the operators' file", core.Replace{Source: plans.File, Versions: file.Plans, Reservations: file.Reservations})
+			listed = file.CounterAddresses()
+			changePlans(owner, "the operators' file", core.Replace{Source: plans.File, Versions: file.Plans, Reservations: file.Reservations})
 		}
 	}
 	counts.follow(owner, next.Counter, listed)
 	slog.Info("read the configuration anew", "discovery", next.Discovery, "counter", next.Counter)
 }
 
-// counterList is where the counters are: the operators' list, or the platform's one.
+// counterList holds the addresses of the counters: those in the operators' file, or else the platform's one.
 type counterList struct {
 	*counter.Set
-	platform string
-	listed   []string
-	several  bool // a list has been in force: from then on the reducer hands over what changes
+	platform    string
+	listed      []string
+	listInForce bool // a list is or was in force: from then on, the reducer handles changes of addresses
 }
 
-// follow takes what the files say now.
+// follow applies the addresses that the files name now.
 func (c *counterList) follow(owner *loop.Loop, platform string, listed []string) {
 	before := c.platform
 	c.platform, c.listed = platform, listed
-	if c.several = c.several || listed != nil; !c.several {
+	if c.listInForce = c.listInForce || listed != nil; !c.listInForce {
 		c.Move(platform)
 		return
 	}
@@ -221,33 +222,33 @@
 	owner.Post(core.Counters{Before: before, Addresses: listed})
 }
 
-// replan puts a change to the reducer and logs what became of it.
-func replan(owner *loop.Loop, what string, question any) {
-	owner.Post(core.Ask{Question: question, Reply: func(r core.Reply) {
+// changePlans posts a change to the reducer and logs the result.
+func changePlans(owner *loop.Loop, source string, change any) {
+	owner.Post(core.Ask{Question: change, Reply: func(r core.Reply) {
 		if r.Err != nil {
-			slog.Error("plans cannot be used, the old ones are kept", "from", what, "err", r.Err)
+			slog.Error("plans cannot be used, the old ones are kept", "from", source, "err", r.Err)
 			return
 		}
-		slog.Info("read plans anew", "from", what, "version", r.Book.Current.Number, "to come", len(r.Book.Pending),
+		slog.Info("read plans anew", "from", source, "version", r.Book.Current.Number, "to come", len(r.Book.Pending),
 			"reservations", len(r.Book.Reservations))
 	}})
 }
 
-// finish waits until every request context has its final answer and both fronts have written theirs, and answers
-// what is left before the platform would kill it unanswered.
-func finish(owner *loop.Loop, front *platform.Front, drained <-chan struct{}, ended <-chan time.Time) {
+// awaitDrain waits until every request context has its final answer and both fronts have written theirs. When finalAnswers
+// fires, it answers what is still open, so that nothing is unanswered when the platform kills the process.
+func awaitDrain(owner *loop.Loop, front *platform.Front, drained <-chan struct{}, finalAnswers <-chan time.Time) {
 	tick := time.NewTicker(10 * time.Millisecond)
 	defer tick.Stop()
-	var left <-chan time.Time // nil until the last answers are given
-	for front.Clients() > 0 || left == nil && owner.Open() > 0 || drained != nil {
+	var flushDeadline <-chan time.Time // nil until the final answers are given
+	for front.Clients() > 0 || flushDeadline == nil && owner.Open() > 0 || drained != nil {
 		select {
 		case <-tick.C:
 		case <-drained:
 			drained = nil
-		case <-ended:
+		case <-finalAnswers:
 			owner.Post(core.Closing{})
-			left = time.After(lastFlush)
-		case <-left:
+			flushDeadline = time.After(finalFlushTimeout)
+		case <-flushDeadline:
 			slog.Warn("connections are cut off that do not end", "clients", front.Clients())
 			return
 		}
--- a/internal/evaluate/file.go
+++ b/internal/evaluate/file.go
@@ -1,5 +1,5 @@
-// Package evaluate runs the operators' Starlark files and checks their result: against the published JSON Schema, then
-// by the plan book's own rules. It is the program bramblefall-eval's; the limiter does not link it.
+// Package evaluate runs the operators' Starlark files and checks the result, first against the published JSON Schema, then
+// against the rules of the plan book. Only the program bramblefall-eval links it, not the limiter.
 package evaluate
 
 import (
@@ -27,11 +27,11 @@
 	"bramblefall/logic"
 )
 
-// Parts are the constructors that a file may call.
-var Parts = []string{"ratelimit", "others", "admin", "limits", "tier", "firm", "plan", "reservation", "counter"}
+// Constructors are the constructors that a file may call beside the root, bramblefall.
+var Constructors = []string{"ratelimit", "others", "admin", "limits", "tier", "firm", "plan", "reservation", "counter"}
 
-// form is the file as the schema has it: instants in seconds, firms in hex.
-type form struct {
+// document is the file in the form of the schema: instants in seconds of Unix time, firms in hex.
+type document struct {
 	RateLimit *operator.RateLimit `json:"ratelimit"`
 	Admin     *operator.Admin     `json:"admin"`
 	StateDir  string              `json:"state_dir"`
@@ -64,33 +64,33 @@
 	} `json:"reservations"`
 }
 
-// File runs a script here and checks its result. operator.Read does so in a process of its own.
+// File evaluates a script in this process and checks its result. operator.Read runs it in a separate process.
 func File(path string, source []byte) (operator.File, error) {
 	name := filepath.Base(path)
-	made, err := script.Run(name, source, "bramblefall", Parts...)
+	made, err := script.Run(name, source, "bramblefall", Constructors...)
 	if err != nil {
 		return operator.File{}, operator.Errors{err.Error()}
 	}
-	if all := conform(name, made); len(all) > 0 {
+	if all := validateSchema(name, made); len(all) > 0 {
 		return operator.File{}, all
 	}
 	raw, err := json.Marshal(made.Value)
 	if err != nil {
 		return operator.File{}, err
 	}
-	var f form
+	var f document
 	if err := json.Unmarshal(raw, &f); err != nil {
 		return operator.File{}, operator.Errors{fmt.Sprintf("%s: %v", name, err)}
 	}
 	file := f.file(path)
-	if all := check(file, name, made); len(all) > 0 {
+	if all := checkRules(file, name, made); len(all) > 0 {
 		return operator.File{}, all
 	}
 	return file, nil
 }
 
-// conform holds a result against the schema.
-func conform(name string, made script.Result) (all operator.Errors) {
+// validateSchema returns the violations of the JSON Schema, each with its line.
+func validateSchema(name string, made script.Result) (all operator.Errors) {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(schema.Operator))
 	if err != nil {
 		return operator.Errors{err.Error()}
@@ -105,33 +105,34 @@
 	}
 	var bad *jsonschema.ValidationError
 	if err := compiled.Validate(made.Value); errors.As(err, &bad) {
-		leaves(bad, func(e *jsonschema.ValidationError) {
-			path := dotted(e.InstanceLocation)
+		visitLeaves(bad, func(e *jsonschema.ValidationError) {
+			path := fieldPath(e.InstanceLocation)
 			text := e.ErrorKind.LocalizedString(message.NewPrinter(language.English))
-			all = append(all, (&script.Error{File: name, Line: made.Line(path), Text: field(path) + text}).Error())
+			all = append(all, (&script.Error{File: name, Line: made.Line(path), Text: fieldPrefix(path) + text}).Error())
 		})
 	}
 	return all
 }
 
-func leaves(e *jsonschema.ValidationError, tell func(*jsonschema.ValidationError)) {
+// visitLeaves calls visit for each innermost cause of a validation error.
+func visitLeaves(e *jsonschema.ValidationError, visit func(*jsonschema.ValidationError)) {
 	if len(e.Causes) == 0 {
-		tell(e)
+		visit(e)
 	}
 	for _, cause := range e.Causes {
-		leaves(cause, tell)
+		visitLeaves(cause, visit)
 	}
 }
 
-func field(path string) string {
+func fieldPrefix(path string) string {
 	if path == "" {
 		return ""
 	}
 	return path + ": "
 }
 
-// dotted writes a place as plans[0].tiers[2].rate.
-func dotted(place []string) string {
+// fieldPath formats a JSON location as plans[0].tiers[2].rate.
+func fieldPath(place []string) string {
 	var b strings.Builder
 	for _, p := range place {
 		if _, err := strconv.Atoi(p); err == nil {
@@ -146,70 +147,72 @@
 	return b.String()
 }
 
-func (f form) file(path string) operator.File {
+// file converts the document. It resolves relative paths against the directory of the operators' file.
+func (f document) file(path string) operator.File {
 	out := operator.File{RateLimit: f.RateLimit, Admin: f.Admin, StateDir: f.StateDir, Counters: f.Counters, Limits: plans.DefaultLimits}
-	beside := func(file *string) {
+	resolve := func(file *string) {
 		if *file != "" && !filepath.IsAbs(*file) {
 			*file = filepath.Join(filepath.Dir(path), *file)
 		}
 	}
 	if out.RateLimit != nil && out.RateLimit.Others != nil {
-		beside(&out.RateLimit.Others.Clusters)
-		beside(&out.RateLimit.Others.Endpoints)
+		resolve(&out.RateLimit.Others.Clusters)
+		resolve(&out.RateLimit.Others.Endpoints)
 	}
-	if beside(&out.StateDir); out.Admin != nil {
-		beside(&out.Admin.Socket)
+	if resolve(&out.StateDir); out.Admin != nil {
+		resolve(&out.Admin.Socket)
 	}
 	if f.Limits.Late != nil {
-		out.Limits.Late = nanoseconds(*f.Limits.Late)
+		out.Limits.Late = fromSeconds(*f.Limits.Late)
 	}
 	out.Limits.FleetRate = f.Limits.FleetRate
 	if f.Limits.ReservedShare > 0 {
 		out.Limits.ReservedShare = f.Limits.ReservedShare
 	}
 	for _, p := range f.Plans {
-		v := plans.Version{Number: p.Number, Effective: nanoseconds(p.Effective), Note: p.Note, Author: p.Author, Source: plans.File, Tiers: p.Tiers}
+		v := plans.Version{Number: p.Number, Effective: fromSeconds(p.Effective), Note: p.Note, Author: p.Author, Source: plans.File, Tiers: p.Tiers}
 		for _, x := range p.Firms {
-			v.Firms = append(v.Firms, plans.Firm{Firm: number(x.Firm), Tier: x.Tier, Own: x.Own})
+			v.Firms = append(v.Firms, plans.Firm{Firm: parseFirm(x.Firm), Tier: x.Tier, Own: x.Own})
 		}
 		out.Plans = append(out.Plans, v)
 	}
 	for _, r := range f.Reservations {
-		out.Reservations = append(out.Reservations, plans.Reservation{ID: r.ID, Firm: number(r.Firm), Units: r.Units, Rate: r.Rate,
-			From: nanoseconds(r.Start), Until: nanoseconds(r.End), Note: r.Note, Source: plans.File})
+		out.Reservations = append(out.Reservations, plans.Reservation{ID: r.ID, Firm: parseFirm(r.Firm), Units: r.Units, Rate: r.Rate,
+			From: fromSeconds(r.Start), Until: fromSeconds(r.End), Note: r.Note, Source: plans.File})
 	}
 	return out
 }
 
-func nanoseconds(s float64) time.Duration { return time.Duration(math.Round(s*1e6)) * time.Microsecond }
+func fromSeconds(s float64) time.Duration { return time.Duration(math.Round(s*1e6)) * time.Microsecond }
 
-func number(hex string) uint64 {
-	n, _ := strconv.ParseUint(hex, 16, 64) // the schema has seen to its form
+func parseFirm(hex string) uint64 {
+	n, _ := strconv.ParseUint(hex, 16, 64) // the schema has checked that it is a hex number
 	return n
 }
 
-var hostForm = regexp.MustCompile(`^[A-Za-z0-9]([A-Za-z0-9.-]*[A-Za-z0-9])?$`)
+var hostPattern = regexp.MustCompile(`^[A-Za-z0-9]([A-Za-z0-9.-]*[A-Za-z0-9])?$`)
 
-// addressed tells what is wrong with a counter's address. One form for each, so that none stands twice in two forms.
-func addressed(address string) string {
+// addressProblem describes what is wrong with a counter's address, or returns "". It accepts one spelling of each address, so
+// that a duplicate in another spelling is found.
+func addressProblem(address string) string {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil {
 		return fmt.Sprintf("%q is not like 10.0.0.1:7000", address)
 	}
 	if ip, err := netip.ParseAddr(host); err == nil && ip.String() != host {
-		return fmt.Sprintf("%q is written %q", host, ip)
-	} else if err != nil && !hostForm.MatchString(host) {
-		return fmt.Sprintf("%q is no host", host)
+		return fmt.Sprintf("%q is not in canonical form, want %q", host, ip)
+	} else if err != nil && !hostPattern.MatchString(host) {
+		return fmt.Sprintf("%q is not a host name or IP address", host)
 	}
 	if n, err := strconv.ParseUint(port, 10, 16); err != nil || n == 0 || strconv.FormatUint(n, 10) != port {
-		return fmt.Sprintf("%q is no port from 1 to 65535", port)
+		return fmt.Sprintf("%q is not a port from 1 to 65535", port)
 	}
 	return ""
 }
 
-// check holds the plans and reservations against the book's rules, each with its line.
-func check(f operator.File, name string, made script.Result) (all operator.Errors) {
-	tell := func(err error) {
+// checkRules checks counters, plans and reservations against the rules that the schema cannot express. Each problem has its line.
+func checkRules(f operator.File, name string, made script.Result) (all operator.Errors) {
+	report := func(err error) {
 		var list plans.Problems
 		if errors.As(err, &list) {
 			for _, p := range list {
@@ -217,29 +220,29 @@
 			}
 		}
 	}
-	at := map[string]int{}
+	indexByAddress := map[string]int{}
 	for k, c := range f.Counters {
-		bad := addressed(c.Address)
-		if first, twice := at[c.Address]; twice && bad == "" {
-			bad = fmt.Sprintf("%q is that of counters[%d], too", c.Address, first)
+		problem := addressProblem(c.Address)
+		if first, twice := indexByAddress[c.Address]; twice && problem == "" {
+			problem = fmt.Sprintf("%q is already the address of counters[%d]", c.Address, first)
 		} else if !twice {
-			at[c.Address] = k
+			indexByAddress[c.Address] = k
 		}
-		if bad != "" {
-			tell(plans.Problems{{Field: fmt.Sprintf("counters[%d].address", k), Text: bad}})
+		if problem != "" {
+			report(plans.Problems{{Field: fmt.Sprintf("counters[%d].address", k), Text: problem}})
 		}
 	}
 	book := plans.New(nil, f.Limits)
 	numbers := map[uint64]int{}
 	for k, v := range f.Plans {
 		if first, twice := numbers[v.Number]; twice {
-			tell(plans.Problems{{Field: fmt.Sprintf("plans[%d].number", k), Text: fmt.Sprintf("%d is that of plans[%d], too", v.Number, first)}})
+			report(plans.Problems{{Field: fmt.Sprintf("plans[%d].number", k), Text: fmt.Sprintf("%d is already the number of plans[%d]", v.Number, first)}})
 			continue
 		}
 		numbers[v.Number] = k
 	}
 	if len(all) == 0 {
-		tell(book.Replace(plans.File, f.Plans, f.Reservations, 0, nil))
+		report(book.Replace(plans.File, f.Plans, f.Reservations, 0, nil))
 	}
 	return all
 }
--- a/internal/evaluate/file_test.go
+++ b/internal/evaluate/file_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestWhatIsWrongIsToldWithLineAndField(t *testing.T) {
-	for name, c := range map[string]struct{ script, says string }{
+func TestErrorsNameLineAndField(t *testing.T) {
+	for name, c := range map[string]struct{ script, want string }{
 		"never called":     {"x = 1\n", "never called"},
 		"called twice":     {"bramblefall()\nbramblefall()\n", "o.star:2: bramblefall is called a second time, first in line 1"},
 		"a syntax error":   {"x = 1\nbramblefall(\n  plans = [\n", "o.star:4: "},
@@ -25,24 +25,24 @@
 		"a bad time":       {"bramblefall(plans = [plan(number = 1, effective = time('tomorrow'), tiers = [])])\n", "is not like 2026-12-31T21:00:00+03:00"},
 		"promises":         {"bramblefall(limits = limits(fleet_rate = 10, reserved_share = 0.1), reservations = [\n reservation(id = 'r', firm = 'b4', units = 100, start = 1000, end = 1010)])\n", "o.star:2: reservations[0].units: "},
 		"no counter":       {"\nbramblefall(counters = [])\n", "o.star:2: counters: minItems: got 0, want 1"},
-		"a counter twice":  {"bramblefall(counters = [\n counter(address = '10.0.0.1:7000'),\n counter(address = '10.0.0.1:7000'),\n])\n", "o.star:3: counters[1].address: \"10.0.0.1:7000\" is that of counters[0], too"},
+		"a counter twice":  {"bramblefall(counters = [\n counter(address = '10.0.0.1:7000'),\n counter(address = '10.0.0.1:7000'),\n])\n", "o.star:3: counters[1].address: \"10.0.0.1:7000\" is already the address of counters[0]"},
 		"no port":          {"bramblefall(counters = [\n counter(address = '10.0.0.1')])\n", "o.star:2: counters[0].address: \"10.0.0.1\" is not like 10.0.0.1:7000"},
-		"a port too high":  {"bramblefall(counters = [\n counter(address = '10.0.0.1:70000')])\n", "o.star:2: counters[0].address: \"70000\" is no port from 1 to 65535"},
-		"no host":          {"bramblefall(counters = [\n counter(address = ':7000')])\n", "o.star:2: counters[0].address: \"\" is no host"},
-		"another form":     {"bramblefall(counters = [\n counter(address = '[::0:1]:7000')])\n", "o.star:2: counters[0].address: \"::0:1\" is written \"::1\""},
+		"a port too high":  {"bramblefall(counters = [\n counter(address = '10.0.0.1:70000')])\n", "o.star:2: counters[0].address: \"70000\" is not a port from 1 to 65535"},
+		"no host":          {"bramblefall(counters = [\n counter(address = ':7000')])\n", "o.star:2: counters[0].address: \"\" is not a host name or IP address"},
+		"another form":     {"bramblefall(counters = [\n counter(address = '[::0:1]:7000')])\n", "o.star:2: counters[0].address: \"::0:1\" is not in canonical form, want \"::1\""},
 		"a bare address":   {"bramblefall(counters = ['10.0.0.1:7000'])\n", "o.star:1: counters[0]: got string, want object"},
 		"an endless loop":  {"def f():\n  for _ in range(1 << 40): pass\nf()\n", "o.star:2: takes more than"},
 		"recursion":        {"def f(): f()\nf()\n", "o.star:1: function f called recursively"},
 		"itself":           {"l = []\nl.append(l)\nbramblefall(plans = l)\n", "nested more than"},
-		"a function":       {"bramblefall(plans = [len])\n", "o.star:1: plans[0]: a builtin_function_or_method cannot stand here"},
+		"a function":       {"bramblefall(plans = [len])\n", "o.star:1: plans[0]: a builtin_function_or_method is not allowed here"},
 		"I/O":              {"load('x.star', 'y')\nbramblefall()\n", "o.star:1: "},
 	} {
 		_, err := File("/etc/o.star", []byte(c.script))
-		require.ErrorContains(t, err, c.says, name)
+		require.ErrorContains(t, err, c.want, name)
 	}
 }
 
-func TestFunctionsAndLoopsMakeAFile(t *testing.T) {
+func TestFunctionsAndLoopsBuildFile(t *testing.T) {
 	f, err := File("/etc/bramblefall/o.star", []byte(`
 def pool(scale):
     return [tier(name = n, rate = scale * r, burst = 5 * scale * r) for n, r in {"associate": 1, "full": 10}.items()]
@@ -62,7 +62,7 @@
 	require.Equal(t, "/etc/bramblefall/admin.sock", f.Admin.Socket)
 	require.Equal(t, "/var/lib/b", f.StateDir)
 	require.Len(t, f.Plans, 3)
-	require.Equal(t, "10.0.3.255:7000", f.Addresses()[1023])
+	require.Equal(t, "10.0.3.255:7000", f.CounterAddresses()[1023])
 	require.Equal(t, 30.0, f.Plans[2].Tiers[1].Rate)
 	require.Equal(t, "2027-01-02T21:00:00Z", time.Unix(0, int64(f.Plans[2].Effective)).UTC().Format(time.RFC3339))
 	require.Equal(t, uint64(0xb4d65521), f.Reservations[1].Firm)
--- a/internal/evaluate/process.go
+++ b/internal/evaluate/process.go
@@ -13,9 +13,9 @@
 	"bramblefall/internal/operator"
 )
 
-// Main is what the program does: it bounds its own memory, evaluates and writes the outcome.
+// Main is the body of bramblefall-eval: it limits the process's own memory, evaluates a file and writes an operator.Outcome.
 func Main(path string, out io.Writer) error {
-	if err := bound(); err != nil {
+	if err := limitMemory(); err != nil {
 		return err
 	}
 	source, err := os.ReadFile(path)
@@ -34,12 +34,12 @@
 	return json.NewEncoder(out).Encode(o)
 }
 
-// mostThreads is how many threads the runtime may start on two processors, with room to spare.
-const mostThreads = 16
+// maxThreads is more than the number of threads that the Go runtime starts with GOMAXPROCS at 2.
+const maxThreads = 16
 
-// bound sets the limit on addresses: the Go runtime reserves many at its start, so it is told from there, and every
-// thread takes a stack's worth. (The C library's own reserve for each thread is off, see operator.Read.)
-func bound() error {
+// limitMemory limits the address space of the process. The limit counts from what is mapped now, since the Go runtime reserves
+// much at its start, and adds a stack for every thread. (operator.Read disables the C library's own reserve for each thread.)
+func limitMemory() error {
 	runtime.GOMAXPROCS(2)
 	raw, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
@@ -54,9 +54,9 @@
 	if err := syscall.Getrlimit(syscall.RLIMIT_STACK, &stack); err != nil {
 		return err
 	}
-	if stack.Cur > 64<<20 { // none, or more than a script is worth
+	if stack.Cur > 64<<20 { // no limit, or more than a script should need
 		stack.Cur = 64 << 20
 	}
-	most := pages*uint64(os.Getpagesize()) + mostThreads*stack.Cur + operator.MostMemory
-	return syscall.Setrlimit(syscall.RLIMIT_AS, &syscall.Rlimit{Cur: most, Max: most})
+	limitBytes := pages*uint64(os.Getpagesize()) + maxThreads*stack.Cur + operator.MaxMemoryBytes
+	return syscall.Setrlimit(syscall.RLIMIT_AS, &syscall.Rlimit{Cur: limitBytes, Max: limitBytes})
 }
--- a/internal/operator/process.go
+++ b/internal/operator/process.go
@@ -13,59 +13,59 @@
 	"time"
 )
 
-// Bounds of the process that evaluates a script.
+// Limits of the process that evaluates a script.
 const (
-	MostMemory = 256 << 20 // bytes beyond what the process has at its start
-	mostTime   = 10 * time.Second
-	mostSource = 4 << 20
-	mostResult = 64 << 20
+	MaxMemoryBytes    = 256 << 20 // of address space, beyond what the process has mapped at its start
+	evaluationTimeout = 10 * time.Second
+	maxSourceBytes    = 4 << 20
+	maxResultBytes    = 64 << 20
 )
 
-// Program is the name of the program that evaluates a file. It stands beside the limiter's.
-const Program = "bramblefall-eval"
+// EvaluatorName is the file name of the program that evaluates a file. It is installed in the limiter's directory.
+const EvaluatorName = "bramblefall-eval"
 
-// Outcome is what the process writes.
+// Outcome is what the evaluating process writes to its standard output, as JSON.
 type Outcome struct {
 	File   *File    `json:"file,omitempty"`
 	Errors []string `json:"errors,omitempty"`
 }
 
-// Read evaluates a file in a process of its own.
+// Read evaluates and checks a file in a process of its own, within limits of time, memory and output.
 func Read(path string) (File, error) {
 	name := filepath.Base(path)
 	self, err := os.Executable()
 	if err != nil {
 		return File{}, err
 	}
-	program := filepath.Join(filepath.Dir(self), Program)
-	if _, err := os.Stat(program); err != nil {
-		return File{}, fmt.Errorf("an operators' file needs %s beside %s: %w", Program, filepath.Base(self), err)
+	evaluator := filepath.Join(filepath.Dir(self), EvaluatorName)
+	if _, err := os.Stat(evaluator); err != nil {
+		return File{}, fmt.Errorf("reading an operators' file needs the program %s in the same directory as %s: %w", EvaluatorName, filepath.Base(self), err)
 	}
 	if info, err := os.Stat(path); err != nil {
 		return File{}, err
-	} else if info.Size() > mostSource {
-		return File{}, Errors{fmt.Sprintf("%s: over %d bytes", name, mostSource)}
+	} else if info.Size() > maxSourceBytes {
+		return File{}, Errors{fmt.Sprintf("%s: file has %d bytes, more than the limit of %d", name, info.Size(), maxSourceBytes)}
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), mostTime)
+	ctx, cancel := context.WithTimeout(context.Background(), evaluationTimeout)
 	defer cancel()
-	cmd := exec.CommandContext(ctx, program, path)
-	// The C library keeps 64 MB of addresses for each thread that allocates: of four threads nothing would be left.
+	cmd := exec.CommandContext(ctx, evaluator, path)
+	// The C library reserves 64 MB of address space for each thread that allocates; four threads would use up the 256 MB limit.
 	cmd.Env = append(os.Environ(), "MALLOC_ARENA_MAX=1")
-	var out, said bytes.Buffer
-	cmd.Stdout, cmd.Stderr = &limited{&out, mostResult}, &limited{&said, 64 << 10}
+	var stdout, stderr bytes.Buffer
+	cmd.Stdout, cmd.Stderr = &limitedWriter{&stdout, maxResultBytes}, &limitedWriter{&stderr, 64 << 10}
 	err = cmd.Run()
 	var result Outcome
 	switch {
 	case ctx.Err() != nil:
-		return File{}, Errors{fmt.Sprintf("%s: takes longer than %s", name, mostTime)}
-	case strings.Contains(said.String(), "out of memory") || strings.Contains(said.String(), "cannot allocate memory"):
-		return File{}, Errors{fmt.Sprintf("%s: takes more than %d MB of memory", name, MostMemory>>20)}
+		return File{}, Errors{fmt.Sprintf("%s: evaluation takes longer than the limit of %s", name, evaluationTimeout)}
+	case strings.Contains(stderr.String(), "out of memory") || strings.Contains(stderr.String(), "cannot allocate memory"):
+		return File{}, Errors{fmt.Sprintf("%s: evaluation takes more than the limit of %d MB of memory", name, MaxMemoryBytes>>20)}
 	case err != nil:
-		first, _, _ := strings.Cut(said.String(), "\n")
-		return File{}, Errors{fmt.Sprintf("%s: its evaluation ended: %v: %s", name, err, first)}
+		first, _, _ := strings.Cut(stderr.String(), "\n")
+		return File{}, Errors{fmt.Sprintf("%s: evaluation failed: %v: %s", name, err, first)}
 	}
-	if err := json.Unmarshal(out.Bytes(), &result); err != nil || result.File == nil && len(result.Errors) == 0 {
-		return File{}, Errors{fmt.Sprintf("%s: its evaluation gave nothing that can be read: %v", name, err)}
+	if err := json.Unmarshal(stdout.Bytes(), &result); err != nil || result.File == nil && len(result.Errors) == 0 {
+		return File{}, Errors{fmt.Sprintf("%s: evaluation wrote no result that can be decoded: %v", name, err)}
 	}
 	if len(result.Errors) > 0 {
 		return File{}, Errors(result.Errors)
@@ -73,13 +73,14 @@
 	return *result.File, nil
 }
 
-type limited struct {
-	to   *bytes.Buffer
-	left int
+// limitedWriter buffers output and fails the write that exceeds the remaining bytes.
+type limitedWriter struct {
+	to        *bytes.Buffer
+	remaining int
 }
 
-func (l *limited) Write(b []byte) (int, error) {
-	if l.left -= len(b); l.left < 0 {
+func (l *limitedWriter) Write(b []byte) (int, error) {
+	if l.remaining -= len(b); l.remaining < 0 {
 		return 0, io.ErrShortWrite
 	}
 	return l.to.Write(b)
--- a/internal/script/script.go
+++ b/internal/script/script.go
@@ -1,7 +1,7 @@
-// Package script evaluates the operators' Starlark files. It does no I/O, and its steps are bounded; its memory is
-// bounded by the process that runs it (package operator). A script calls one of the constructors that its reader names,
-// such as bramblefall(...), once; the call's arguments are the result. Every constructor remembers the line of its call,
-// so that what is wrong with a field can be told with the line that made it.
+// Package script evaluates the operators' Starlark files. It does no I/O and limits the number of execution steps; the
+// process that runs it limits its memory (package operator). A script must call its root constructor, such as
+// bramblefall(...), exactly once; the arguments of that call are the result. Every constructor records the line of its call,
+// so that an error in a field can name the line that made it.
 package script
 
 import (
@@ -18,20 +18,20 @@
 	"go.starlark.net/syntax"
 )
 
-// Bounds of one evaluation.
+// Limits of one evaluation.
 const (
-	mostSteps = 20_000_000
-	mostDepth = 32
-	mostNodes = 2_000_000
+	maxSteps  = 20_000_000
+	maxDepth  = 32
+	maxValues = 2_000_000
 )
 
-// Result is what a script has made.
+// Result is the value of a script's root constructor.
 type Result struct {
-	Value any            // of maps, lists, strings, json.Numbers and booleans
-	Lines map[string]int // of the constructors' calls by path, such as plans[0].tiers[2]; the whole is ""
+	Value any            // nested maps, lists, strings, json.Numbers and booleans
+	Lines map[string]int // lines of the constructor calls by path, such as plans[0].tiers[2]; the root's path is ""
 }
 
-// Line finds the line of the call that made a field: that of the innermost constructor round it; 0: not known.
+// Line returns the line of the call that made a field, which is that of the innermost constructor around it, or 0 if unknown.
 func (r Result) Line(path string) int {
 	for {
 		if line, ok := r.Lines[path]; ok {
@@ -45,10 +45,10 @@
 	}
 }
 
-// Error is what is wrong with a script: where, and what.
+// Error is a problem in a script, with its file and line.
 type Error struct {
 	File string
-	Line int // 0: not known
+	Line int // 0: unknown
 	Text string
 }
 
@@ -60,7 +60,7 @@
 	return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.Text)
 }
 
-// record is what a constructor makes.
+// record is the Starlark value that a constructor returns.
 type record struct {
 	kind string
 	args *starlark.Dict
@@ -75,7 +75,7 @@
 // Hash implements starlark.Value.
 func (r *record) Hash() (uint32, error) { return 0, fmt.Errorf("unhashable: %s", r.kind) }
 
-// Attr lets a script read a field back, as t.rate.
+// Attr implements starlark.HasAttrs: a script can read a field back, as in t.rate.
 func (r *record) Attr(name string) (starlark.Value, error) {
 	v, found, err := r.args.Get(starlark.String(name))
 	if !found || err != nil {
@@ -92,31 +92,31 @@
 	return names
 }
 
-// Run evaluates a script. The call of the constructor named whole gives the result; parts may stand in it.
-func Run(file string, source []byte, whole string, parts ...string) (Result, error) {
+// Run evaluates a script. The result is the call of the constructor named root, which may contain calls of the others.
+func Run(file string, source []byte, root string, constructors ...string) (Result, error) {
 	var result *record
 	globals := starlark.StringDict{
-		"time":   starlark.NewBuiltin("time", instant),
+		"time":   starlark.NewBuiltin("time", parseTime),
 		"second": starlark.Float(1), "minute": starlark.Float(60), "hour": starlark.Float(3600),
 		"day": starlark.Float(86400),
 	}
-	for _, kind := range append(parts, whole) {
+	for _, kind := range append(constructors, root) {
 		globals[kind] = starlark.NewBuiltin(kind, func(t *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, named []starlark.Tuple) (starlark.Value, error) {
 			r := &record{kind: kind, args: starlark.NewDict(len(named)), line: int(t.CallFrame(1).Pos.Line)}
 			if len(args) > 0 {
-				return nil, fmt.Errorf("%s takes named arguments only", kind)
+				return nil, fmt.Errorf("%s takes named arguments only, got %d positional ones", kind, len(args))
 			}
 			for _, kv := range named {
 				if kv[1] == starlark.None {
-					continue // as if it were not there: functions may pass it on
+					continue // None counts as absent, so that functions can pass optional arguments on
 				}
 				if err := r.args.SetKey(kv[0], kv[1]); err != nil {
 					return nil, err
 				}
 			}
-			if kind == whole {
+			if kind == root {
 				if result != nil {
-					return nil, fmt.Errorf("%s is called a second time, first in line %d", whole, result.line)
+					return nil, fmt.Errorf("%s is called a second time, first in line %d", root, result.line)
 				}
 				result = r
 			}
@@ -124,21 +124,21 @@
 		})
 	}
 	thread := &starlark.Thread{Name: file, Print: func(*starlark.Thread, string) {}}
-	thread.SetMaxExecutionSteps(mostSteps)
+	thread.SetMaxExecutionSteps(maxSteps)
 	options := &syntax.FileOptions{Set: true, While: false, TopLevelControl: true, GlobalReassign: true}
 	if _, err := starlark.ExecFileOptions(options, thread, file, source, globals); err != nil {
-		return Result{}, where(file, err)
+		return Result{}, withLine(file, err)
 	}
 	if result == nil {
-		return Result{}, &Error{File: file, Text: whole + "(...) is never called"}
+		return Result{}, &Error{File: file, Text: root + "(...) is never called"}
 	}
 	c := converter{file: file, lines: map[string]int{}}
 	v, err := c.value("", result, 0, 0)
 	return Result{v, c.lines}, err
 }
 
-// where finds the line of an error: that of the script's innermost frame.
-func where(file string, err error) error {
+// withLine converts an error of the interpreter to an Error with the line of the script's innermost frame.
+func withLine(file string, err error) error {
 	var eval *starlark.EvalError
 	var syn syntax.Error
 	var names resolve.ErrorList
@@ -157,15 +157,15 @@
 			}
 		}
 		if strings.Contains(e.Text, "too many steps") {
-			e.Text = fmt.Sprintf("takes more than %d steps", mostSteps)
+			e.Text = fmt.Sprintf("takes more than %d steps", maxSteps)
 		}
 	}
 	e.Text = strings.TrimPrefix(strings.ReplaceAll(e.Text, "\n", " "), file+":")
 	return e
 }
 
-// instant reads an RFC 3339 time into seconds of Unix time.
-func instant(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, named []starlark.Tuple) (starlark.Value, error) {
+// parseTime is the script function time: it converts an RFC 3339 time to Unix time in seconds.
+func parseTime(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, named []starlark.Tuple) (starlark.Value, error) {
 	var text string
 	if err := starlark.UnpackPositionalArgs(b.Name(), args, named, 1, &text); err != nil {
 		return nil, err
@@ -177,10 +177,11 @@
 	return starlark.Float(float64(t.UnixNano()) / 1e9), nil
 }
 
+// converter turns Starlark values into plain Go values.
 type converter struct {
-	file  string
-	lines map[string]int
-	nodes int
+	file   string
+	lines  map[string]int
+	values int
 }
 
 func (c *converter) fail(line int, path, text string) error {
@@ -190,10 +191,10 @@
 	return &Error{c.file, line, text}
 }
 
-// value turns a Starlark value into plain ones; line is that of the constructor round it.
+// value converts one Starlark value. The line is that of the innermost constructor around it, for errors.
 func (c *converter) value(path string, v starlark.Value, line, depth int) (any, error) {
-	if c.nodes++; depth > mostDepth || c.nodes > mostNodes {
-		return nil, c.fail(line, path, fmt.Sprintf("more than %d values, or nested more than %d deep", mostNodes, mostDepth))
+	if c.values++; depth > maxDepth || c.values > maxValues {
+		return nil, c.fail(line, path, fmt.Sprintf("more than %d values, or nested more than %d deep", maxValues, maxDepth))
 	}
 	switch v := v.(type) {
 	case *record:
@@ -226,7 +227,7 @@
 		}
 		return list, nil
 	}
-	return nil, c.fail(line, path, "a "+v.Type()+" cannot stand here")
+	return nil, c.fail(line, path, "a "+v.Type()+" is not allowed here, want a number, string, boolean, list, dict or constructor")
 }
 
 func (c *converter) dict(path string, d *starlark.Dict, line, depth int) (any, error) {
