--- a/internal/evaluate/file.go
+++ b/internal/evaluate/file.go
@@ -67,14 +67,14 @@
 // File evaluates a script in this process and checks its result. operator.Read runs it in a separate process.
 func File(path string, source []byte) (operator.File, error) {
 	name := filepath.Base(path)
-	made, err := script.Run(name, source, "bramblefall", Constructors...)
+	result, err := script.Run(name, source, "bramblefall", Constructors...)
 	if err != nil {
 		return operator.File{}, operator.Errors{err.Error()}
 	}
-	if all := validateSchema(name, made); len(all) > 0 {
+	if all := validateSchema(name, result); len(all) > 0 {
 		return operator.File{}, all
 	}
-	raw, err := json.Marshal(made.Value)
+	raw, err := json.Marshal(result.Value)
 	if err != nil {
 		return operator.File{}, err
 	}
@@ -83,14 +83,14 @@
 		return operator.File{}, operator.Errors{fmt.Sprintf("%s: %v", name, err)}
 	}
 	file := f.file(path)
-	if all := checkRules(file, name, made); len(all) > 0 {
+	if all := checkRules(file, name, result); len(all) > 0 {
 		return operator.File{}, all
 	}
 	return file, nil
 }
 
 // validateSchema returns the violations of the JSON Schema, each with its line.
-func validateSchema(name string, made script.Result) (all operator.Errors) {
+func validateSchema(name string, result script.Result) (all operator.Errors) {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(schema.Operator))
 	if err != nil {
 		return operator.Errors{err.Error()}
@@ -104,11 +104,11 @@
 		return operator.Errors{err.Error()}
 	}
 	var bad *jsonschema.ValidationError
-	if err := compiled.Validate(made.Value); errors.As(err, &bad) {
+	if err := compiled.Validate(result.Value); errors.As(err, &bad) {
 		visitLeaves(bad, func(e *jsonschema.ValidationError) {
 			path := fieldPath(e.InstanceLocation)
 			text := e.ErrorKind.LocalizedString(message.NewPrinter(language.English))
-			all = append(all, (&script.Error{File: name, Line: made.Line(path), Text: fieldPrefix(path) + text}).Error())
+			all = append(all, (&script.Error{File: name, Line: result.Line(path), Text: fieldPrefix(path) + text}).Error())
 		})
 	}
 	return all
@@ -211,12 +211,12 @@
 }
 
 // checkRules checks counters, plans and reservations against the rules that the schema cannot express. Each problem has its line.
-func checkRules(f operator.File, name string, made script.Result) (all operator.Errors) {
+func checkRules(f operator.File, name string, result script.Result) (all operator.Errors) {
 	report := func(err error) {
 		var list plans.Problems
 		if errors.As(err, &list) {
 			for _, p := range list {
-				all = append(all, (&script.Error{File: name, Line: made.Line(p.Field), Text: p.Field + ": " + p.Text}).Error())
+				all = append(all, (&script.Error{File: name, Line: result.Line(p.Field), Text: p.Field + ": " + p.Text}).Error())
 			}
 		}
 	}
