--- a/cmd/bramblefall/serve.go
+++ b/cmd/bramblefall/serve.go
@@ -68,21 +68,21 @@
 	if file.Counters != nil {
 		reducer.Spread(loop.Now(), file.CounterAddresses(), false)
 	}
-	owner := loop.New(reducer)
-	pool := upstream.New(cfg.settings, descriptors/2, owner.Post, loop.Now)
-	discoveryClient := discovery.New(cfg.Discovery, cfg.settings, pool, owner.Post)
+	eventLoop := loop.New(reducer)
+	pool := upstream.New(cfg.settings, descriptors/2, eventLoop.Post, loop.Now)
+	discoveryClient := discovery.New(cfg.Discovery, cfg.settings, pool, eventLoop.Post)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	counts := &counterList{Set: counter.New(cfg.Counter, counterConns, owner.Post, loop.Now), platform: cfg.Counter, listed: file.CounterAddresses(),
+	counts := &counterList{Set: counter.New(cfg.Counter, counterConns, eventLoop.Post, loop.Now), platform: cfg.Counter, listed: file.CounterAddresses(),
 		listInForce: file.Counters != nil}
 	groups := []loop.Caller{pool}
 	if service != nil {
-		groups = append(groups, service.prepare(cfg.settings, owner, board, callers, endpoints))
+		groups = append(groups, service.prepare(cfg.settings, eventLoop, board, callers, endpoints))
 	}
-	owner.Connect(groups, counts, board, keeper)
-	owner.Begin()
+	eventLoop.Connect(groups, counts, board, keeper)
+	eventLoop.Begin()
 	discoveryClient.Known(cfg.Known)
-	for _, run := range []func(context.Context){owner.Run, pool.Run, counts.Run, discoveryClient.Run} {
+	for _, run := range []func(context.Context){eventLoop.Run, pool.Run, counts.Run, discoveryClient.Run} {
 		crash.Go(func() { run(ctx) })
 	}
 	if cfg.Discovery != "" {
@@ -95,7 +95,7 @@
 			return nil
 		}
 	}
-	front := platform.New(cfg.settings, owner, board, descriptors-descriptors/2, int64(commandMemoryShare*float64(cfg.Limits.MemoryMB<<20)),
+	front := platform.New(cfg.settings, eventLoop, board, descriptors-descriptors/2, int64(commandMemoryShare*float64(cfg.Limits.MemoryMB<<20)),
 		cfg.Limits.Cores)
 	address, err := front.Listen(cfg.Listen)
 	if err != nil {
@@ -108,7 +108,7 @@
 		defer service.stop()
 	}
 	if file.Admin != nil {
-		operators := admin.New(owner)
+		operators := admin.New(eventLoop)
 		if err := operators.Listen(file.Admin.Socket); err != nil {
 			return err
 		}
@@ -120,12 +120,12 @@
 
 	crash.Go(func() {
 		for range received.hangup { // also while draining: the address of discovery may change meanwhile
-			reload(cfg, o, owner, discoveryClient, counts)
+			reload(cfg, o, eventLoop, discoveryClient, counts)
 		}
 	})
 	<-received.terminate
 	finalAnswers := time.After(lastAnswersAfter(cfg.settings.Classes))
-	slog.Info("draining", "open", owner.Open())
+	slog.Info("draining", "open", eventLoop.Open())
 	drained := make(chan struct{})
 	crash.Go(func() {
 		defer close(drained)
@@ -134,7 +134,7 @@
 		}
 	})
 	front.Drain()
-	awaitDrain(owner, front, drained, finalAnswers)
+	awaitDrain(eventLoop, front, drained, finalAnswers)
 	return nil
 }
 
@@ -174,7 +174,7 @@
 // reload reads both files again. An invalid file leaves the last valid one in force. Changed addresses take effect. Of the
 // settings, only the plans can change in service, and only if no other setting differs: the settings of a new deployment must
 // not be in force in part.
-func reload(cfg config, o serveOptions, owner *loop.Loop, list *discovery.Client, counts *counterList) {
+func reload(cfg config, o serveOptions, eventLoop *loop.Loop, list *discovery.Client, counts *counterList) {
 	next, err := readConfig(o.config, true)
 	if err != nil {
 		slog.Error("the new configuration cannot be used, the old one is kept", "err", err)
@@ -184,7 +184,7 @@
 	if changed := cfg.changedSettings(next); len(changed) > 0 {
 		slog.Warn("settings differ that hold until a restart, the plans beside them are not taken either", "settings", changed)
 	} else {
-		changePlans(owner, "the platform's tiers", core.Reread{Tiers: next.settings.Plans})
+		changePlans(eventLoop, "the platform's tiers", core.Reread{Tiers: next.settings.Plans})
 	}
 	listed := counts.listed
 	if o.operator != "" {
@@ -193,10 +193,10 @@
 			slog.Error("the new operators' file cannot be used, the old one is kept", "err", err)
 		} else {
 			listed = file.CounterAddresses()
-			changePlans(owner, "the operators' file", core.Replace{Source: plans.File, Versions: file.Plans, Reservations: file.Reservations})
+			changePlans(eventLoop, "the operators' file", core.Replace{Source: plans.File, Versions: file.Plans, Reservations: file.Reservations})
 		}
 	}
-	counts.follow(owner, next.Counter, listed)
+	counts.follow(eventLoop, next.Counter, listed)
 	slog.Info("read the configuration anew", "discovery", next.Discovery, "counter", next.Counter)
 }
 
@@ -209,7 +209,7 @@
 }
 
 // follow applies the addresses that the files name now.
-func (c *counterList) follow(owner *loop.Loop, platform string, listed []string) {
+func (c *counterList) follow(eventLoop *loop.Loop, platform string, listed []string) {
 	before := c.platform
 	c.platform, c.listed = platform, listed
 	if c.listInForce = c.listInForce || listed != nil; !c.listInForce {
@@ -219,12 +219,12 @@
 	if listed == nil {
 		listed = []string{platform}
 	}
-	owner.Post(core.Counters{Before: before, Addresses: listed})
+	eventLoop.Post(core.Counters{Before: before, Addresses: listed})
 }
 
 // changePlans posts a change to the reducer and logs the result.
-func changePlans(owner *loop.Loop, source string, change any) {
-	owner.Post(core.Ask{Question: change, Reply: func(r core.Reply) {
+func changePlans(eventLoop *loop.Loop, source string, change any) {
+	eventLoop.Post(core.Ask{Question: change, Reply: func(r core.Reply) {
 		if r.Err != nil {
 			slog.Error("plans cannot be used, the old ones are kept", "from", source, "err", r.Err)
 			return
@@ -236,17 +236,17 @@
 
 // awaitDrain waits until every request context has its final answer and both fronts have written theirs. When finalAnswers
 // fires, it answers what is still open, so that nothing is unanswered when the platform kills the process.
-func awaitDrain(owner *loop.Loop, front *platform.Front, drained <-chan struct{}, finalAnswers <-chan time.Time) {
+func awaitDrain(eventLoop *loop.Loop, front *platform.Front, drained <-chan struct{}, finalAnswers <-chan time.Time) {
 	tick := time.NewTicker(10 * time.Millisecond)
 	defer tick.Stop()
 	var flushDeadline <-chan time.Time // nil until the final answers are given
-	for front.Clients() > 0 || flushDeadline == nil && owner.Open() > 0 || drained != nil {
+	for front.Clients() > 0 || flushDeadline == nil && eventLoop.Open() > 0 || drained != nil {
 		select {
 		case <-tick.C:
 		case <-drained:
 			drained = nil
 		case <-finalAnswers:
-			owner.Post(core.Closing{})
+			eventLoop.Post(core.Closing{})
 			flushDeadline = time.After(finalFlushTimeout)
 		case <-flushDeadline:
 			slog.Warn("connections are cut off that do not end", "clients", front.Clients())
