--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -73,7 +73,7 @@
 }
 
 // listLength reads the number of objects in a list. Each object has at least one setting, so a number above that of all
-// settings is invalid; without this bound a huge count would loop almost forever.
+// settings is invalid. Without this bound, a count of up to 1e9 would be looped over.
 func (s *settingsReader) listLength(key string) int {
 	n := s.count(key)
 	if n < 0 || n > len(s.pairs) {
