--- a/cmd/bramblefall/check.go
+++ b/cmd/bramblefall/check.go
@@ -41,7 +41,7 @@
 	return c
 }
 
-// formatStart formats the instant from which a version or a reservation holds; 0 is that of its receipt.
+// formatStart formats the instant from which a version or a reservation holds. 0 stands for the instant of its receipt.
 func formatStart(d time.Duration) string {
 	if d == 0 {
 		return "on receipt"
--- a/cmd/bramblefall/config.go
+++ b/cmd/bramblefall/config.go
@@ -33,7 +33,7 @@
 }
 
 // changedSettings names the settings that differ in next and that take effect only at a restart. These are all but the plans,
-// the addresses of discovery and counter, the seed and the list of known servers.
+// the limiter's name, the addresses of discovery and counter, the seed and the list of known servers.
 func (c config) changedSettings(next config) (names []string) {
 	old, now := reflect.ValueOf(c.settings), reflect.ValueOf(next.settings)
 	for k := range old.NumField() {
--- a/cmd/bramblefall/main.go
+++ b/cmd/bramblefall/main.go
@@ -107,7 +107,7 @@
 
 type serveOptions struct{ config, operator, ratelimit, level string }
 
-// serveCommand reads the configuration and the operators' file, then serves until SIGTERM.
+// serveCommand reads the configuration and the operators' file, then serves until SIGTERM or SIGINT.
 func serveCommand(o serveOptions) error {
 	received := signals{make(chan os.Signal, 1), make(chan os.Signal, 1)}
 	signal.Notify(received.terminate, syscall.SIGTERM, syscall.SIGINT) // before all else: an unhandled SIGHUP would end the process
--- a/cmd/bramblefall/plans.go
+++ b/cmd/bramblefall/plans.go
@@ -18,7 +18,8 @@
 	"bramblefall/internal/operator"
 )
 
-// callTimeout bounds one call of the admin service, which itself waits up to 5 s for an answer.
+// callTimeout bounds all calls that one sub-command makes, such as one for each version of a file. In each call, the admin
+// service itself waits up to 5 s for an answer.
 const callTimeout = 10 * time.Second
 
 // remote is a sub-command that calls the admin service of a running limiter.
@@ -32,7 +33,7 @@
 	c.PersistentFlags().StringVar(&r.socket, "socket", os.Getenv(adminSocketEnv), "the admin socket of a running limiter")
 }
 
-// call connects to the admin service and passes a client to method, bounded by callTimeout.
+// call connects to the admin service and passes a client to method, whose calls are together bounded by callTimeout.
 func (r *remote) call(method func(context.Context, adminpb.AdminClient) error) error {
 	if r.socket == "" {
 		return errNoSocket
--- a/cmd/bramblefall/serve.go
+++ b/cmd/bramblefall/serve.go
@@ -25,12 +25,12 @@
 
 const (
 	reservedDescriptors = 64    // for standard streams, pollers, listener, watch, and up to 32 of the counter
-	minDescriptors      = 128   // lower bound for the limit, and for what remains after the fronts take their share
+	minDescriptors      = 128   // lower bound for the limit, and for what remains after the gRPC front and the admin service get theirs
 	goMemoryShare       = 0.75  // of the platform's memory limit; the rest is for stacks and the kernel's buffers
 	commandMemoryShare  = 0.125 // of the memory limit, for commands in flight: a body is held as read, as written and in buffers
 	gcPercent           = 200   // 8 MB before the first collection, which fits into half of the smallest memory limit
 
-	firstListTimeout  = time.Second            // wait for discovery's first list before accepting clients
+	firstListTimeout  = time.Second            // wait for discovery's first list, or its word that there is no news, before accepting clients
 	maxDrainDeadline  = 3 * time.Second        // longer deadlines are taken as this at a planned restart
 	finalAnswerDelay  = 400 * time.Millisecond // after the longest deadline; SIGKILL may follow 300 ms later
 	finalFlushTimeout = 250 * time.Millisecond // for clients to read the final answers; most are written immediately
@@ -74,7 +74,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	counts := &counterList{Set: counter.New(cfg.Counter, counterConns, eventLoop.Post, loop.Now), platform: cfg.Counter, listed: file.CounterAddresses(),
-		listInForce: file.Counters != nil}
+		hadList: file.Counters != nil}
 	groups := []loop.Caller{pool}
 	if service != nil {
 		groups = append(groups, service.prepare(cfg.settings, eventLoop, board, callers, endpoints))
@@ -138,8 +138,8 @@
 	return nil
 }
 
-// lastAnswersAfter returns how long after SIGTERM the requests that are still open get their final answers. The platform sends
-// SIGKILL no sooner than 0.7 s after the longest deadline, which it takes as 3 s if it is longer.
+// lastAnswersAfter returns how long after SIGTERM the requests that are still open get their final answers. The platform waits
+// at least the longest deadline plus 0.7 s after SIGTERM before it sends SIGKILL. It takes a deadline above 3 s as 3 s.
 func lastAnswersAfter(classes []logic.Class) time.Duration {
 	longest := time.Duration(0)
 	for _, c := range classes {
@@ -203,16 +203,16 @@
 // counterList holds the addresses of the counters: those in the operators' file, or else the platform's one.
 type counterList struct {
 	*counter.Set
-	platform    string
-	listed      []string
-	listInForce bool // a list is or was in force: from then on, the reducer handles changes of addresses
+	platform string
+	listed   []string
+	hadList  bool // a list is or was in force: from then on, the reducer hands counts over to their new counters when the list changes
 }
 
 // follow applies the addresses that the files name now.
 func (c *counterList) follow(eventLoop *loop.Loop, platform string, listed []string) {
 	before := c.platform
 	c.platform, c.listed = platform, listed
-	if c.listInForce = c.listInForce || listed != nil; !c.listInForce {
+	if c.hadList = c.hadList || listed != nil; !c.hadList {
 		c.Move(platform)
 		return
 	}
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -52,7 +52,8 @@
 	return s
 }
 
-// withCrashGuard applies crash.Guard to handlers: gRPC runs them on goroutines of its own, which no other guard covers.
+// withCrashGuard applies crash.Guard to handlers, so that a panic in one is logged in a single line with its stack before the
+// process ends. gRPC runs handlers on goroutines of its own, which no other guard covers.
 func withCrashGuard(ctx context.Context, req any, _ *grpc.UnaryServerInfo, handle grpc.UnaryHandler) (any, error) {
 	defer crash.Guard()
 	return handle(ctx, req)
@@ -109,7 +110,8 @@
 		}
 		return r, nil
 	case <-ctx.Done():
-		// The change may have been made nevertheless. The caller can retry: applying the same version or reservation is idempotent.
+		// The change may have been made nevertheless. The caller can retry: the same numbered version or the same reservation is
+		// added only once. A version without a number is added again.
 		return core.Reply{}, status.FromContextError(ctx.Err()).Err()
 	}
 }
--- a/internal/operator/file.go
+++ b/internal/operator/file.go
@@ -28,7 +28,7 @@
 	Others *xds.Files `json:"others,omitempty"` // external rate limit service that makes the final decision; nil: none
 }
 
-// Counter is one of the quota counters that keys are sharded across.
+// Counter is one of the quota counters over which the counts are distributed by their names (package sharding).
 type Counter struct {
 	Address string `json:"address"`
 }
--- a/internal/wire/config.go
+++ b/internal/wire/config.go
@@ -68,7 +68,8 @@
 	return strings.NewReplacer(",", "_", " ", "_", "\n", "_", "\r", "_").Replace(fmt.Sprint(v))
 }
 
-// loadFieldByName returns the load field of a name, either the servers' own (in their load reports) or that of the settings.
+// loadFieldByName returns the load field of a name, either the servers' own (in their load reports) or that of the settings. For
+// an unknown name, it returns logic.OtherField.
 func loadFieldByName(name string) logic.LoadField {
 	switch name {
 	case "inflight":
@@ -88,7 +89,7 @@
 }
 
 // Load parses a load report such as "inflight=7,queue=2" and returns its values in the order of fields. It returns nil if
-// any field is missing or malformed: a partial report would make a server look idle.
+// any field is missing or malformed: if a server sends garbage, a partial report would make it look idle.
 func Load(report string, fields []logic.LoadField) []float64 {
 	values := map[logic.LoadField]float64{}
 	for _, pair := range strings.Split(report, ",") {
@@ -109,7 +110,7 @@
 }
 
 // Names assigns an index to each name: those of the settings first, then others in the order in which they are seen. So two
-// halls that the settings do not list are not taken for one: hosts in different halls do not deduplicate each other's requests.
+// halls that the settings do not list are not taken for one: nodes in different halls do not deduplicate each other's requests.
 type Names struct{ seen []string }
 
 // NewNames returns an index that starts with the names of the settings.
--- a/internal/wire/mutate_test.go
+++ b/internal/wire/mutate_test.go
@@ -13,8 +13,8 @@
 	"bramblefall/logic"
 )
 
-// fullSettings covers what the settings of the other tests lack: a limiter in the third hall, two kinds of servers, a limit on
-// open requests beside a ceiling, and a class that must never run twice.
+// fullSettings has what the mutations are to reach beside common settings: a limiter in the third hall, two kinds of servers, a
+// limit on attempts in flight beside a ceiling, and a class that must never run twice.
 const fullSettings = `{"balancers":3,"rank":1,"zone":2,"zones":["a","b","c"],"skus":["big","small"],"discovery":"automatic","resolution":0.002,
 "caps":{"cancelling":true,"connIdle":15,"connectTimeout":0.25,"maxAttempts":3,"maxOpen":20000,"maxRetryAfter":0.5,"peers":true,"probes":true,"retryAfter":true},
 "extra":{"hasCounter":true,"countLimit":0.05,"settles":false,"meter":0,"unitsTop":8,"peerIntake":100},
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -73,7 +73,7 @@
 }
 
 // listLength reads the number of objects in a list. Each object has at least one setting, so a number above that of all
-// settings is invalid. Without this bound, a count of up to 1e9 would be looped over.
+// settings is invalid. Without this bound, ParseSettings would loop over a count of almost 1e9 and append as many entries.
 func (s *settingsReader) listLength(key string) int {
 	n := s.count(key)
 	if n < 0 || n > len(s.pairs) {
@@ -122,7 +122,7 @@
 		StartCapacity: s.number("rules.startCapacity"), Cold: s.seconds("rules.cold"), Fall: s.seconds("rules.fall"),
 		FallMultiple: s.number("rules.fallMultiple"), DrainGrace: s.seconds("rules.drainGrace"),
 	}
-	if s.err == nil && (out.Gateways < 1 || out.Gateways > maxGateways) { // divides every share of a quota
+	if s.err == nil && (out.Gateways < 1 || out.Gateways > maxGateways) { // each limiter's share is computed with this number
 		s.invalid("balancers", s.pairs["balancers"], fmt.Sprintf("a count from 1 to %d", maxGateways))
 	}
 	out.ZoneNames = s.list("zones")
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -183,7 +183,8 @@
 	return load
 }
 
-// toInt converts a count that is encoded as a float to an int. NaN and magnitudes of 1e9 or more become 0.
+// toInt converts a count that is encoded as a float to an int. NaN and magnitudes of 1e9 or more become 0,
+// so that an int holds every result.
 func toInt(f float64) int {
 	if !(f > -1e9 && f < 1e9) {
 		return 0
