--- a/internal/model/counter.go
+++ b/internal/model/counter.go
@@ -12,105 +12,105 @@
 // counter is the quota counter: parts that each take calls in turn, so many a second, and turn calls away when the line
 // is long. What it is told late it still adds.
 type counter struct {
-	w      *World
-	number int
-	rng    *rand.Rand
-	parts  []part
-	copies [2]map[uint64]count // the second only while it is split
-	slow   float64             // times as long
-	silent bool
-	down   bool // lost with its hall
-	dead   bool // its process is gone: calls meet nobody
-	split  bool
-	Calls  int
-	borne  int // answered
+	w           *World
+	number      int
+	rng         *rand.Rand
+	shards      []shard
+	replicas    [2]map[uint64]counterEntry // the second only while it is split
+	slowdown    float64                    // times as long
+	silent      bool
+	unreachable bool // lost with its hall
+	crashed     bool // its process is gone: calls meet nobody
+	partitioned bool
+	Calls       int
+	answered    int // answered
 }
 
-type part struct {
-	free    time.Duration // when its line is empty
+type shard struct {
+	freeAt  time.Duration // when its line is empty
 	waiting int
 }
 
-type count struct {
-	total float64
-	until time.Duration
+type counterEntry struct {
+	total     float64
+	expiresAt time.Duration
 }
 
 func newCounter(w *World, number int) *counter {
-	return &counter{w: w, number: number, rng: source(w.seed, "counter", number), parts: make([]part, w.s.Counter.Parts),
-		copies: [2]map[uint64]count{{}, {}}, slow: 1}
+	return &counter{w: w, number: number, rng: newRand(w.seed, "counter", number), shards: make([]shard, w.s.Counter.Parts),
+		replicas: [2]map[uint64]counterEntry{{}, {}}, slowdown: 1}
 }
 
 // call makes a call for a limiter; answer is told at most once.
-func (c *counter) call(limiter int, name uint64, amount float64, lives time.Duration, answer func(logic.Status, float64)) {
+func (c *counter) call(limiter int, name uint64, amount float64, ttl time.Duration, answer func(logic.Status, float64)) {
 	c.Calls++
-	hall, at := limiter%c.w.s.Halls, 0
-	if c.w.apart {
-		at = hall // the region's own copy
+	hall, counterHall := limiter%c.w.s.Halls, 0
+	if c.w.regionsCut {
+		counterHall = hall // the region's own copy
 	}
-	there := c.w.delay(hall, at)
-	c.w.sim.After(there, func() {
-		if c.down {
+	oneWay := c.w.delay(hall, counterHall)
+	c.w.sim.After(oneWay, func() {
+		if c.unreachable {
 			return // cut off: nothing is said
 		}
-		if c.dead {
-			c.w.sim.After(c.w.delay(at, hall), func() { answer(logic.ConnectFailed, 0) })
+		if c.crashed {
+			c.w.sim.After(c.w.delay(counterHall, hall), func() { answer(logic.ConnectFailed, 0) })
 			return
 		}
-		p := &c.parts[name%uint64(len(c.parts))]
-		free := c.w.s.Counter.Unlimited
-		if !free && p.waiting >= c.w.s.Counter.Waiting {
-			c.w.sim.After(c.w.delay(at, hall), func() { answer(logic.Full, 0) })
+		p := &c.shards[name%uint64(len(c.shards))]
+		unlimited := c.w.s.Counter.Unlimited
+		if !unlimited && p.waiting >= c.w.s.Counter.MaxPending {
+			c.w.sim.After(c.w.delay(counterHall, hall), func() { answer(logic.Full, 0) })
 			return
 		}
 		p.waiting++
-		took := max(seconds(1/c.w.s.Counter.PerSecond), 0)
-		turn := max(p.free, c.w.sim.now) + seconds(took.Seconds()*c.slow)
-		if free {
-			turn = c.w.sim.now
+		serviceTime := max(seconds(1/c.w.s.Counter.PerSecond), 0)
+		servedAt := max(p.freeAt, c.w.sim.now) + seconds(serviceTime.Seconds()*c.slowdown)
+		if unlimited {
+			servedAt = c.w.sim.now
 		}
-		p.free = turn
-		own := milliseconds(c.w.s.Counter.MS.draw(c.rng) * c.slow)
-		c.w.sim.At(turn+own, func() {
+		p.freeAt = servedAt
+		extraLatency := milliseconds(c.w.s.Counter.LatencyMS.draw(c.rng) * c.slowdown)
+		c.w.sim.At(servedAt+extraLatency, func() {
 			p.waiting--
-			if c.dead {
-				c.w.sim.After(c.w.delay(at, hall), func() { answer(logic.Reset, 0) })
+			if c.crashed {
+				c.w.sim.After(c.w.delay(counterHall, hall), func() { answer(logic.Reset, 0) })
 				return
 			}
-			if c.w.sim.now < begin+seconds(c.w.s.Seconds) {
-				c.borne++
+			if c.w.sim.now < epoch+seconds(c.w.s.Seconds) {
+				c.answered++
 			}
-			total := c.add(limiter, name, amount, lives)
-			if !c.silent && !c.down {
-				c.w.sim.After(c.w.delay(at, hall), func() { answer(logic.OK, total) })
+			total := c.add(limiter, name, amount, ttl)
+			if !c.silent && !c.unreachable {
+				c.w.sim.After(c.w.delay(counterHall, hall), func() { answer(logic.OK, total) })
 			}
 		})
 	})
 }
 
-func (c *counter) add(limiter int, name uint64, amount float64, lives time.Duration) float64 {
-	names := c.copies[0]
-	if c.split && (c.w.apart && limiter%c.w.s.Halls%2 == 1 || !c.w.apart && limiter%2 == 1) {
-		names = c.copies[1]
+func (c *counter) add(limiter int, name uint64, amount float64, ttl time.Duration) float64 {
+	entries := c.replicas[0]
+	if c.partitioned && (c.w.regionsCut && limiter%c.w.s.Halls%2 == 1 || !c.w.regionsCut && limiter%2 == 1) {
+		entries = c.replicas[1]
 	}
-	n := names[name]
-	if c.w.sim.now >= n.until {
-		n = count{until: c.w.sim.now + min(max(lives, time.Millisecond), time.Minute)}
+	entry := entries[name]
+	if c.w.sim.now >= entry.expiresAt {
+		entry = counterEntry{expiresAt: c.w.sim.now + min(max(ttl, time.Millisecond), time.Minute)}
 	}
-	n.total += amount
-	names[name] = n
-	if len(names) > 1<<16 && c.Calls%(1<<16) == 0 { // what is forgotten must not stay in the memory
-		for k, v := range names {
-			if c.w.sim.now >= v.until {
-				delete(names, k)
+	entry.total += amount
+	entries[name] = entry
+	if len(entries) > 1<<16 && c.Calls%(1<<16) == 0 { // what is forgotten must not stay in the memory
+		for k, v := range entries {
+			if c.w.sim.now >= v.expiresAt {
+				delete(entries, k)
 			}
 		}
 	}
-	return seven(n.total)
+	return roundToSevenDigits(entry.total)
 }
 
 // seven rounds to the seven digits that a total is exact to.
-func seven(v float64) float64 {
+func roundToSevenDigits(v float64) float64 {
 	if v == 0 {
 		return 0
 	}
@@ -120,30 +120,30 @@
 
 // flush forgets a part of the names, chosen by the name, so that it does not hang on the order of a map.
 func (c *counter) flush(share float64, salt uint64) {
-	for _, names := range c.copies {
-		for k := range names {
-			if float64(mix(k^salt)>>11)/(1<<53) < share {
-				delete(names, k)
+	for _, entries := range c.replicas {
+		for k := range entries {
+			if float64(mixBits(k^salt)>>11)/(1<<53) < share {
+				delete(entries, k)
 			}
 		}
 	}
 }
 
-func mix(z uint64) uint64 {
+func mixBits(z uint64) uint64 {
 	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
 	z = (z ^ z>>27) * 0x94d049bb133111eb
 	return z ^ z>>31
 }
 
 // dies ends its process; what comes back has no names.
-func (c *counter) dies() {
-	c.dead = true
-	clear(c.copies[0])
-	clear(c.copies[1])
+func (c *counter) loseProcess() {
+	c.crashed = true
+	clear(c.replicas[0])
+	clear(c.replicas[1])
 }
 
 // addresses is the list of so many counters.
-func addresses(n int) (all []string) {
+func allCounterAddresses(n int) (all []string) {
 	for k := range n {
 		all = append(all, fmt.Sprintf("%04d", k)) // in this order they are numbered, too
 	}
@@ -151,15 +151,15 @@
 }
 
 // cut splits it into two copies that go on apart; heal makes the first the only one again.
-func (c *counter) cut() {
-	c.split = true
-	c.copies[1] = make(map[uint64]count, len(c.copies[0]))
-	for k, v := range c.copies[0] {
-		c.copies[1][k] = v
+func (c *counter) partition() {
+	c.partitioned = true
+	c.replicas[1] = make(map[uint64]counterEntry, len(c.replicas[0]))
+	for k, v := range c.replicas[0] {
+		c.replicas[1][k] = v
 	}
 }
 
 func (c *counter) heal() {
-	c.split = false
-	c.copies[1] = map[uint64]count{}
+	c.partitioned = false
+	c.replicas[1] = map[uint64]counterEntry{}
 }
--- a/internal/model/counters_test.go
+++ b/internal/model/counters_test.go
@@ -7,28 +7,28 @@
 )
 
 // spreadOver is a fleet of so many limiters whose firms flood, with counters that bear all of it.
-func spreadOver(limiters, counters, spare int) Scenario {
+func floodedFleet(limiters, counters, spare int) Scenario {
 	s := Scale(limiters, limiters, 20*limiters, 0)
 	s.Seconds, s.Warm = 24, 2
-	s.Counter.Parts, s.Counter.Count, s.Counter.Spare = 4, counters, spare
-	s.Firms.Heavy, s.Firms.HeavyX = 0.5, Range{2, 5}
+	s.Counter.Parts, s.Counter.Count, s.Counter.SpareCount = 4, counters, spare
+	s.Firms.OverQuotaShare, s.Firms.OverQuotaFactor = 0.5, Range{2, 5}
 	return s
 }
 
-func play(s Scenario, seed uint64) (*World, Result) {
+func runScenario(s Scenario, seed uint64) (*World, Result) {
 	w := New(s, seed, Own(), false)
 	return w, w.Run()
 }
 
 // A list of one counter is the platform's one: the same day, to the last figure.
-func TestAListOfOneCounterIsTheDayOfOne(t *testing.T) {
+func TestCounterListOfOneEqualsSingleCounter(t *testing.T) {
 	for _, limiters := range []int{3, 30} {
-		s := spreadOver(limiters, 0, 0)
+		s := floodedFleet(limiters, 0, 0)
 		s.Seconds = 12
 		s.Faults = []Fault{{Kind: FaultSilent, At: 4, For: 2}, {Kind: FaultFlush, At: 8, Part: 0.7}}
-		_, one := play(s, 5)
+		_, one := runScenario(s, 5)
 		s.Counter.Count = 1
-		_, listed := play(s, 5)
+		_, listed := runScenario(s, 5)
 		listed.Events = one.Events // the start's own timers
 		require.Equal(t, one, listed)
 	}
@@ -36,27 +36,27 @@
 
 // A counter that dies costs its names: nothing is broken, and its neighbours bear what they bore. Guards against one state of
 // "the counter" for all.
-func TestALostCounterIsNoConcernOfItsNeighbours(t *testing.T) {
-	s := spreadOver(30, 4, 0)
-	w, calm := play(s, 3)
+func TestCounterCrashLeavesOtherCountersUnaffected(t *testing.T) {
+	s := floodedFleet(30, 4, 0)
+	w, calm := runScenario(s, 3)
 	s.Faults = []Fault{{Kind: FaultLost, At: 6, For: 12, Hall: 1}}
-	v, lost := play(s, 3)
+	v, lost := runScenario(s, 3)
 	require.Empty(t, lost.Violations)
 	require.Greater(t, lost.Worth(), calm.Worth()-0.05)
 	for _, k := range []int{0, 2, 3} {
-		require.InEpsilon(t, w.counters[k].borne, v.counters[k].borne, 0.15, "counter %d", k)
+		require.InEpsilon(t, w.counters[k].answered, v.counters[k].answered, 0.15, "counter %d", k)
 	}
-	require.Less(t, v.counters[1].borne, w.counters[1].borne*8/10)
+	require.Less(t, v.counters[1].answered, w.counters[1].answered*8/10)
 }
 
 // Where the list changes and half of the limiters hear of it ten seconds later, quotas are not given twice: what is sent on
 // beyond them is as on a day without a change.
-func TestAChangeOfTheListGivesNoQuotaTwice(t *testing.T) {
+func TestCounterListChangeGrantsNoQuotaTwice(t *testing.T) {
 	for _, limiters := range []int{3, 30} {
-		s := spreadOver(limiters, 1, 3)
-		_, calm := play(s, 4)
+		s := floodedFleet(limiters, 1, 3)
+		_, calm := runScenario(s, 4)
 		s.Faults = []Fault{{Kind: FaultList, At: 6, For: 10, Part: 0.5, Size: 4}}
-		_, moved := play(s, 4)
+		_, moved := runScenario(s, 4)
 		t.Logf("%d limiters: beyond %.4f calm, %.4f moved; worth %.3f, %.3f", limiters, calm.OverQuota(), moved.OverQuota(), calm.Worth(), moved.Worth())
 		require.Empty(t, moved.Violations)
 		require.Less(t, moved.OverQuota(), calm.OverQuota()+0.01)
@@ -65,8 +65,8 @@
 }
 
 // Three hundred limiters that find a new counter at the same moment do not meet there in a crowd.
-func TestANewCounterIsNotRushed(t *testing.T) {
-	s := spreadOver(300, 2, 1)
+func TestNewCounterIsNotOverloaded(t *testing.T) {
+	s := floodedFleet(300, 2, 1)
 	s.Seconds, s.Nodes = 9, 100
 	s.Faults = []Fault{{Kind: FaultList, At: 6, Part: 1, Size: 3}}
 	w := New(s, 6, Own(), false)
@@ -81,22 +81,22 @@
 }
 
 // A list that changes every second multiplies no calls: what is given up is the count of names that too many lists have held.
-func TestAListThatChangesEverySecondIsBorne(t *testing.T) {
-	s := spreadOver(30, 2, 30)
-	_, calm := play(s, 8)
+func TestCounterListChangingEverySecond(t *testing.T) {
+	s := floodedFleet(30, 2, 30)
+	_, calm := runScenario(s, 8)
 	for k := range 20 {
 		s.Faults = append(s.Faults, Fault{Kind: FaultList, At: 4 + float64(k), For: 0.5, Part: 0.5, Size: 2, Hall: k + 1})
 	}
-	_, moved := play(s, 8)
+	_, moved := runScenario(s, 8)
 	t.Logf("calls %d calm, %d moved; beyond %.4f, %.4f; worth %.3f, %.3f", calm.Calls, moved.Calls, calm.OverQuota(), moved.OverQuota(), calm.Worth(), moved.Worth())
 	require.Empty(t, moved.Violations)
 	require.Less(t, moved.Calls, 3*calm.Calls)
 }
 
 // A counter that is wiped, slow by tens of milliseconds, or dead and back elsewhere while the list changes.
-func TestCountersInTroubleWhileTheListChanges(t *testing.T) {
-	s := spreadOver(30, 3, 1)
-	_, calm := play(s, 9)
+func TestCounterFaultsDuringListChange(t *testing.T) {
+	s := floodedFleet(30, 3, 1)
+	_, calm := runScenario(s, 9)
 	list := Fault{Kind: FaultList, At: 8, For: 8, Part: 0.5, Size: 3, Hall: 1}
 	for name, trouble := range map[string]Fault{
 		"wiped":             {Kind: FaultFlush, At: 10, Part: 1},
@@ -106,7 +106,7 @@
 		"a limiter's death": {Kind: FaultLimiters, At: 10, For: 1, Part: 0.2},
 	} {
 		s.Faults = []Fault{list, trouble}
-		_, r := play(s, 9)
+		_, r := runScenario(s, 9)
 		t.Logf("%s: beyond %.4f calm, %.4f; worth %.3f, %.3f", name, calm.OverQuota(), r.OverQuota(), calm.Worth(), r.Worth())
 		require.Empty(t, r.Violations, name)
 		require.Less(t, r.OverQuota(), calm.OverQuota()+0.03, name)
--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -13,20 +13,20 @@
 )
 
 // lone is a world of one node with unlimited waiting room and no policy at work.
-func lone(seed uint64, cores int) (*World, *node) {
+func singleNode(seed uint64, cores int) (*World, *node) {
 	s := Base()
 	s.Nodes, s.Limiters, s.Firms.Count = 1, 1, 1
 	s.Node = NodeKind{Cores: cores, Slots: cores, Queue: 1 << 30}
 	w := New(s, seed, Own(), false)
-	w.firms[0].over = true
+	w.firms[0].stopped = true
 	return w, w.nodes[0]
 }
 
 // waits is the mean time in the queue of n requests at a load.
-func waits(seed uint64, cores int, load, cv2 float64, n int) float64 {
-	w, node := lone(seed, cores)
-	w.limiters[0].die() // its ticks are of no use here
-	rng := source(seed, "arrivals", 0)
+func meanWait(seed uint64, cores int, load, cv2 float64, n int) float64 {
+	w, node := singleNode(seed, cores)
+	w.limiters[0].crash() // its ticks are of no use here
+	rng := newRand(seed, "arrivals", 0)
 	sum, done := 0.0, 0
 	rate := load * float64(cores)
 	var arrive func(left int)
@@ -34,8 +34,8 @@
 		if left == 0 {
 			return
 		}
-		came, took := w.sim.now, work(rng, 1, cv2)
-		node.take(&job{work: took, reply: func(logic.Status) {
+		came, took := w.sim.now, drawGamma(rng, 1, cv2)
+		node.accept(&job{work: took, reply: func(logic.Status) {
 			if done++; done > n/20 { // the first find it empty
 				sum += (w.sim.now - came).Seconds() - took
 			}
@@ -43,7 +43,7 @@
 		w.sim.After(seconds(rng.ExpFloat64()/rate), func() { arrive(left - 1) })
 	}
 	arrive(n)
-	w.sim.Run(begin + 1000*time.Hour)
+	w.sim.Run(epoch + 1000*time.Hour)
 	return sum / float64(done-n/20)
 }
 
@@ -61,7 +61,7 @@
 	mean := func(cores int, load, cv2 float64) float64 {
 		sum := 0.0
 		for seed := range uint64(6) {
-			sum += waits(seed, cores, load, cv2, 400_000)
+			sum += meanWait(seed, cores, load, cv2, 400_000)
 		}
 		return sum / 6
 	}
@@ -78,15 +78,15 @@
 	}
 }
 
-func small(seconds float64) Scenario {
+func smallScenario(seconds float64) Scenario {
 	s := Base()
 	s.Seconds, s.Nodes, s.Firms.Count = seconds, 6, 60
 	return s
 }
 
 // The same seed gives the same result, in one goroutine and in eight at once, whatever the policy.
-func TestTheSameSeedGivesTheSameBytes(t *testing.T) {
-	s := small(10)
+func TestSameSeedGivesSameResult(t *testing.T) {
+	s := smallScenario(10)
 	s.Faults = []Fault{{Kind: FaultFlush, At: 3, Part: 0.7}, {Kind: FaultLimiters, At: 4, For: 2, Part: 0.3}, {Kind: FaultCrash, At: 6, For: 1, Part: 0.2}}
 	for _, p := range append(Textbook(), Own()) {
 		want := fmt.Sprintf("%+v", New(s, 5, p, false).Run())
@@ -111,7 +111,7 @@
 func TestNoFaultBreaksARule(t *testing.T) {
 	for _, kind := range faultKinds {
 		for seed := range uint64(3) {
-			s := small(20)
+			s := smallScenario(20)
 			s.Faults = []Fault{{Kind: kind, At: 5, For: 6, Part: 0.4, Size: 2, Hall: int(seed % 2)}}
 			r := New(s, seed, Own(), false).Run()
 			require.Empty(t, r.Violations, "%s, seed %d", kind, seed)
@@ -121,9 +121,9 @@
 }
 
 // The auditor sees what a policy that knows no ceiling does.
-func TestTheAuditorSeesABrokenCeiling(t *testing.T) {
-	s := small(15)
-	s.Firms.Heavy, s.Firms.HeavyX = 1, Range{8, 8}
+func TestAuditDetectsExceededCeiling(t *testing.T) {
+	s := smallScenario(15)
+	s.Firms.OverQuotaShare, s.Firms.OverQuotaFactor = 1, Range{8, 8}
 	whole, _ := PolicyNamed("whole-quota+random")
 	r := New(s, 1, whole, false).Run()
 	require.Positive(t, r.CeilingOver)
@@ -133,8 +133,8 @@
 }
 
 // A node that stands still for two seconds shows in the tail: latency counts from when a client wanted to send.
-func TestAPauseShowsInTheTail(t *testing.T) {
-	s := small(12)
+func TestPauseShowsInTailLatency(t *testing.T) {
+	s := smallScenario(12)
 	calm := New(s, 2, Own(), false).Run()
 	s.Faults = []Fault{{Kind: FaultPause, At: 5, For: 2, Part: 1}}
 	paused := New(s, 2, Own(), false).Run()
@@ -142,12 +142,12 @@
 	require.Greater(t, paused.P99, 1.5)
 }
 
-func TestGammaHasItsMeanAndSpread(t *testing.T) {
+func TestGammaMeanAndVariance(t *testing.T) {
 	for _, cv2 := range []float64{0.2, 0.5, 1, 2, 4} {
-		rng := source(1, "gamma", 0)
+		rng := newRand(1, "gamma", 0)
 		sum, squares, n := 0.0, 0.0, 400_000
 		for range n {
-			v := work(rng, 2, cv2)
+			v := drawGamma(rng, 2, cv2)
 			sum, squares = sum+v, squares+v*v
 		}
 		mean := sum / float64(n)
--- a/internal/model/shut_test.go
+++ b/internal/model/shut_test.go
@@ -12,28 +12,28 @@
 )
 
 // watched notes whether a decider turns away all that it gets, fifteen or more, for four seconds on end with no try in between.
-type watched struct {
+type rejectionTracker struct {
 	Decider
-	first time.Duration // of those turned away since the last try
-	away  int
-	most  time.Duration // the longest such time, of fifteen or more
-	tries int
+	rejectingSince time.Duration // of those turned away since the last try
+	rejected       int
+	longest        time.Duration // the longest such time, of fifteen or more
+	attempts       int
 }
 
-func (d *watched) Reduce(now time.Duration, ev core.Event, effects []core.Effect) []core.Effect {
+func (d *rejectionTracker) Reduce(now time.Duration, ev core.Event, effects []core.Effect) []core.Effect {
 	before := len(effects)
 	effects = d.Decider.Reduce(now, ev, effects)
 	for _, e := range effects[before:] {
 		switch e.(type) {
 		case core.Try:
-			d.away = 0
-			d.tries++
+			d.rejected = 0
+			d.attempts++
 		case core.Reject, core.Fail:
-			if d.away++; d.away == 1 {
-				d.first = now
+			if d.rejected++; d.rejected == 1 {
+				d.rejectingSince = now
 			}
-			if d.away >= 15 {
-				d.most = max(d.most, now-d.first)
+			if d.rejected >= 15 {
+				d.longest = max(d.longest, now-d.rejectingSince)
 			}
 		}
 	}
@@ -41,7 +41,7 @@
 }
 
 // On quiet days and releases hardly any limiter serves nobody: one in ten at most.
-func TestFewLimitersServeNobody(t *testing.T) {
+func TestFewLimitersRejectEverything(t *testing.T) {
 	for name, faults := range map[string][]Fault{
 		"calm":    {{Kind: FaultHot, At: 8, For: 8, Size: 0.5}},
 		"release": {{Kind: FaultDrain, At: 4, Part: 0.5}, {Kind: FaultLimiters, At: 5, For: 0.2, Part: 0.5}, {Kind: FaultPause, At: 10, For: 3, Part: 0.1}, {Kind: FaultLimiters, At: 14, For: 0.2, Part: 0.5}},
@@ -53,18 +53,18 @@
 					t.Parallel()
 					s := Scale(limiters, max(6, limiters/2), 10*limiters, 0)
 					s.Name, s.Seconds, s.Faults = name, 24, faults
-					s.Firms.Use = Range{0.5, 0.95}
-					var all []*watched
+					s.Firms.QuotaUse = Range{0.5, 0.95}
+					var all []*rejectionTracker
 					own := Own()
 					w := New(s, seed, Policy{own.Name, func(set logic.Settings, seed uint64) Decider {
-						d := &watched{Decider: own.New(set, seed)}
+						d := &rejectionTracker{Decider: own.New(set, seed)}
 						all = append(all, d)
 						return d
 					}}, false)
 					r := w.Run()
 					shut, tries := 0, 0
 					for _, d := range all {
-						if tries += d.tries; d.most >= 4*time.Second {
+						if tries += d.attempts; d.longest >= 4*time.Second {
 							shut++
 						}
 					}
--- a/internal/model/textbook.go
+++ b/internal/model/textbook.go
@@ -15,12 +15,12 @@
 
 // Textbook is the policies to compare with.
 func Textbook() (all []Policy) {
-	for _, admit := range []string{"even-split", "whole-quota", "count-each", "leases"} {
+	for _, admission := range []string{"even-split", "whole-quota", "count-each", "leases"} {
 		for _, choose := range []string{"random", "least"} {
-			all = append(all, Policy{admit + "+" + choose, func(set logic.Settings, seed uint64) Decider {
-				return &textbook{set: set, rng: rand.New(rand.NewPCG(seed, 5)), admit: admit, least: choose == "least",
-					requests: map[uint64]*asked{}, firms: map[uint64]*bucket{}, calls: map[uint64]func(logic.Status, float64){},
-					out: map[logic.ServerID]int{}}
+			all = append(all, Policy{admission + "+" + choose, func(set logic.Settings, seed uint64) Decider {
+				return &textbook{set: set, rng: rand.New(rand.NewPCG(seed, 5)), admission: admission, leastLoaded: choose == "least",
+					requests: map[uint64]*pendingRequest{}, firms: map[uint64]*firmState{}, pendingCalls: map[uint64]func(logic.Status, float64){},
+					inFlightByServer: map[logic.ServerID]int{}}
 			}})
 		}
 	}
@@ -38,82 +38,82 @@
 }
 
 // alarm is an effect of the textbook policies: the model calls ring at the time.
-type alarm struct {
+type timerEffect struct {
 	at   time.Duration
-	ring func(now time.Duration) []core.Effect
+	fire func(now time.Duration) []core.Effect
 }
 
 type textbook struct {
-	set      logic.Settings
-	rng      *rand.Rand
-	admit    string
-	least    bool
-	servers  []logic.Server
-	requests map[uint64]*asked
-	firms    map[uint64]*bucket
-	calls    map[uint64]func(logic.Status, float64)
-	out      map[logic.ServerID]int
-	next     uint64
-	now      time.Duration
-	effects  []core.Effect
+	set              logic.Settings
+	rng              *rand.Rand
+	admission        string
+	leastLoaded      bool
+	servers          []logic.Server
+	requests         map[uint64]*pendingRequest
+	firms            map[uint64]*firmState
+	pendingCalls     map[uint64]func(logic.Status, float64)
+	inFlightByServer map[logic.ServerID]int
+	lastCallID       uint64
+	now              time.Duration
+	effects          []core.Effect
 }
 
-type asked struct {
+type pendingRequest struct {
 	core.RequestContext
-	until time.Duration
-	tries int
-	at    logic.ServerID
-	flies bool
-	over  bool
+	deadline        time.Duration
+	attempts        int
+	server          logic.ServerID
+	attemptInFlight bool
+	done            bool
 }
 
 // bucket is a firm's, filled at a rate; seen bounds it.
-type bucket struct {
-	level float64
-	at    time.Duration
-	lease float64
-	asks  bool
-	waits []*asked
+type firmState struct {
+	level        float64
+	filledAt     time.Duration
+	leased       float64
+	leasePending bool
+	waiting      []*pendingRequest
 }
 
 const (
-	window    = time.Second // of the counting policies
-	leasePart = 0.1         // of a window's units
+	windowLength = time.Second // of the counting policies
+	leaseShare   = 0.1         // of a window's units
 )
 
 func (t *textbook) Reduce(now time.Duration, ev core.Event, effects []core.Effect) []core.Effect {
 	t.now, t.effects = now, effects
 	switch e := ev.(type) {
 	case core.UpstreamGroup:
-		t.learn(e.ServerList)
+		t.updateServers(e.ServerList)
 	case core.RequestContext:
-		q := &asked{RequestContext: e, until: now + e.TTL - 6*time.Millisecond}
+		q := &pendingRequest{RequestContext: e, deadline: now + e.TTL - 6*time.Millisecond}
 		t.requests[e.ID] = q
-		t.do(alarm{q.until, func(now time.Duration) []core.Effect {
+		t.emit(timerEffect{q.deadline, func(now time.Duration) []core.Effect {
 			t.now, t.effects = now, nil
 			t.fail(q)
 			return t.effects
 		}})
-		t.gate(q)
+		t.admitRequest(q)
 	case core.Outcome:
 		t.outcome(e)
 	case core.CountResult:
-		if call := t.calls[e.Call]; call != nil {
-			delete(t.calls, e.Call)
+		if call := t.pendingCalls[e.Call]; call != nil {
+			delete(t.pendingCalls, e.Call)
 			call(e.Status, e.Total)
 		}
 	case core.ClientGone:
 		if q := t.requests[e.ID]; q != nil {
-			q.over = true
-			t.leave(q)
+			q.done = true
+			t.forget(q)
 		}
 	}
 	return t.effects
 }
 
-func (t *textbook) do(e core.Effect) { t.effects = append(t.effects, e) }
+func (t *textbook) emit(e core.Effect) { t.effects = append(t.effects, e) }
 
-func (t *textbook) learn(l logic.ServerList) {
+func (t *textbook) updateServers(l logic.ServerList) {
 	if l.Whole {
 		t.servers = nil
 	}
@@ -136,98 +136,100 @@
 }
 
 // fill brings a firm's bucket up to now.
-func (t *textbook) fill(q *asked, share float64) *bucket {
+func (t *textbook) refill(q *pendingRequest, share float64) *firmState {
 	p := t.set.Plans[q.Plan]
 	b := t.firms[q.Customer]
 	if b == nil {
-		b = &bucket{level: p.Burst * share, at: t.now}
+		b = &firmState{level: p.Burst * share, filledAt: t.now}
 		t.firms[q.Customer] = b
 	}
-	b.level = min(b.level+p.Rate*share*(t.now-b.at).Seconds(), p.Burst*share)
-	b.at = t.now
+	b.level = min(b.level+p.Rate*share*(t.now-b.filledAt).Seconds(), p.Burst*share)
+	b.filledAt = t.now
 	return b
 }
 
-func (t *textbook) gate(q *asked) {
+func (t *textbook) admitRequest(q *pendingRequest) {
 	p := t.set.Plans[q.Plan]
 	switch {
-	case strings.HasPrefix(t.admit, "even"):
-		t.decide(q, t.fill(q, 1/float64(max(q.Spread, 1))))
-	case strings.HasPrefix(t.admit, "whole"):
-		t.decide(q, t.fill(q, 1))
-	case strings.HasPrefix(t.admit, "count"): // a call for each: a window's count, let in where there is no answer
-		t.count(t.name(q), 1, func(s logic.Status, total float64) {
-			if s != logic.OK || total <= p.Rate*window.Seconds()+p.Burst*0.2 {
+	case strings.HasPrefix(t.admission, "even"):
+		t.takeToken(q, t.refill(q, 1/float64(max(q.Spread, 1))))
+	case strings.HasPrefix(t.admission, "whole"):
+		t.takeToken(q, t.refill(q, 1))
+	case strings.HasPrefix(t.admission, "count"): // a call for each: a window's count, let in where there is no answer
+		t.count(t.windowKey(q), 1, func(s logic.Status, total float64) {
+			if s != logic.OK || total <= p.Rate*windowLength.Seconds()+p.Burst*0.2 {
 				t.send(q)
 			} else {
-				t.refuse(q, window)
+				t.reject(q, windowLength)
 			}
 		})
 	default: // leases of a tenth of a window
-		b := t.fill(q, 0)
-		if b.lease >= 1 {
-			b.lease--
+		b := t.refill(q, 0)
+		if b.leased >= 1 {
+			b.leased--
 			t.send(q)
 			return
 		}
-		b.waits = append(b.waits, q)
-		t.lease(q, b)
+		b.waiting = append(b.waiting, q)
+		t.requestLease(q, b)
 	}
 }
 
-func (t *textbook) decide(q *asked, b *bucket) {
+func (t *textbook) takeToken(q *pendingRequest, b *firmState) {
 	if b.level >= 1 {
 		b.level--
 		t.send(q)
 		return
 	}
-	t.refuse(q, 500*time.Millisecond)
+	t.reject(q, 500*time.Millisecond)
 }
 
-func (t *textbook) name(q *asked) uint64 { return mix(q.Customer ^ mix(uint64(t.now/window))) }
+func (t *textbook) windowKey(q *pendingRequest) uint64 {
+	return mixBits(q.Customer ^ mixBits(uint64(t.now/windowLength)))
+}
 
-func (t *textbook) count(name uint64, amount float64, then func(logic.Status, float64)) {
-	t.next++
-	id := t.next
-	t.calls[id] = then
-	t.do(core.Count{Call: id, Name: name, Amount: amount, Lives: 3 * window})
-	t.do(alarm{t.now + t.set.CounterLimit, func(now time.Duration) []core.Effect {
+func (t *textbook) count(key uint64, amount float64, then func(logic.Status, float64)) {
+	t.lastCallID++
+	id := t.lastCallID
+	t.pendingCalls[id] = then
+	t.emit(core.Count{Call: id, Name: key, Amount: amount, Lives: 3 * windowLength})
+	t.emit(timerEffect{t.now + t.set.CounterLimit, func(now time.Duration) []core.Effect {
 		t.now, t.effects = now, nil
-		if call := t.calls[id]; call != nil {
-			delete(t.calls, id)
+		if call := t.pendingCalls[id]; call != nil {
+			delete(t.pendingCalls, id)
 			call(logic.Timeout, 0)
 		}
 		return t.effects
 	}})
 }
 
-func (t *textbook) lease(q *asked, b *bucket) {
-	if b.asks {
+func (t *textbook) requestLease(q *pendingRequest, b *firmState) {
+	if b.leasePending {
 		return
 	}
-	b.asks = true
+	b.leasePending = true
 	p := t.set.Plans[q.Plan]
-	part := max(1, leasePart*p.Rate*window.Seconds())
-	t.count(t.name(q), part, func(s logic.Status, total float64) {
-		b.asks = false
-		waits := b.waits
-		b.waits = nil
-		if s != logic.OK || total <= p.Rate*window.Seconds()+0.2*p.Burst {
-			b.lease += part
+	leaseUnits := max(1, leaseShare*p.Rate*windowLength.Seconds())
+	t.count(t.windowKey(q), leaseUnits, func(s logic.Status, total float64) {
+		b.leasePending = false
+		waiting := b.waiting
+		b.waiting = nil
+		if s != logic.OK || total <= p.Rate*windowLength.Seconds()+0.2*p.Burst {
+			b.leased += leaseUnits
 		}
-		for _, w := range waits {
-			if b.lease >= 1 {
-				b.lease--
+		for _, w := range waiting {
+			if b.leased >= 1 {
+				b.leased--
 				t.send(w)
 			} else {
-				t.refuse(w, window)
+				t.reject(w, windowLength)
 			}
 		}
 	})
 }
 
-func (t *textbook) send(q *asked) {
-	if q.over {
+func (t *textbook) send(q *pendingRequest) {
+	if q.done {
 		return
 	}
 	if len(t.servers) == 0 {
@@ -235,64 +237,64 @@
 		return
 	}
 	s := t.servers[t.rng.IntN(len(t.servers))]
-	if t.least {
+	if t.leastLoaded {
 		for _, x := range t.servers {
-			if t.out[x.ID] < t.out[s.ID] {
+			if t.inFlightByServer[x.ID] < t.inFlightByServer[s.ID] {
 				s = x
 			}
 		}
 	}
-	q.at, q.flies = s.ID, true
-	t.out[s.ID]++
-	t.do(core.Try{Key: core.Key{ID: q.ID, Try: q.tries}, Server: s.ID, Wait: q.until - t.now, Origin: q.Origin})
-	q.tries++
+	q.server, q.attemptInFlight = s.ID, true
+	t.inFlightByServer[s.ID]++
+	t.emit(core.Try{Key: core.Key{ID: q.ID, Try: q.attempts}, Server: s.ID, Wait: q.deadline - t.now, Origin: q.Origin})
+	q.attempts++
 }
 
 func (t *textbook) outcome(e core.Outcome) {
 	q := t.requests[e.ID]
-	if q == nil || !q.flies {
+	if q == nil || !q.attemptInFlight {
 		return
 	}
-	q.flies = false
-	if t.out[q.at]--; t.out[q.at] <= 0 {
-		delete(t.out, q.at)
+	q.attemptInFlight = false
+	if t.inFlightByServer[q.server]--; t.inFlightByServer[q.server] <= 0 {
+		delete(t.inFlightByServer, q.server)
 	}
 	switch {
-	case q.over:
+	case q.done:
 	case e.Status == logic.OK:
-		q.over = true
-		t.do(core.Answer{Origin: q.Origin, Value: e.Value})
-	case (e.Status == logic.Full || e.Status == logic.ConnectFailed) && q.tries < 2:
+		q.done = true
+		t.emit(core.Answer{Origin: q.Origin, Value: e.Value})
+	case (e.Status == logic.Full || e.Status == logic.ConnectFailed) && q.attempts < 2:
 		t.send(q)
 		return
 	case e.Status == logic.Full || e.Status == logic.ConnectFailed:
-		t.refuse(q, 500*time.Millisecond)
+		t.reject(q, 500*time.Millisecond)
 	default:
 		t.fail(q)
 	}
-	t.leave(q)
+	t.forget(q)
 }
 
-func (t *textbook) refuse(q *asked, after time.Duration) {
-	if !q.over {
-		q.over = true
-		t.do(core.Reject{Origin: q.Origin, After: min(after, t.set.MaxRetryAfter)})
+func (t *textbook) reject(q *pendingRequest, after time.Duration) {
+	if !q.done {
+		q.done = true
+		t.emit(core.Reject{Origin: q.Origin, After: min(after, t.set.MaxRetryAfter)})
 	}
-	t.leave(q)
+	t.forget(q)
 }
 
-func (t *textbook) fail(q *asked) {
-	if !q.over {
-		q.over = true
-		t.do(core.Fail{Origin: q.Origin})
+func (t *textbook) fail(q *pendingRequest) {
+	if !q.done {
+		q.done = true
+		t.emit(core.Fail{Origin: q.Origin})
 	}
-	t.leave(q)
+	t.forget(q)
 }
 
 // leave forgets a request that is over; one that is out is given up.
-func (t *textbook) leave(q *asked) {
-	if q.flies {
-		t.do(core.Abandon{Key: core.Key{ID: q.ID, Try: q.tries - 1}, Reason: logic.Cancelled})
+func (t *textbook) forget(q *pendingRequest) {
+	if q.attemptInFlight {
+		t.emit(core.Abandon{Key: core.Key{ID: q.ID, Try: q.attempts - 1}, Reason: logic.Cancelled})
 		return
 	}
 	delete(t.requests, q.ID)
--- a/internal/model/unbudgeted.go
+++ b/internal/model/unbudgeted.go
@@ -19,50 +19,50 @@
 		limits := plans.DefaultLimits
 		limits.MostUnits = set.MostUnits
 		return &unbudgeted{inner: core.New(set, seed, plans.New(set.Plans, limits)), plan: len(set.Plans) - 1, rank: set.Rank,
-			owed: firstCalls}
+			unpaidCalls: initialUnpaidCalls}
 	}}
 }
 
 const (
-	firstCalls    = 30                            // more than a limiter saves
-	earnedByThree = 3                             // requests that earn a call, at the least share of calls that a start begins with
-	earnersID     = math.MaxUint64 >> 1           // ids and the firm of the model's own
-	earnersTTL    = 10 * time.Millisecond         // over the module's guard
-	earnersFirm   = uint64(0xfee1_0000_0000_0001) // no firm of a scenario has so large a number
+	initialUnpaidCalls = 30                            // more than a limiter saves
+	requestsPerCall    = 3                             // requests that earn a call, at the least share of calls that a start begins with
+	earnerFirstID      = math.MaxUint64 >> 1           // ids and the firm of the model's own
+	earnerTTL          = 10 * time.Millisecond         // over the module's guard
+	earnerFirm         = uint64(0xfee1_0000_0000_0001) // no firm of a scenario has so large a number
 )
 
 type unbudgeted struct {
-	inner      *core.Reducer
-	plan, rank int
-	owed       int // calls that were spent
-	next       uint64
-	units      float64 // of the last request: the module learns a mean that the earners must not move
+	inner       *core.Reducer
+	plan, rank  int
+	unpaidCalls int // calls that were spent
+	lastEarner  uint64
+	lastUnits   float64 // of the last request: the module learns a mean that the earners must not move
 }
 
-type nobody struct{}
+type discardOrigin struct{}
 
-func (nobody) Served(any)             {}
-func (nobody) Admitted()              {}
-func (nobody) Rejected(time.Duration) {}
-func (nobody) Failed()                {}
+func (discardOrigin) Served(any)             {}
+func (discardOrigin) Admitted()              {}
+func (discardOrigin) Rejected(time.Duration) {}
+func (discardOrigin) Failed()                {}
 
 // Reduce implements Decider.
 func (u *unbudgeted) Reduce(now time.Duration, ev core.Event, effects []core.Effect) []core.Effect {
 	if r, ok := ev.(core.RequestContext); ok {
-		u.units = r.Units
+		u.lastUnits = r.Units
 	}
 	had := len(effects)
 	effects = u.inner.Reduce(now, ev, effects)
 	for _, e := range effects[had:] {
 		if _, ok := e.(core.Count); ok {
-			u.owed++
+			u.unpaidCalls++
 		}
 	}
-	for range earnedByThree * u.owed {
-		u.next++
-		effects = u.inner.Reduce(now, core.RequestContext{Request: logic.Request{ID: earnersID + u.next, Plan: u.plan, Customer: earnersFirm,
-			TTL: earnersTTL, Units: u.units, Spread: 1, First: u.rank, OwnWait: true, Admit: true}, Origin: nobody{}}, effects)
+	for range requestsPerCall * u.unpaidCalls {
+		u.lastEarner++
+		effects = u.inner.Reduce(now, core.RequestContext{Request: logic.Request{ID: earnerFirstID + u.lastEarner, Plan: u.plan, Customer: earnerFirm,
+			TTL: earnerTTL, Units: u.lastUnits, Spread: 1, First: u.rank, OwnWait: true, Admit: true}, Origin: discardOrigin{}}, effects)
 	}
-	u.owed = 0
+	u.unpaidCalls = 0
 	return effects
 }
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -11,46 +11,46 @@
 
 // World is one run of a scenario.
 type World struct {
-	s      Scenario
-	seed   uint64
-	policy Policy
-	sim    Sim
-	rng    *rand.Rand
-	timed  bool
-
-	limiters []*limiter
-	nodes    []*node
-	byID     map[logic.ServerID]*node
-	lastID   logic.ServerID
-	counters []*counter
-	lists    []listed // of counters, by limiter
-	firms    []*firm
-	classes  []class
-	audit    *audit
-	hallDown []bool
-	deaf     bool
-	apart    bool  // regions are cut from each other
-	muted    []int // cuts of what a hall's nodes say to others
-	deferred []func()
-	flood    float64 // one-off senders a second beside the scenario's
-	nextID   uint64
-	scan     *rand.Rand
-	scanTurn uint64
-	scanned  uint64
+	s          Scenario
+	seed       uint64
+	policy     Policy
+	sim        Sim
+	rng        *rand.Rand
+	measureCPU bool
+
+	limiters             []*limiter
+	nodes                []*node
+	byID                 map[logic.ServerID]*node
+	lastID               logic.ServerID
+	counters             []*counter
+	counterLists         []counterRange // of counters, by limiter
+	firms                []*firm
+	classes              []class
+	audit                *audit
+	hallDown             []bool
+	discoverySilent      bool
+	regionsCut           bool  // regions are cut from each other
+	outboundCuts         []int // cuts of what a hall's nodes say to others
+	pendingAnnouncements []func()
+	floodRate            float64 // one-off senders a second beside the scenario's
+	lastRequestID        uint64
+	oneOffRand           *rand.Rand
+	oneOffSeq            uint64
+	oneOffsSent          uint64
 }
 
 // listed is the counters on a limiter's list: from the first one on, so many.
-type listed struct{ from, count int }
+type counterRange struct{ first, count int }
 
-func (w *World) listed(rank int) []string {
-	l := w.lists[rank]
-	return addresses(l.from + l.count)[l.from:]
+func (w *World) counterAddresses(rank int) []string {
+	l := w.counterLists[rank]
+	return allCounterAddresses(l.first + l.count)[l.first:]
 }
 
 // relist has a limiter read another list of counters.
-func (w *World) relist(l *limiter, next listed) {
-	w.lists[l.rank] = next
-	l.post(core.Counters{Addresses: w.listed(l.rank)})
+func (w *World) updateCounterList(l *limiter, newList counterRange) {
+	w.counterLists[l.rank] = newList
+	l.dispatch(core.Counters{Addresses: w.counterAddresses(l.rank)})
 }
 
 // class is a class with its mean work for this run.
@@ -60,10 +60,10 @@
 }
 
 // New makes a run. timed measures the CPU of the deciders, which is the only figure that is not the same each time.
-func New(s Scenario, seed uint64, p Policy, timed bool) *World {
-	w := &World{s: s, seed: seed, policy: p, timed: timed, rng: source(seed, "world", 0), byID: map[logic.ServerID]*node{},
-		hallDown: make([]bool, s.Halls), muted: make([]int, s.Halls)}
-	w.sim.now = begin
+func New(s Scenario, seed uint64, p Policy, measureCPU bool) *World {
+	w := &World{s: s, seed: seed, policy: p, measureCPU: measureCPU, rng: newRand(seed, "world", 0), byID: map[logic.ServerID]*node{},
+		hallDown: make([]bool, s.Halls), outboundCuts: make([]int, s.Halls)}
+	w.sim.now = epoch
 	w.audit = newAudit(w)
 	for k, mean := range DrawWork(s, seed) {
 		w.classes = append(w.classes, class{s.Classes[k], mean})
@@ -71,21 +71,21 @@
 	for k := range s.Nodes {
 		w.addNode(k % s.Halls)
 	}
-	for k := range max(s.Counter.Count+s.Counter.Spare, 1) {
+	for k := range max(s.Counter.Count+s.Counter.SpareCount, 1) {
 		w.counters = append(w.counters, newCounter(w, k))
 	}
-	w.lists = make([]listed, s.Limiters)
-	for k := range w.lists {
-		w.lists[k] = listed{0, s.Counter.Count}
+	w.counterLists = make([]counterRange, s.Limiters)
+	for k := range w.counterLists {
+		w.counterLists[k] = counterRange{0, s.Counter.Count}
 	}
 	for k := range s.Limiters {
-		l := &limiter{w: w, rank: k, hall: k % s.Halls, known: w.list()}
+		l := &limiter{w: w, rank: k, hall: k % s.Halls, servers: w.serverEntries()}
 		w.limiters = append(w.limiters, l)
 		l.start()
 	}
-	w.makeFirms()
+	w.createFirms()
 	for k, f := range s.Faults {
-		w.sim.At(begin+seconds(f.At), func() { w.strike(f, k) })
+		w.sim.At(epoch+seconds(f.At), func() { w.injectFault(f, k) })
 	}
 	return w
 }
@@ -99,14 +99,14 @@
 }
 
 // clock is the processor's, where it is measured.
-func (w *World) clock() time.Duration {
-	if !w.timed {
+func (w *World) stopwatch() time.Duration {
+	if !w.measureCPU {
 		return 0
 	}
-	return time.Since(clockZero)
+	return time.Since(stopwatchStart)
 }
 
-var clockZero = time.Now()
+var stopwatchStart = time.Now()
 
 // delay draws a way between two halls.
 func (w *World) delay(a, b int) time.Duration {
@@ -118,17 +118,17 @@
 }
 
 // cutOff tells whether nothing is said by a node: its hall is lost.
-func (w *World) cutOff(n *node) bool { return w.hallDown[n.hall] }
+func (w *World) hallLost(n *node) bool { return w.hallDown[n.hall] }
 
 // between tells whether two halls lie in regions that are cut from each other.
-func (w *World) between(a, b int) bool { return w.apart && a%2 != b%2 }
+func (w *World) separated(a, b int) bool { return w.regionsCut && a%2 != b%2 }
 
 // flying is what is out at a node, in the order of its tries.
-func (w *World) flying(n *node) (all []*flight) {
+func (w *World) attemptsAt(n *node) (all []*attempt) {
 	for _, l := range w.limiters {
-		for _, r := range l.held() {
-			for k := range r.tries {
-				if f := l.tries[core.Key{ID: r.id, Try: k}]; f != nil && f.n == n && f.state == 1 {
+		for _, r := range l.openInOrder() {
+			for k := range r.attempts {
+				if f := l.attempts[core.Key{ID: r.id, Try: k}]; f != nil && f.n == n && f.state == 1 {
 					all = append(all, f)
 				}
 			}
@@ -137,7 +137,7 @@
 	return all
 }
 
-func (n *node) line() logic.Server {
+func (n *node) serverEntry() logic.Server {
 	s := logic.Server{ID: n.id, Weight: 1, Zone: n.hall, State: n.state, Started: n.started}
 	if !n.up {
 		s.State = logic.Gone
@@ -146,94 +146,94 @@
 }
 
 // list is the whole list as it is.
-func (w *World) list() (all []logic.Server) {
+func (w *World) serverEntries() (all []logic.Server) {
 	for _, n := range w.nodes {
 		if n.up {
-			all = append(all, n.line())
+			all = append(all, n.serverEntry())
 		}
 	}
 	return all
 }
 
 // tellAll gives a limiter the whole list at once, as its agent would.
-func (w *World) tellAll(l *limiter) {
-	l.learn(logic.ServerList{Whole: true, Servers: w.list()})
+func (w *World) sendSnapshot(l *limiter) {
+	l.updateServers(logic.ServerList{Whole: true, Servers: w.serverEntries()})
 }
 
 // changed tells every limiter of some nodes, each as late as it hears of it.
-func (w *World) changed(nodes ...*node) {
-	since := w.sim.now
-	tell := func() {
+func (w *World) announce(nodes ...*node) {
+	changedAt := w.sim.now
+	publish := func() {
 		for _, l := range w.limiters {
-			var lines []logic.Server
+			var entries []logic.Server
 			for _, n := range nodes {
-				lines = append(lines, n.line())
+				entries = append(entries, n.serverEntry())
 			}
-			late := seconds(w.s.Discovery.Late.draw(w.rng))
-			at := max(w.sim.now+late, l.hears+1)
-			l.hears = at // news come in order
+			lag := seconds(w.s.Discovery.Late.draw(w.rng))
+			at := max(w.sim.now+lag, l.lastUpdateAt+1)
+			l.lastUpdateAt = at // news come in order
 			w.sim.At(at, func() {
-				w.audit.inForce(l, since, len(lines))
-				l.learn(logic.ServerList{Servers: lines})
+				w.audit.recordChange(l, changedAt, len(entries))
+				l.updateServers(logic.ServerList{Servers: entries})
 			})
 		}
 	}
-	if w.deaf {
-		w.deferred = append(w.deferred, tell)
+	if w.discoverySilent {
+		w.pendingAnnouncements = append(w.pendingAnnouncements, publish)
 		return
 	}
-	tell()
+	publish()
 }
 
 // learn is what discovery tells a limiter, also while it is down: its agent keeps it.
-func (l *limiter) learn(list logic.ServerList) {
+func (l *limiter) updateServers(list logic.ServerList) {
 	if list.Whole {
-		l.known, l.places = nil, nil
+		l.servers, l.serverIndex = nil, nil
 	}
-	if l.places == nil {
-		l.places = map[logic.ServerID]int{}
-		for k, s := range l.known {
-			l.places[s.ID] = k
+	if l.serverIndex == nil {
+		l.serverIndex = map[logic.ServerID]int{}
+		for k, s := range l.servers {
+			l.serverIndex[s.ID] = k
 		}
 	}
 	for _, s := range list.Servers {
-		if k, ok := l.places[s.ID]; ok {
-			l.known[k] = s
+		if k, ok := l.serverIndex[s.ID]; ok {
+			l.servers[k] = s
 		} else {
-			l.places[s.ID] = len(l.known)
-			l.known = append(l.known, s)
+			l.serverIndex[s.ID] = len(l.servers)
+			l.servers = append(l.servers, s)
 		}
 		if s.State != logic.Ready {
-			if l.left == nil {
-				l.left = map[logic.ServerID]time.Duration{}
+			if l.leavingSince == nil {
+				l.leavingSince = map[logic.ServerID]time.Duration{}
 			}
-			if _, ok := l.left[s.ID]; !ok {
-				l.left[s.ID] = l.w.sim.now
+			if _, ok := l.leavingSince[s.ID]; !ok {
+				l.leavingSince[s.ID] = l.w.sim.now
 			}
 		} else {
-			delete(l.left, s.ID)
+			delete(l.leavingSince, s.ID)
 		}
 	}
-	l.post(core.UpstreamGroup{ServerList: list})
+	l.dispatch(core.UpstreamGroup{ServerList: list})
 }
 
 // settings are what a limiter is told at its start.
 func (w *World) settings(rank int) logic.Settings {
 	s := logic.Settings{Gateways: w.s.Limiters, Rank: rank, Zone: rank % w.s.Halls, Zones: w.s.Halls, Plans: w.s.Tiers,
 		HasCounter: true, CounterLimit: milliseconds(w.s.Counter.TimeoutMS), MostUnits: float64(w.s.Units.Most), Probes: true, Cancelling: true,
-		RetryAfter: true, MaxRetryAfter: time.Second, MaxAttempts: w.s.Rules.Attempts, Resolution: 2 * time.Millisecond,
+		RetryAfter: true, MaxRetryAfter: time.Second, MaxAttempts: w.s.Rules.MaxAttempts, Resolution: 2 * time.Millisecond,
 		ReportFields:  []logic.LoadField{logic.Queue, logic.Utilization, logic.Inflight},
-		StartCapacity: w.s.Node.ColdShare, Cold: seconds(w.s.Node.ColdSeconds), Fall: seconds(w.s.Rules.Fall),
-		FallMultiple: w.s.Rules.FallMultiple, DrainGrace: seconds(w.s.Rules.DrainGrace)}
+		StartCapacity: w.s.Node.ColdShare, Cold: seconds(w.s.Node.ColdSeconds), Fall: seconds(w.s.Rules.OverloadWindowSeconds),
+		FallMultiple: w.s.Rules.OverloadFactor, DrainGrace: seconds(w.s.Rules.DrainGraceSeconds)}
 	if w.s.Node.Reports {
 		s.ReportFields, s.ReportsInAnswers = []logic.LoadField{logic.Throughput}, true
 	}
 	for _, c := range w.s.Classes {
 		k := logic.Class{Name: c.Name, Aim: seconds(c.Aim), Deadline: seconds(c.Deadline), Worth: c.Worth, Late: c.Late}
 		if c.Keyed {
-			k.Effect, k.KeyGroup, k.KeyTTL = logic.Keyed, logic.GroupZone, seconds(c.KeyTTL)
+			k.Effect, k.KeyGroup, k.KeyTTL = logic.Keyed, logic.GroupZone, seconds(c.KeyTTLSeconds)
 		}
-		if c.Unsafe {
+		if c.UnsafeToRepeat {
 			k.Effect = logic.Unsafe
 		}
 		s.Classes = append(s.Classes, k)
@@ -247,19 +247,19 @@
 	for _, c := range w.s.Classes {
 		longest = max(longest, c.Deadline)
 	}
-	w.sim.Run(begin + seconds(w.s.Seconds))
+	w.sim.Run(epoch + seconds(w.s.Seconds))
 	for _, f := range w.firms {
-		f.over = true
+		f.stopped = true
 	}
-	w.flood, w.s.Firms.OneOffs = 0, 0
-	w.sim.Run(begin + seconds(w.s.Seconds+longest+1))
+	w.floodRate, w.s.Firms.OneOffsPerSecond = 0, 0
+	w.sim.Run(epoch + seconds(w.s.Seconds+longest+1))
 	return w.audit.result()
 }
 
 // strike begins a fault, and plans its end.
-func (w *World) strike(f Fault, n int) {
-	rng := source(w.seed, "fault", n)
-	some := func(of int) []int { return f.some(rng, of) }
+func (w *World) injectFault(f Fault, n int) {
+	rng := newRand(w.seed, "fault", n)
+	pick := func(of int) []int { return f.pick(rng, of) }
 	var up []*node // what is down already is no choice
 	for _, n := range w.nodes {
 		if n.up {
@@ -269,7 +269,7 @@
 	if len(up) == 0 {
 		return
 	}
-	end := func(do func()) { w.sim.After(seconds(f.For), do) }
+	atEnd := func(do func()) { w.sim.After(seconds(f.For), do) }
 	switch f.Kind {
 	case FaultFlush:
 		salt := rng.Uint64()
@@ -278,118 +278,118 @@
 		}
 	case FaultSlow:
 		for _, c := range w.counters {
-			c.slow = f.Size
-			end(func() { c.slow = 1 })
+			c.slowdown = f.Size
+			atEnd(func() { c.slowdown = 1 })
 		}
 	case FaultSilent:
 		for _, c := range w.counters {
 			c.silent = true
-			end(func() { c.silent = false })
+			atEnd(func() { c.silent = false })
 		}
 	case FaultRegions:
-		w.apart = true
+		w.regionsCut = true
 		for _, c := range w.counters {
-			c.cut()
+			c.partition()
 		}
-		end(func() {
-			w.apart = false
+		atEnd(func() {
+			w.regionsCut = false
 			for _, c := range w.counters {
 				c.heal()
 			}
 		})
 	case FaultSplit:
 		for _, c := range w.counters {
-			c.cut()
-			end(c.heal)
+			c.partition()
+			atEnd(c.heal)
 		}
 	case FaultLost:
 		c := w.counters[f.Hall%len(w.counters)]
-		c.dies()
-		end(func() { c.dead = false })
+		c.loseProcess()
+		atEnd(func() { c.crashed = false })
 	case FaultList:
 		if w.s.Counter.Count == 0 {
 			return // there is no list
 		}
-		next := listed{f.Hall, int(f.Size)}
-		later := some(len(w.limiters))
+		newList := counterRange{f.Hall, int(f.Size)}
+		lateLimiters := pick(len(w.limiters))
 		for _, l := range w.limiters {
-			if slices.Contains(later, l.rank) {
-				end(func() { w.relist(l, next) })
+			if slices.Contains(lateLimiters, l.rank) {
+				atEnd(func() { w.updateCounterList(l, newList) })
 			} else {
-				w.relist(l, next)
+				w.updateCounterList(l, newList)
 			}
 		}
 	case FaultHot:
 		for _, k := range Hot(w.seed, n, len(w.firms)) {
-			fm := w.firms[k]
-			fm.hot = f.Size * w.usual() / 3
-			fm.again()
-			end(func() { fm.hot = 0 })
+			target := w.firms[k]
+			target.floodDemand = f.Size * w.normalDemand() / 3
+			target.scheduleArrival()
+			atEnd(func() { target.floodDemand = 0 })
 		}
 	case FaultScan:
-		more := f.Size * w.usual()
-		w.flood += more
-		w.oneOffs()
-		end(func() { w.flood = max(0, w.flood-more) })
+		extraRate := f.Size * w.normalDemand()
+		w.floodRate += extraRate
+		w.scheduleOneOff()
+		atEnd(func() { w.floodRate = max(0, w.floodRate-extraRate) })
 	case FaultHall:
-		w.loseHall(f, end)
+		w.failHall(f, atEnd)
 	case FaultLimiters:
-		for _, k := range some(len(w.limiters)) {
+		for _, k := range pick(len(w.limiters)) {
 			l := w.limiters[k]
-			l.die()
-			end(l.start)
+			l.crash()
+			atEnd(l.start)
 		}
 	case FaultStall:
-		for _, k := range some(len(w.limiters)) {
-			w.limiters[k].stalled = w.sim.now + seconds(f.For)
+		for _, k := range pick(len(w.limiters)) {
+			w.limiters[k].stalledUntil = w.sim.now + seconds(f.For)
 		}
 	case FaultDrain:
-		for _, k := range some(len(up)) {
-			w.replace(up[k])
+		for _, k := range pick(len(up)) {
+			w.replaceNode(up[k])
 		}
 	case FaultCrash:
-		for _, k := range some(len(up)) {
+		for _, k := range pick(len(up)) {
 			n := up[k]
-			n.end(false)
-			w.changed(n)
-			end(func() { n.start(); w.changed(n) })
+			n.terminate(false)
+			w.announce(n)
+			atEnd(func() { n.start(); w.announce(n) })
 		}
 	case FaultPause:
-		for _, k := range some(len(up)) {
-			up[k].paused = w.sim.now + seconds(f.For)
+		for _, k := range pick(len(up)) {
+			up[k].pausedUntil = w.sim.now + seconds(f.For)
 		}
 	case FaultCut:
 		hall := f.Hall % w.s.Halls
-		w.muted[hall]++
-		end(func() { w.muted[hall]-- })
+		w.outboundCuts[hall]++
+		atEnd(func() { w.outboundCuts[hall]-- })
 	case FaultDeaf:
-		w.deaf = true
-		end(func() {
-			w.deaf = false
-			for _, tell := range w.deferred {
-				tell()
+		w.discoverySilent = true
+		atEnd(func() {
+			w.discoverySilent = false
+			for _, publish := range w.pendingAnnouncements {
+				publish()
 			}
-			w.deferred = nil
+			w.pendingAnnouncements = nil
 		})
 	}
 }
 
 // some draws the part that a fault meets.
-func (f Fault) some(rng *rand.Rand, of int) []int {
+func (f Fault) pick(rng *rand.Rand, of int) []int {
 	return rng.Perm(of)[:max(1, min(of, int(f.Part*float64(of)+0.5)))]
 }
 
 // Hot draws the firms that flood in a scenario's n-th fault, for a seed.
 func Hot(seed uint64, n, firms int) []int {
-	return source(seed, "hot", n).Perm(firms)[:min(3, firms)]
+	return newRand(seed, "hot", n).Perm(firms)[:min(3, firms)]
 }
 
 // usual is the requests a second that are asked for on a quiet day.
-func (w *World) usual() (sum float64) {
+func (w *World) normalDemand() (sum float64) {
 	for _, f := range w.firms {
 		sum += f.demand
 	}
-	return sum + w.s.Firms.OneOffs
+	return sum + w.s.Firms.OneOffsPerSecond
 }
 
 // meanWork is the work of a request, in seconds of one core.
@@ -402,51 +402,51 @@
 }
 
 // replace drains a node, ends it, and brings another in its place, cold and with a new id.
-func (w *World) replace(n *node) {
+func (w *World) replaceNode(n *node) {
 	if !n.up || n.state != logic.Ready {
 		return
 	}
 	n.state = logic.Draining
-	w.changed(n)
+	w.announce(n)
 	w.sim.After(8*time.Second, func() {
-		n.end(false)
-		w.changed(n)
-		next := w.addNode(n.hall)
-		next.started = w.sim.now
-		w.changed(next)
+		n.terminate(false)
+		w.announce(n)
+		successor := w.addNode(n.hall)
+		successor.started = w.sim.now
+		w.announce(successor)
 	})
 }
 
-func (w *World) loseHall(f Fault, end func(func())) {
+func (w *World) failHall(f Fault, atEnd func(func())) {
 	hall := f.Hall % w.s.Halls
-	limiters := f.Part > 0.5 // else its nodes' processes die, and say so
-	w.hallDown[hall] = limiters
+	wholeHall := f.Part > 0.5 // else its nodes' processes die, and say so
+	w.hallDown[hall] = wholeHall
 	for _, n := range w.nodes {
 		if n.hall == hall && n.up {
-			n.end(limiters)
-			w.changed(n)
+			n.terminate(wholeHall)
+			w.announce(n)
 		}
 	}
 	for _, l := range w.limiters {
-		if limiters && l.hall == hall {
-			l.die()
+		if wholeHall && l.hall == hall {
+			l.crash()
 		}
 	}
-	if hall == 0 && limiters { // the counters stand there; they are back elsewhere, empty
+	if hall == 0 && wholeHall { // the counters stand there; they are back elsewhere, empty
 		for _, c := range w.counters {
-			c.down = true
+			c.unreachable = true
 			w.sim.After(5*time.Second, func() {
-				c.down = false
-				clear(c.copies[0])
+				c.unreachable = false
+				clear(c.replicas[0])
 			})
 		}
 	}
-	end(func() {
+	atEnd(func() {
 		w.hallDown[hall] = false
 		for _, n := range w.nodes {
 			if n.hall == hall && !n.up && n.state == logic.Ready {
 				n.start()
-				w.changed(n)
+				w.announce(n)
 			}
 		}
 		for _, l := range w.limiters {
@@ -459,7 +459,7 @@
 
 // Play plays on to some seconds after the begin and tells what has come until then.
 func (w *World) Play(to float64) Result {
-	w.sim.Run(begin + seconds(to))
+	w.sim.Run(epoch + seconds(to))
 	return w.audit.result()
 }
 
@@ -472,7 +472,7 @@
 // Nodes is how the nodes look now.
 func (w *World) Nodes() (all []NodeView) {
 	for _, n := range w.nodes {
-		all = append(all, NodeView{n.up, n.state == logic.Draining, float64(n.working+len(n.queue)) / float64(n.cores)})
+		all = append(all, NodeView{n.up, n.state == logic.Draining, float64(n.inService+len(n.queue)) / float64(n.cores)})
 	}
 	return all
 }
