--- a/internal/model/scenario.go
+++ b/internal/model/scenario.go
@@ -7,17 +7,18 @@
 	"bramblefall/logic"
 )
 
-// Scenario says what is modelled. Times are in seconds unless their name says milliseconds.
+// Scenario describes a modelled deployment, its load and its faults. Times are in seconds unless their name says
+// milliseconds.
 type Scenario struct {
 	Name     string  `json:"name"`
 	Seconds  float64 `json:"seconds"`
-	Warm     float64 `json:"warm"` // at the begin, not counted
+	Warm     float64 `json:"warm"` // warm-up at the start of the run, left out of the figures
 	Limiters int     `json:"limiters"`
 	Nodes    int     `json:"nodes"`
 	Halls    int     `json:"halls"`
 
 	Node       NodeKind      `json:"node"`
-	Machines   []MachineKind `json:"machines"` // none: all nodes are alike
+	Machines   []MachineKind `json:"machines"` // if empty, all nodes are alike
 	Rules      RuleKind      `json:"rules"`
 	Units      UnitKind      `json:"units"`
 	Network    NetworkKind   `json:"network"`
@@ -26,170 +27,237 @@
 	Clients    ClientKind    `json:"clients"`
 	Firms      FirmKind      `json:"firms"`
 	Tiers      []logic.Plan  `json:"tiers"`
-	TierShares []float64     `json:"shares"` // of the firms, by tier
+	TierShares []float64     `json:"shares"` // share of the firms in each tier
 	Classes    []ClassKind   `json:"classes"`
 	Faults     []Fault       `json:"faults"`
 	Bounds     Bounds        `json:"bounds"`
 }
 
-// NodeKind is what an exchange node is like.
+// NodeKind configures the exchange nodes.
 type NodeKind struct {
 	Cores          int     `json:"cores"`
-	Slots          int     `json:"slots"` // requests in work at once
-	Queue          int     `json:"queue"` // and waiting
+	Slots          int     `json:"slots"` // requests processed at once
+	Queue          int     `json:"queue"` // requests that may wait beside those being processed
 	WorkCV2        float64 `json:"work_cv2"`
-	Thrash         float64 `json:"thrash"` // slowdown for each request in work over the cores
+	Thrash         float64 `json:"thrash"` // relative slowdown for each request processed beyond the number of cores
 	ColdShare      float64 `json:"cold_share"`
 	ColdSeconds    float64 `json:"cold_seconds"`
-	DropsCancelled bool    `json:"cancels"` // waiting work that nobody waits for is dropped
-	StopsCancelled bool    `json:"stops"`   // so is running work
-	Reports        bool    `json:"reports"` // answers say how many requests a second were answered, late and noisy
-	MaxConns       int     `json:"conns"`   // at most; 0: any number
+	DropsCancelled bool    `json:"cancels"` // queued requests are dropped when their caller stops waiting
+	StopsCancelled bool    `json:"stops"`   // running requests are stopped when their caller stops waiting
+	Reports        bool    `json:"reports"` // answers carry the requests answered a second, which lags and has noise
+	MaxConns       int     `json:"conns"`   // 0: unlimited
 	HandshakeMS    float64 `json:"handshake_ms"`
 }
 
-// MachineKind is one of several kinds of machine.
+// MachineKind is one of several machine types that nodes run on.
 type MachineKind struct {
 	Share float64 `json:"share"`
 	Cores int     `json:"cores"`
-	Speed Range   `json:"speed"` // of a core; drawn for each node
+	Speed Range   `json:"speed"` // of one core, drawn for each node
 }
 
-// RuleKind is the figures that limiters are held to.
+// RuleKind holds the limits that the audit checks limiters against.
 type RuleKind struct {
-	MaxAttempts           int     `json:"attempts"` // for a request, at most
+	MaxAttempts           int     `json:"attempts"` // for one request
 	DrainGraceSeconds     float64 `json:"drain_grace"`
 	OverloadFactor        float64 `json:"fall_multiple"`
 	OverloadWindowSeconds float64 `json:"fall"`
 }
 
-// UnitKind is how many units a request takes: by its work, from 1 to the most.
+// UnitKind configures the units that a request takes: in proportion to its work, from 1 to Most.
 type UnitKind struct {
 	Most int     `json:"most"`
-	Mean float64 `json:"mean"` // of a request of mean work
+	Mean float64 `json:"mean"` // units of a request of mean work
 }
 
-// NetworkKind is the delays, one way.
+// NetworkKind configures the one-way network delays.
 type NetworkKind struct {
 	WithinMS Range   `json:"within_ms"`
 	AcrossMS Range   `json:"across_ms"`
-	JitterMS float64 `json:"jitter_ms"` // mean of what is added
+	JitterMS float64 `json:"jitter_ms"` // mean of the exponential delay that is added
 }
 
-// CounterKind is the quota counters.
+// CounterKind configures the quota counters.
 type CounterKind struct {
-	Count      int     `json:"count"`      // that names are dealt out to; 0: the one of the platform
-	SpareCount int     `json:"spare"`      // further ones, for lists that change
-	PerSecond  float64 `json:"per_second"` // of each part
+	Count      int     `json:"count"`      // counters that names are sharded over; 0: the platform's single counter
+	SpareCount int     `json:"spare"`      // further counters, for scenarios that change the list
+	PerSecond  float64 `json:"per_second"` // calls a second that each part serves
 	Parts      int     `json:"parts"`
 	LatencyMS  Range   `json:"ms"`
-	MaxPending int     `json:"waiting"`   // calls at once; more are turned away
-	Unlimited  bool    `json:"unlimited"` // it takes any number of calls at once: none waits, none is turned away
+	MaxPending int     `json:"waiting"`   // calls pending at one part; further calls are rejected
+	Unlimited  bool    `json:"unlimited"` // any number of calls are served at once: none waits, none is rejected
 	TimeoutMS  float64 `json:"timeout_ms"`
 }
 
-// DiscoveryKind is the list of nodes.
+// DiscoveryKind configures the discovery of nodes.
 type DiscoveryKind struct {
-	Late Range `json:"late"`
+	Late Range `json:"late"` // time until a limiter learns of a change
 }
 
-// ClientKind is how clients behave.
+// ClientKind configures how clients retry and give up.
 type ClientKind struct {
 	Retries              int     `json:"retries"`
 	Wait                 Range   `json:"wait"`
-	GiveUp               Range   `json:"give_up"`   // share of the class's deadline
-	Honour               float64 `json:"honour"`    // share that waits as it is told
-	DownDetectionSeconds Range   `json:"notice"`    // how late the front sees that a limiter is down
-	MarksRetries         bool    `json:"marks_own"` // retries are marked
+	GiveUp               Range   `json:"give_up"`   // share of the class's deadline after which a client gives up
+	Honour               float64 `json:"honour"`    // share of clients that wait for as long as a rejection tells them
+	DownDetectionSeconds Range   `json:"notice"`    // time until the front notices that a limiter is down
+	MarksRetries         bool    `json:"marks_own"` // clients mark their retries as such
 }
 
-// FirmKind is the member firms.
+// FirmKind configures the member firms.
 type FirmKind struct {
 	Count            int     `json:"count"`
-	QuotaUse         Range   `json:"use"`      // of the quota, most firms
-	NearQuotaShare   float64 `json:"full"`     // share of firms that use nearly all
-	OverQuotaShare   float64 `json:"heavy"`    // share that asks for more
-	OverQuotaFactor  Range   `json:"heavy_x"`  // times the quota
-	Spread           Range   `json:"spread"`   // limiters that a firm comes through
-	ShiftS           Range   `json:"shift"`    // the busiest limiter of a firm changes
+	QuotaUse         Range   `json:"use"`      // share of its quota that an ordinary firm uses
+	NearQuotaShare   float64 `json:"full"`     // share of firms that use nearly all of their quota
+	OverQuotaShare   float64 `json:"heavy"`    // share of firms that ask for more than their quota
+	OverQuotaFactor  Range   `json:"heavy_x"`  // demand of such a firm, as a multiple of its quota
+	Spread           Range   `json:"spread"`   // limiters that a firm's requests come through
+	ShiftS           Range   `json:"shift"`    // time after which another limiter becomes a firm's busiest
 	Skew             float64 `json:"skew"`     // share of a firm's requests that come through its busiest limiter
-	OneOffsPerSecond float64 `json:"one_offs"` // senders a second that send once
+	OneOffsPerSecond float64 `json:"one_offs"` // new firms a second that send a single request
 }
 
-// ClassKind is a class of requests.
+// ClassKind configures a class of requests.
 type ClassKind struct {
 	Name           string  `json:"name"`
 	Share          float64 `json:"share"`
-	WorkMS         Range   `json:"work_ms"` // its mean is drawn once for a run
+	WorkMS         Range   `json:"work_ms"` // mean work of the class, drawn once for each run
 	Aim            float64 `json:"aim"`
 	Deadline       float64 `json:"deadline"`
 	Worth          float64 `json:"worth"`
-	Late           float64 `json:"late"`
-	Keyed          bool    `json:"keyed"` // by hall, else safe to repeat
+	Late           float64 `json:"late"`  // share of the worth that is left after the aim
+	Keyed          bool    `json:"keyed"` // safe to repeat only in the same hall, within the key's TTL; otherwise in any
 	KeyTTLSeconds  float64 `json:"key_ttl"`
-	UnsafeToRepeat bool    `json:"unsafe"` // it must never run twice
+	UnsafeToRepeat bool    `json:"unsafe"` // must never run twice
 }
 
-// Fault is something that goes wrong.
+// Fault is a fault that is injected into a run.
 type Fault struct {
 	Kind string  `json:"kind"`
 	At   float64 `json:"at"`
 	For  float64 `json:"lasts"`
-	Part float64 `json:"part"` // share of what it meets
-	Size float64 `json:"size"` // of a flood: times the usual load
-	Hall int     `json:"hall"` // or the number of the counter that is lost
+	Part float64 `json:"part"` // share of the limiters, nodes or names that are hit
+	Size float64 `json:"size"` // of a flood: a multiple of the usual load; other meanings stand with the kinds
+	Hall int     `json:"hall"` // the hall that is hit, or the number of the counter that is lost
 }
 
 // Kinds of faults.
 const (
-	FaultFlush    = "flush"        // the counter forgets a part of its names
-	FaultSlow     = "slow"         // the counter's calls take Size times as long
-	FaultSilent   = "silent"       // the counter answers nothing
-	FaultSplit    = "split"        // the counter's callers are on two copies that disagree
-	FaultHot      = "hot"          // three firms flood
-	FaultScan     = "scan"         // one-off senders
-	FaultHall     = "hall"         // a hall's nodes die and come back cold; where Part is over a half it is cut off with its limiters
-	FaultLimiters = "limiters"     // a part of the limiters dies and comes back with nothing
-	FaultStall    = "stall"        // a part of the limiters stands still, as in garbage collection
-	FaultDrain    = "drain"        // a part of the nodes drains, is gone and is replaced by new ones
-	FaultCrash    = "crash"        // a part of the nodes dies and comes back cold
-	FaultPause    = "pause"        // a part of the nodes stands still
-	FaultDeaf     = "deaf"         // discovery tells nothing
-	FaultLost     = "counter-lost" // one of several counters dies and comes back empty
-	FaultList     = "counters"     // the list holds Size counters, the first Hall of the former ones left out; a part of the limiters hears of it so much later
-	FaultCut      = "cut"          // what a hall's nodes say to limiters elsewhere does not arrive; the other way is open
-	FaultRegions  = "regions"      // halls of even and of odd number are cut from each other, each with a copy of the counters
+	// FaultFlush makes the counters forget a part of their names.
+	FaultFlush = "flush"
+	// FaultSlow makes the counters' calls take Size times as long.
+	FaultSlow = "slow"
+	// FaultSilent stops the counters' answers.
+	FaultSilent = "silent"
+	// FaultSplit sends the counters' callers to two replicas that diverge.
+	FaultSplit = "split"
+	// FaultHot makes three firms flood.
+	FaultHot = "hot"
+	// FaultScan adds firms that send a single request.
+	FaultScan = "scan"
+	// FaultHall crashes a hall's nodes, which restart cold. If Part is over a half, the whole hall is cut off, with its limiters.
+	FaultHall = "hall"
+	// FaultLimiters crashes a part of the limiters, which restart with nothing but the list of nodes.
+	FaultLimiters = "limiters"
+	// FaultStall pauses a part of the limiters, as garbage collection does.
+	FaultStall = "stall"
+	// FaultDrain drains a part of the nodes, ends them and replaces them by new ones.
+	FaultDrain = "drain"
+	// FaultCrash crashes a part of the nodes, which restart cold.
+	FaultCrash = "crash"
+	// FaultPause pauses a part of the nodes.
+	FaultPause = "pause"
+	// FaultDeaf stops the updates of discovery.
+	FaultDeaf = "deaf"
+	// FaultLost crashes one of several counters, which restarts empty.
+	FaultLost = "counter-lost"
+	// FaultList replaces the counter list by Size counters, leaving out the first Hall of all counters. A part of the
+	// limiters learns of it only when the fault ends.
+	FaultList = "counters"
+	// FaultCut drops what a hall's nodes send to limiters of other halls. The other direction stays open.
+	FaultCut = "cut"
+	// FaultRegions cuts halls of even number from halls of odd number. Each side has its own replica of the counters.
+	FaultRegions = "regions"
 )
 
-// drawnKinds are those that a search draws: a seed's faults stay what they were when a kind is added elsewhere.
+// searchedFaultKinds are the kinds that a search draws from. It is a list of its own so that the faults of a seed stay the
+// same when a kind is added elsewhere.
 var searchedFaultKinds = []string{FaultFlush, FaultSlow, FaultSilent, FaultSplit, FaultHot, FaultScan, FaultHall, FaultLimiters, FaultStall,
 	FaultDrain, FaultCrash, FaultPause, FaultDeaf, FaultCut}
 
 var faultKinds = append(slices.Clone(searchedFaultKinds), FaultRegions, FaultLost, FaultList)
 
-// Bounds are what must hold for a run to count as good; 0: not looked at.
+// Bounds are the limits that a good run keeps. A bound of 0 is not checked, except for MaxViolations.
 type Bounds struct {
-	MinWorthShare      float64 `json:"worth"`       // least share of the worth asked for inside quotas that is served
-	MaxOverQuotaShare  float64 `json:"over_quota"`  // most units sent on beyond quotas, share of all
-	MaxCallsPerRequest float64 `json:"calls_each"`  // most counter calls for each request
-	MaxViolations      int     `json:"violations"`  // broken rules that are borne
-	MaxP99Seconds      float64 `json:"p99_seconds"` // of what was served
+	MinWorthShare      float64 `json:"worth"`      // served share of the worth that was asked for within quotas
+	MaxOverQuotaShare  float64 `json:"over_quota"` // share of the units sent that were beyond a quota
+	MaxCallsPerRequest float64 `json:"calls_each"` // counter calls
+	MaxViolations      int     `json:"violations"`
+	MaxP99Seconds      float64 `json:"p99_seconds"` // latency of the requests that were served
 }
 
-// Base is a small deployment on a calm day, from which scenarios differ.
+// Base is a small deployment without faults, which other scenarios are derived from.
 func Base() Scenario {
 	return Scenario{
-		Name: "calm", Seconds: 60, Warm: 2, Limiters: 3, Nodes: 10, Halls: 2,
-		Node: NodeKind{Cores: 3, Slots: 6, Queue: 24, WorkCV2: 0.5, Thrash: 0.02, ColdShare: 0.24, ColdSeconds: 18, DropsCancelled: true,
-			MaxConns: 256, HandshakeMS: 1},
-		Rules:     RuleKind{MaxAttempts: 6, DrainGraceSeconds: 0.5, OverloadFactor: 3, OverloadWindowSeconds: 3},
-		Units:     UnitKind{Most: 1, Mean: 1},
-		Network:   NetworkKind{WithinMS: Range{0.1, 0.3}, AcrossMS: Range{0.42, 0.78}, JitterMS: 0.05},
-		Counter:   CounterKind{PerSecond: 660, Parts: 1, LatencyMS: Range{0.54, 1.4}, MaxPending: 64, TimeoutMS: 30},
+		Name:     "calm",
+		Seconds:  60,
+		Warm:     2,
+		Limiters: 3,
+		Nodes:    10,
+		Halls:    2,
+		Node: NodeKind{
+			Cores:          3,
+			Slots:          6,
+			Queue:          24,
+			WorkCV2:        0.5,
+			Thrash:         0.02,
+			ColdShare:      0.24,
+			ColdSeconds:    18,
+			DropsCancelled: true,
+			MaxConns:       256,
+			HandshakeMS:    1,
+		},
+		Rules: RuleKind{
+			MaxAttempts:           6,
+			DrainGraceSeconds:     0.5,
+			OverloadFactor:        3,
+			OverloadWindowSeconds: 3,
+		},
+		Units: UnitKind{
+			Most: 1,
+			Mean: 1,
+		},
+		Network: NetworkKind{
+			WithinMS: Range{0.1, 0.3},
+			AcrossMS: Range{0.42, 0.78},
+			JitterMS: 0.05,
+		},
+		Counter: CounterKind{
+			PerSecond:  660,
+			Parts:      1,
+			LatencyMS:  Range{0.54, 1.4},
+			MaxPending: 64,
+			TimeoutMS:  30,
+		},
 		Discovery: DiscoveryKind{Late: Range{0.5, 3}},
-		Clients:   ClientKind{Retries: 1, Wait: Range{0.1, 0.6}, GiveUp: Range{0.5, 1}, Honour: 0.7, DownDetectionSeconds: Range{1.5, 3.5}, MarksRetries: true},
-		Firms: FirmKind{Count: 120, QuotaUse: Range{0.15, 0.5}, NearQuotaShare: 0.18, OverQuotaShare: 0.09, OverQuotaFactor: Range{1.6, 4.3}, Spread: Range{2, 3},
-			ShiftS: Range{6, 22}, Skew: 0.6},
+		Clients: ClientKind{
+			Retries:              1,
+			Wait:                 Range{0.1, 0.6},
+			GiveUp:               Range{0.5, 1},
+			Honour:               0.7,
+			DownDetectionSeconds: Range{1.5, 3.5},
+			MarksRetries:         true,
+		},
+		Firms: FirmKind{
+			Count:           120,
+			QuotaUse:        Range{0.15, 0.5},
+			NearQuotaShare:  0.18,
+			OverQuotaShare:  0.09,
+			OverQuotaFactor: Range{1.6, 4.3},
+			Spread:          Range{2, 3},
+			ShiftS:          Range{6, 22},
+			Skew:            0.6,
+		},
 		Tiers: []logic.Plan{
 			{Name: "associate", Rate: 0.8, Burst: 4, Price: 0.72, OverCost: 0.6},
 			{Name: "regular", Rate: 3.4, Burst: 17, Price: 1.1, OverCost: 0.5},
@@ -203,18 +271,20 @@
 	}
 }
 
-// Scale makes the base larger: nodes, limiters and firms, with the load on a node as it is.
+// Scale is the base with other numbers of limiters, nodes and firms. Quotas are scaled so that the load on each node stays
+// the same.
 func Scale(limiters, nodes, firms int, oneOffs float64) Scenario {
 	s := Base()
 	s.Limiters, s.Nodes, s.Firms.Count, s.Firms.OneOffsPerSecond = limiters, nodes, firms, oneOffs
 	s.Firms.Spread = Range{2, min(4, float64(limiters))}
 	s.Counter.Parts = max(1, limiters/3)
-	inside := 0.0 // units a second that the firms would ask for
+	// Firms are taken to use 0.55 of their rate, and nodes to be used to 0.55 of their cores.
+	demandUnits := 0.0
 	for k, t := range s.Tiers {
-		inside += s.TierShares[k] * t.Rate * 0.55
+		demandUnits += s.TierShares[k] * t.Rate * 0.55
 	}
-	work := 0.17
-	scale := (0.55*float64(nodes)*float64(s.Node.Cores)/work - oneOffs) / (inside * float64(firms))
+	meanWorkSeconds := 0.17 // seconds: the middle of the work_ms of the base's classes
+	scale := (0.55*float64(nodes)*float64(s.Node.Cores)/meanWorkSeconds - oneOffs) / (demandUnits * float64(firms))
 	for k := range s.Tiers {
 		t := &s.Tiers[k]
 		for _, v := range []*float64{&t.Rate, &t.CeilingRate} {
@@ -230,61 +300,64 @@
 	return s
 }
 
-// Check finds what is wrong with a scenario: field and text, by the field's path.
-func (s Scenario) Check() (all [][2]string) {
-	bad := func(field, text string, args ...any) { all = append(all, [2]string{field, fmt.Sprintf(text, args...)}) }
+// Check returns what is wrong with a scenario, as pairs of a field's path and a text.
+func (s Scenario) Check() (errs [][2]string) {
+	addError := func(field, text string, args ...any) {
+		errs = append(errs, [2]string{field, fmt.Sprintf(text, args...)})
+	}
 	positive := map[string]float64{"seconds": s.Seconds, "limiters": float64(s.Limiters), "nodes": float64(s.Nodes),
 		"halls": float64(s.Halls), "node.cores": float64(s.Node.Cores), "node.slots": float64(s.Node.Slots),
 		"counter.per_second": s.Counter.PerSecond, "counter.parts": float64(s.Counter.Parts), "firms.count": float64(s.Firms.Count),
 		"counter.timeout_ms": s.Counter.TimeoutMS, "rules.attempts": float64(s.Rules.MaxAttempts), "rules.fall": s.Rules.OverloadWindowSeconds,
 		"rules.fall_multiple": s.Rules.OverloadFactor, "units.most": float64(s.Units.Most), "units.mean": s.Units.Mean}
-	for _, field := range sorted(positive) {
+	for _, field := range sortedKeys(positive) {
 		if !(positive[field] > 0 && positive[field] <= 1e8) {
-			bad(field, "%v is not a number over 0", positive[field])
+			addError(field, "%v is not a number over 0 and up to 1e8", positive[field])
 		}
 	}
 	ranges := map[string]Range{"network.within_ms": s.Network.WithinMS, "network.across_ms": s.Network.AcrossMS, "counter.ms": s.Counter.LatencyMS,
 		"discovery.late": s.Discovery.Late, "clients.wait": s.Clients.Wait, "clients.give_up": s.Clients.GiveUp, "firms.use": s.Firms.QuotaUse,
 		"firms.heavy_x": s.Firms.OverQuotaFactor, "firms.spread": s.Firms.Spread, "firms.shift": s.Firms.ShiftS}
-	for _, field := range sorted(ranges) {
+	for _, field := range sortedKeys(ranges) {
 		if r := ranges[field]; !(r[0] >= 0 && r[1] >= r[0] && r[1] <= 1e8) {
-			bad(field, "%v is not a range of two numbers from 0", r)
+			addError(field, "got %v, want two ascending numbers from 0 to 1e8", r)
 		}
 	}
 	if s.Counter.Count < 0 || s.Counter.SpareCount < 0 || s.Counter.Count+s.Counter.SpareCount > 9999 {
-		bad("counter.count", "from 0 to 9999 with the spare ones")
+		addError("counter.count", "got %d and %d spare ones, want 0 to 9999 in total", s.Counter.Count, s.Counter.SpareCount)
 	}
 	for k, m := range s.Machines {
 		if !(m.Share > 0 && m.Cores > 0 && m.Speed[0] > 0 && m.Speed[1] >= m.Speed[0]) {
-			bad(fmt.Sprintf("machines[%d]", k), "share, cores and speed are numbers over 0")
+			addError(fmt.Sprintf("machines[%d]", k), "got share %v, cores %d, speed %v; want numbers over 0 and an ascending speed", m.Share, m.Cores, m.Speed)
 		}
 	}
 	if len(s.Tiers) == 0 || len(s.Tiers) != len(s.TierShares) {
-		bad("shares", "one is needed for each tier")
+		addError("shares", "one is needed for each tier, got %d for %d tiers", len(s.TierShares), len(s.Tiers))
 	}
 	if len(s.Classes) == 0 {
-		bad("classes", "one is needed at least")
+		addError("classes", "got none, want at least one")
 	}
 	for k, c := range s.Classes {
 		if !(c.Deadline > 0 && c.Aim > 0 && c.Aim <= c.Deadline && c.Share >= 0 && c.WorkMS[0] > 0) {
-			bad(fmt.Sprintf("classes[%d]", k), "share, work_ms, aim and deadline do not fit")
+			addError(fmt.Sprintf("classes[%d]", k), "got share %v, work_ms %v, aim %v, deadline %v; want a share from 0, work_ms and aim over 0, and an aim up to the deadline",
+				c.Share, c.WorkMS, c.Aim, c.Deadline)
 		}
 	}
 	for k, f := range s.Faults {
 		if !slices.Contains(faultKinds, f.Kind) {
-			bad(fmt.Sprintf("faults[%d].kind", k), "%q is none of %v", f.Kind, faultKinds)
+			addError(fmt.Sprintf("faults[%d].kind", k), "%q is none of %v", f.Kind, faultKinds)
 		}
-		if all := s.Counter.Count + s.Counter.SpareCount; f.Kind == FaultLost && f.Hall >= max(all, 1) || f.Kind == FaultList && (f.Size < 1 || f.Hall < 0 || f.Hall+int(f.Size) > all || s.Counter.Count < 1) {
-			bad(fmt.Sprintf("faults[%d].kind", k), "there are %d counters", all)
+		if counters := s.Counter.Count + s.Counter.SpareCount; f.Kind == FaultLost && f.Hall >= max(counters, 1) || f.Kind == FaultList && (f.Size < 1 || f.Hall < 0 || f.Hall+int(f.Size) > counters || s.Counter.Count < 1) {
+			addError(fmt.Sprintf("faults[%d].kind", k), "got %s with hall %d and size %v, but there are %d counters", f.Kind, f.Hall, f.Size, counters)
 		}
 		if f.At < 0 || f.At >= s.Seconds || f.For < 0 {
-			bad(fmt.Sprintf("faults[%d].at", k), "it is not within the run")
+			addError(fmt.Sprintf("faults[%d].at", k), "got at %v and lasts %v, want a start from 0 to before %v s and a duration from 0", f.At, f.For, s.Seconds)
 		}
 	}
-	return all
+	return errs
 }
 
-func sorted[V any](m map[string]V) []string {
+func sortedKeys[V any](m map[string]V) []string {
 	keys := make([]string, 0, len(m))
 	for k := range m {
 		keys = append(keys, k)
