--- a/internal/model/counter.go
+++ b/internal/model/counter.go
@@ -9,25 +9,25 @@
 	"bramblefall/logic"
 )
 
-// counter is the quota counter: parts that each take calls in turn, so many a second, and turn calls away when the line
-// is long. What it is told late it still adds.
+// counter is a quota counter. Each of its shards serves calls one after the other at a fixed rate and rejects calls when
+// its queue is full. A call that is served after its caller's timeout still adds its amount.
 type counter struct {
 	w           *World
 	number      int
 	rng         *rand.Rand
 	shards      []shard
-	replicas    [2]map[uint64]counterEntry // the second only while it is split
-	slowdown    float64                    // times as long
+	replicas    [2]map[uint64]counterEntry // the second is used only while partitioned
+	slowdown    float64                    // factor on the time that a call takes
 	silent      bool
-	unreachable bool // lost with its hall
-	crashed     bool // its process is gone: calls meet nobody
+	unreachable bool // its hall is lost: calls get no answer
+	crashed     bool // its process has ended: calls fail to connect
 	partitioned bool
 	Calls       int
-	answered    int // answered
+	answered    int // calls served before the end of the scenario
 }
 
 type shard struct {
-	freeAt  time.Duration // when its line is empty
+	freeAt  time.Duration // when its queue will be empty
 	waiting int
 }
 
@@ -41,17 +41,17 @@
 		replicas: [2]map[uint64]counterEntry{{}, {}}, slowdown: 1}
 }
 
-// call makes a call for a limiter; answer is told at most once.
+// call makes a call for a limiter. It calls answer at most once.
 func (c *counter) call(limiter int, name uint64, amount float64, ttl time.Duration, answer func(logic.Status, float64)) {
 	c.Calls++
 	hall, counterHall := limiter%c.w.s.Halls, 0
 	if c.w.regionsCut {
-		counterHall = hall // the region's own copy
+		counterHall = hall // the region's own replica
 	}
 	oneWay := c.w.delay(hall, counterHall)
 	c.w.sim.After(oneWay, func() {
 		if c.unreachable {
-			return // cut off: nothing is said
+			return // cut off: there is no answer
 		}
 		if c.crashed {
 			c.w.sim.After(c.w.delay(counterHall, hall), func() { answer(logic.ConnectFailed, 0) })
@@ -88,6 +88,7 @@
 	})
 }
 
+// add adds an amount to a name in the replica that a limiter reaches, and returns the total.
 func (c *counter) add(limiter int, name uint64, amount float64, ttl time.Duration) float64 {
 	entries := c.replicas[0]
 	if c.partitioned && (c.w.regionsCut && limiter%c.w.s.Halls%2 == 1 || !c.w.regionsCut && limiter%2 == 1) {
@@ -99,7 +100,7 @@
 	}
 	entry.total += amount
 	entries[name] = entry
-	if len(entries) > 1<<16 && c.Calls%(1<<16) == 0 { // what is forgotten must not stay in the memory
+	if len(entries) > 1<<16 && c.Calls%(1<<16) == 0 { // expired entries would otherwise use memory without limit
 		for k, v := range entries {
 			if c.w.sim.now >= v.expiresAt {
 				delete(entries, k)
@@ -109,7 +110,7 @@
 	return roundToSevenDigits(entry.total)
 }
 
-// seven rounds to the seven digits that a total is exact to.
+// roundToSevenDigits rounds to seven digits, to which the counter's totals are exact.
 func roundToSevenDigits(v float64) float64 {
 	if v == 0 {
 		return 0
@@ -118,7 +119,8 @@
 	return math.Round(v*scale) / scale
 }
 
-// flush forgets a part of the names, chosen by the name, so that it does not hang on the order of a map.
+// flush forgets a part of the names. They are chosen by a hash of the name, so that the result does not depend on the
+// iteration order of a map.
 func (c *counter) flush(share float64, salt uint64) {
 	for _, entries := range c.replicas {
 		for k := range entries {
@@ -129,28 +131,29 @@
 	}
 }
 
+// mixBits hashes a number. It is the finalizer of SplitMix64.
 func mixBits(z uint64) uint64 {
 	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
 	z = (z ^ z>>27) * 0x94d049bb133111eb
 	return z ^ z>>31
 }
 
-// dies ends its process; what comes back has no names.
+// loseProcess ends the counter's process. It restarts without any names.
 func (c *counter) loseProcess() {
 	c.crashed = true
 	clear(c.replicas[0])
 	clear(c.replicas[1])
 }
 
-// addresses is the list of so many counters.
+// allCounterAddresses returns the addresses of n counters. In a simulation an address is the counter's index.
 func allCounterAddresses(n int) (all []string) {
 	for k := range n {
-		all = append(all, fmt.Sprintf("%04d", k)) // in this order they are numbered, too
+		all = append(all, fmt.Sprintf("%04d", k)) // padded, so that the alphabetical order by which deciders number counters is this one
 	}
 	return all
 }
 
-// cut splits it into two copies that go on apart; heal makes the first the only one again.
+// partition splits the counter into two replicas that diverge.
 func (c *counter) partition() {
 	c.partitioned = true
 	c.replicas[1] = make(map[uint64]counterEntry, len(c.replicas[0]))
@@ -159,6 +162,7 @@
 	}
 }
 
+// heal makes the first replica the only one again. What the second one counted meanwhile is lost.
 func (c *counter) heal() {
 	c.partitioned = false
 	c.replicas[1] = map[uint64]counterEntry{}
--- a/internal/model/limiter.go
+++ b/internal/model/limiter.go
@@ -10,18 +10,18 @@
 	"bramblefall/logic"
 )
 
-// Decider is what decides in a modelled limiter: the project's reducer, or a textbook policy.
+// Decider makes the decisions of a simulated limiter. It is the project's reducer or a textbook policy.
 type Decider interface {
 	Reduce(now time.Duration, ev core.Event, effects []core.Effect) []core.Effect
 }
 
-// Policy makes the deciders of a run.
+// Policy creates the deciders of a run, one for each start of a limiter.
 type Policy struct {
 	Name string
 	New  func(set logic.Settings, seed uint64) Decider
 }
 
-// Own is the project's own reducer and module.
+// Own is the policy that runs the project's own reducer and module.
 func Own() Policy {
 	return Policy{"bramblefall", func(set logic.Settings, seed uint64) Decider {
 		limits := plans.DefaultLimits
@@ -30,44 +30,50 @@
 	}}
 }
 
-// limiter is a modelled limiter.
+// limiter is a simulated limiter process with the agent that keeps its list of nodes.
 type limiter struct {
 	w              *World
 	rank           int
 	hall           int
 	incarnation    int
 	up             bool
-	stalledUntil   time.Duration // it handles nothing until then
+	stalledUntil   time.Duration // events are handled no earlier
 	decider        Decider
 	effects        []core.Effect
 	attempts       map[core.Key]*attempt
-	servers        []logic.Server                   // its list, kept over a restart
-	serverIndex    map[logic.ServerID]int           // in that list
-	leavingSince   map[logic.ServerID]time.Duration // when it was told that a node drains or is gone
-	lastUpdateAt   time.Duration                    // when the last news come
+	servers        []logic.Server                   // kept over a restart
+	serverIndex    map[logic.ServerID]int           // index in servers
+	leavingSince   map[logic.ServerID]time.Duration // when discovery told that the node drains or is gone
+	lastUpdateAt   time.Duration                    // when the last update of discovery arrives
 	openRequests   map[*request]struct{}
 	downAt         time.Duration
-	downDetectedAt time.Duration // the front sees that it is down
-	dispatching    bool          // in a step: what it asks of itself waits
+	downDetectedAt time.Duration // when the front notices the crash
+	dispatching    bool          // an event is being handled; further events wait in inbox
 	inbox          []core.Event
-	counterNumbers map[int]int   // counters by the decider's numbers; none: number 0 alone
-	CPU            time.Duration // spent in the decider, where it is measured
+	counterNumbers map[int]int   // index in World.counters by the number that the decider uses; nil: the only counter is number 0
+	CPU            time.Duration // spent in the decider; 0 unless measured
 }
 
-// flight is a try that is out.
+// attempt is an attempt at a node that the limiter has started and that has not ended.
 type attempt struct {
 	l         *limiter
 	key       core.Key
 	n         *node
 	j         *job
-	state     uint8 // 0: on its way, 1: at the node
+	state     uint8
 	ended     bool
 	req       *request
 	holdsConn bool
-	inFlight  bool // it counts for the cap on attempts out
+	inFlight  bool // counts towards the firm's cap on concurrent attempts
 	load      []float64
 }
 
+// States of an attempt.
+const (
+	attemptConnecting uint8 = 0
+	attemptDelivered  uint8 = 1
+)
+
 func (l *limiter) start() {
 	l.up, l.incarnation = true, l.incarnation+1
 	l.attempts, l.inbox = map[core.Key]*attempt{}, nil
@@ -86,9 +92,10 @@
 	l.watchDiscovery()
 }
 
-const watchDelaySeconds = 0.2 // seconds
+// watchDelaySeconds is the time from the start of a watch until it brings the whole list.
+const watchDelaySeconds = 0.2
 
-// watch has the limiter told the whole list, as its watch would bring it, once discovery answers.
+// watchDiscovery sends the limiter the whole list, as its watch would, as soon as discovery answers.
 func (l *limiter) watchDiscovery() {
 	incarnation := l.incarnation
 	l.w.sim.At(l.w.sim.now+seconds(watchDelaySeconds), func() {
@@ -120,7 +127,7 @@
 	l.openRequests = nil
 }
 
-// held is the requests that it owes an answer, in the order in which they came.
+// openInOrder returns the requests that the limiter has not answered, in the order of their arrival.
 func (l *limiter) openInOrder() []*request {
 	all := make([]*request, 0, len(l.openRequests))
 	for r := range l.openRequests {
@@ -130,7 +137,7 @@
 	return all
 }
 
-// post hands an event in. A limiter that stands still handles it when it goes on.
+// dispatch handles an event and applies its effects. A stalled limiter handles it when the stall ends.
 func (l *limiter) dispatch(ev core.Event) {
 	if !l.up {
 		return
@@ -149,7 +156,7 @@
 		return
 	}
 	l.dispatching = true
-	for k := 0; k < len(l.inbox); k++ { // an effect may post more
+	for k := 0; k < len(l.inbox); k++ { // an effect may dispatch further events
 		began := l.w.stopwatch()
 		if a, ok := l.inbox[k].(timerEffect); ok {
 			l.effects = append(l.effects[:0], a.fire(l.w.sim.now)...)
@@ -179,7 +186,7 @@
 	case core.Abandon:
 		if f := l.attempts[e.Key]; f != nil {
 			reason := e.Reason
-			if f.state == 0 && reason == logic.Timeout {
+			if f.state == attemptConnecting && reason == logic.Timeout {
 				reason = logic.ConnectFailed
 			}
 			f.terminate(reason)
@@ -216,7 +223,7 @@
 	}
 }
 
-// try sends a request on. It counts as sent when it has come whole.
+// startAttempt sends a request to a node. The attempt counts as sent once the node has received it whole.
 func (l *limiter) startAttempt(e core.Try) {
 	r := e.Origin.(*request)
 	f := &attempt{l: l, key: e.Key, req: r, n: l.w.byID[e.Server]}
@@ -233,7 +240,7 @@
 	})
 }
 
-// send carries a flight to its node over a connection that stands idle, or a new one.
+// sendAttempt delivers an attempt to its node, over an idle connection if there is one and else over a new one.
 func (l *limiter) sendAttempt(f *attempt, onDelivered func()) {
 	n, oneWay := f.n, l.w.delay(l.hall, f.n.hall)
 	if n.idle[l.rank] > 0 {
@@ -252,25 +259,25 @@
 		case f.ended:
 			n.returnConn(l.rank, incarnation)
 		case l.w.hallLost(n) || l.w.separated(l.hall, n.hall):
-			// silence: it never comes up
+			// The node never answers, so connecting times out after 250 ms.
 			l.w.sim.After(250*time.Millisecond, func() { f.terminate(logic.ConnectFailed) })
 		case !n.up || n.incarnation != incarnation:
 			f.terminate(logic.ConnectFailed)
 		default:
-			f.state, f.holdsConn = 1, true
+			f.state, f.holdsConn = attemptDelivered, true
 			onDelivered()
 		}
 	})
 }
 
-// rest puts a connection among the idle ones.
+// returnConn makes a limiter's connection idle again, unless the node has restarted since.
 func (n *node) returnConn(rank, incarnation int) {
 	if n.incarnation == incarnation {
 		n.idle[rank]++
 	}
 }
 
-// answer carries a node's answer back.
+// respond carries the node's answer back to the limiter.
 func (f *attempt) respond(s logic.Status) {
 	n, incarnation := f.n, f.n.incarnation
 	f.releaseSlot()
@@ -286,7 +293,7 @@
 	})
 }
 
-// end ends the wait by this side: the connection is closed, so its place at the node is free.
+// terminate ends an attempt without an answer. Its connection is closed, which frees its place at the node.
 func (f *attempt) terminate(s logic.Status) {
 	if f.ended {
 		return
@@ -301,7 +308,7 @@
 	f.complete(s)
 }
 
-// back notes that the attempt is no longer out.
+// releaseSlot stops counting the attempt towards the firm's cap on concurrent attempts.
 func (f *attempt) releaseSlot() {
 	if f.inFlight {
 		f.inFlight = false
@@ -309,6 +316,7 @@
 	}
 }
 
+// discard ends an attempt whose limiter has crashed, which is told nothing.
 func (f *attempt) discard() {
 	f.ended = true
 	f.releaseSlot()
@@ -317,6 +325,7 @@
 	}
 }
 
+// complete passes the outcome of an attempt to its limiter.
 func (f *attempt) complete(s logic.Status) {
 	if f.ended {
 		return
--- a/internal/model/node.go
+++ b/internal/model/node.go
@@ -7,40 +7,40 @@
 	"bramblefall/logic"
 )
 
-// node is an exchange node: cores that work on some requests at once, slots for them and a waiting room. A process that
-// starts is cold and warms evenly.
+// node is an exchange node: cores, a limited number of requests that share them, and a bounded queue. A process that starts
+// is cold, and its speed grows linearly until it is warm.
 type node struct {
 	w                *World
 	id               logic.ServerID
 	hall             int
 	cores            int
-	speed            float64 // of a core
+	speed            float64 // of one core, relative to a core of speed 1
 	rng              *rand.Rand
-	state            logic.ServerState // what it is in truth; discovery tells it late
-	started          time.Duration     // 0: long ago
+	state            logic.ServerState // the true state, which limiters learn late
+	started          time.Duration     // 0: before the run, so that it is warm
 	up               bool
-	pausedUntil      time.Duration // it stands still until then
-	incarnation      int           // grows when its process ends: what was in work is lost
+	pausedUntil      time.Duration // no request ends earlier
+	incarnation      int           // counts the ends of its process; jobs of an earlier incarnation are lost
 	inService        int
 	queue            []*job
 	conns            int
-	idle             []int // open connections that stand idle, by limiter
-	collapsed        bool  // pushed over while cold: it stays down
+	idle             []int // idle connections by limiter
+	collapsed        bool  // overloaded while cold: it stays down for the rest of the run
 	recentWork       []workArrival
-	attemptsReceived int             // attempts that came whole
-	answeredAt       []time.Duration // answers of the last second, where they are reported
+	attemptsReceived int             // received whole
+	answeredAt       []time.Duration // times of the answers in the last second; empty unless throughput is reported
 }
 
-// push is work that came while it was cold.
+// workArrival is work that a node received while it was cold.
 type workArrival struct {
 	at   time.Duration
 	work float64 // seconds of one core
 }
 
-// job is an attempt at a node.
+// job is an attempt that a node has received.
 type job struct {
 	work        float64 // seconds of one core
-	cancelled   bool    // nobody waits for it any more
+	cancelled   bool    // the caller no longer waits
 	incarnation int
 	running     bool
 	reply       func(status logic.Status)
@@ -60,7 +60,7 @@
 	return n
 }
 
-// warmth is the share of its speed that it has.
+// warmupFactor is the share of its full speed that a node has reached.
 func (n *node) warmupFactor() float64 {
 	if n.started == 0 || n.w.s.Node.ColdSeconds <= 0 {
 		return 1
@@ -69,7 +69,7 @@
 	return min(1, n.w.s.Node.ColdShare+(1-n.w.s.Node.ColdShare)*age)
 }
 
-// take takes an attempt that has come whole.
+// accept queues an attempt that was received whole, or rejects it if the queue is full or the node drains.
 func (n *node) accept(j *job) {
 	n.attemptsReceived++
 	k := n.w.s.Node
@@ -83,8 +83,8 @@
 	n.startQueued()
 }
 
-// serve begins what there is a slot for. Requests in work share the cores evenly; a slot over the cores slows all, and a
-// request's speed is that of the moment when it begins.
+// startQueued starts queued requests while there are free slots. Requests in service share the cores evenly, and each one
+// beyond the number of cores slows them. A request keeps the speed that holds when it starts.
 func (n *node) startQueued() {
 	for n.inService < n.w.s.Node.Slots && len(n.queue) > 0 {
 		j := n.queue[0]
@@ -110,7 +110,7 @@
 	if incarnation != n.incarnation || !j.running {
 		return
 	}
-	if n.pausedUntil > n.w.sim.now { // it was stopped while this ran
+	if n.pausedUntil > n.w.sim.now { // the node was paused while the request ran
 		n.w.sim.At(n.pausedUntil+milliseconds(1), func() { n.complete(j, incarnation) })
 		return
 	}
@@ -120,7 +120,7 @@
 	n.startQueued()
 }
 
-// leave is the end of the wait for a job.
+// cancel marks that the caller of a job no longer waits.
 func (n *node) cancel(j *job) {
 	j.cancelled = true
 	if n.w.s.Node.StopsCancelled && j.running && j.incarnation == n.incarnation {
@@ -130,7 +130,8 @@
 	}
 }
 
-// report is the load that an answer tells: requests answered in the last second, with noise; nil: none is told.
+// loadReport is the load report in an answer: the requests answered in the last second, with up to 10% of noise. It is nil
+// if nodes do not report.
 func (n *node) loadReport() []float64 {
 	if !n.w.s.Node.Reports {
 		return nil
@@ -143,7 +144,7 @@
 	return []float64{float64(len(n.answeredAt)) * (0.9 + 0.2*n.rng.Float64())}
 }
 
-// end stops the process: all that it held is cut off.
+// terminate ends the process. Its callers see a reset, or nothing if it ends silently.
 func (n *node) terminate(silent bool) {
 	n.up = false
 	n.incarnation++
@@ -162,7 +163,7 @@
 	}
 }
 
-// start starts it anew, cold.
+// start starts a new process, which is cold. A node that collapsed stays down.
 func (n *node) start() {
 	if n.collapsed {
 		return
--- a/internal/model/sim.go
+++ b/internal/model/sim.go
@@ -1,6 +1,6 @@
-// Package model is the exchange in virtual time: the limiter's real reducer and module run in it unchanged, one for each
-// modelled limiter, and nodes, halls, the counter, discovery and clients are modelled round them. It is deterministic by
-// seed: one goroutine, one clock, and a random source for each part.
+// Package model simulates the exchange in virtual time. Each simulated limiter runs the real reducer and module unchanged;
+// nodes, halls, the counters, discovery and clients are models. A run is deterministic for a seed: it has one goroutine, one
+// clock, and a random source for each component.
 package model
 
 import (
@@ -10,20 +10,20 @@
 	"time"
 )
 
-// begin is the virtual time at which every run starts: some Unix time, since limiters number their intervals by it.
+// epoch is the virtual time at which every run starts. It is a Unix time, since limiters number their intervals by Unix time.
 const epoch = 1_800_000_000 * time.Second
 
-// Sim is the clock and the events to come.
+// Sim is a discrete-event simulation: a virtual clock and the queue of pending events.
 type Sim struct {
 	now     time.Duration
 	seq     uint64
 	queue   eventQueue
-	Handled uint64 // handled so far
+	Handled uint64 // events
 }
 
 type event struct {
 	at       time.Duration
-	seq      uint64 // of events at one instant the first asked for is the first
+	seq      uint64 // events at the same instant run in the order in which they were scheduled
 	callback func()
 }
 
@@ -43,19 +43,19 @@
 	return last
 }
 
-// Now is the instant of the event in hand.
+// Now is the instant of the event that is being handled.
 func (s *Sim) Now() time.Duration { return s.now }
 
-// At asks for do at an instant; one that has passed is now.
+// At schedules callback for an instant. If that has passed, callback is scheduled for now.
 func (s *Sim) At(at time.Duration, callback func()) {
 	s.seq++
 	heap.Push(&s.queue, event{max(at, s.now), s.seq, callback})
 }
 
-// After asks for do after a while.
+// After schedules callback after a duration.
 func (s *Sim) After(d time.Duration, callback func()) { s.At(s.now+max(d, 0), callback) }
 
-// Run handles events until an instant.
+// Run handles the events up to and including an instant, and sets the clock to it.
 func (s *Sim) Run(until time.Duration) {
 	for len(s.queue) > 0 && s.queue[0].at <= until {
 		e := heap.Pop(&s.queue).(event)
@@ -66,7 +66,8 @@
 	s.now = until
 }
 
-// source is a random source of a part's own: what one part draws changes nothing for another.
+// newRand is a random source for the index-th instance of a component. What one component draws does not change what
+// another draws.
 func newRand(seed uint64, component string, index int) *rand.Rand {
 	h := uint64(14695981039346656037)
 	for _, b := range []byte(component) {
@@ -79,12 +80,13 @@
 
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// Range is drawn from evenly.
+// Range is a uniform distribution.
 type Range [2]float64
 
 func (r Range) draw(rng *rand.Rand) float64 { return r[0] + (r[1]-r[0])*rng.Float64() }
 
-// work draws a request's work: gamma by its mean and the square of its coefficient of variation; 0: always the mean.
+// drawGamma draws from a gamma distribution, given its mean and the square of its coefficient of variation. For a cv2 of 0 it
+// is always the mean.
 func drawGamma(rng *rand.Rand, mean, cv2 float64) float64 {
 	if cv2 <= 0 {
 		return mean
@@ -96,7 +98,7 @@
 	return mean / shape * standardGamma(rng, shape)
 }
 
-// gamma draws by Marsaglia and Tsang's method.
+// standardGamma draws from a gamma distribution of scale 1 by the method of Marsaglia and Tsang.
 func standardGamma(rng *rand.Rand, shape float64) float64 {
 	if shape < 1 {
 		return standardGamma(rng, shape+1) * math.Pow(rng.Float64(), 1/shape)
--- a/internal/model/textbook.go
+++ b/internal/model/textbook.go
@@ -9,11 +9,11 @@
 	"bramblefall/logic"
 )
 
-// Textbook policies run in the same model, to compare with. Each admits by a rule of its own and sends to a node chosen
-// at random or to the one with the fewest of its own attempts out. What could not connect or was turned away is tried at
-// one other node; at the deadline a request fails.
+// Textbook policies run in the same model for comparison. Each has its own rule of admission, and sends to a random node or
+// to the node with the fewest attempts in flight from the same limiter. An attempt that could not connect or was rejected is
+// repeated once. At its deadline a request fails.
 
-// Textbook is the policies to compare with.
+// Textbook returns the policies for comparison: each rule of admission with each rule of choosing a node.
 func Textbook() (all []Policy) {
 	for _, admission := range []string{"even-split", "whole-quota", "count-each", "leases"} {
 		for _, choose := range []string{"random", "least"} {
@@ -27,7 +27,7 @@
 	return all
 }
 
-// PolicyNamed finds one by its name.
+// PolicyNamed finds a textbook policy, or the project's own, by its name.
 func PolicyNamed(name string) (Policy, bool) {
 	for _, p := range append(Textbook(), Own()) {
 		if p.Name == name {
@@ -37,12 +37,13 @@
 	return Policy{}, false
 }
 
-// alarm is an effect of the textbook policies: the model calls ring at the time.
+// timerEffect is an effect of the textbook policies. The model calls fire at the given time.
 type timerEffect struct {
 	at   time.Duration
 	fire func(now time.Duration) []core.Effect
 }
 
+// textbook is the decider of all textbook policies.
 type textbook struct {
 	set              logic.Settings
 	rng              *rand.Rand
@@ -67,7 +68,7 @@
 	done            bool
 }
 
-// bucket is a firm's, filled at a rate; seen bounds it.
+// firmState is a firm's token bucket, and the units that the lease policy has leased for it.
 type firmState struct {
 	level        float64
 	filledAt     time.Duration
@@ -77,10 +78,11 @@
 }
 
 const (
-	windowLength = time.Second // of the counting policies
-	leaseShare   = 0.1         // of a window's units
+	windowLength = time.Second // window of the policies that count
+	leaseShare   = 0.1         // part of a window's units in one lease
 )
 
+// Reduce implements Decider.
 func (t *textbook) Reduce(now time.Duration, ev core.Event, effects []core.Effect) []core.Effect {
 	t.now, t.effects = now, effects
 	switch e := ev.(type) {
@@ -135,7 +137,7 @@
 	}
 }
 
-// fill brings a firm's bucket up to now.
+// refill adds to a firm's token bucket what its rate has brought up to now. share is the limiter's share of the quota.
 func (t *textbook) refill(q *pendingRequest, share float64) *firmState {
 	p := t.set.Plans[q.Plan]
 	b := t.firms[q.Customer]
@@ -148,6 +150,7 @@
 	return b
 }
 
+// admitRequest applies the rule of admission.
 func (t *textbook) admitRequest(q *pendingRequest) {
 	p := t.set.Plans[q.Plan]
 	switch {
@@ -155,7 +158,7 @@
 		t.takeToken(q, t.refill(q, 1/float64(max(q.Spread, 1))))
 	case strings.HasPrefix(t.admission, "whole"):
 		t.takeToken(q, t.refill(q, 1))
-	case strings.HasPrefix(t.admission, "count"): // a call for each: a window's count, let in where there is no answer
+	case strings.HasPrefix(t.admission, "count"): // one counter call for each request, which is admitted without an answer too
 		t.count(t.windowKey(q), 1, func(s logic.Status, total float64) {
 			if s != logic.OK || total <= p.Rate*windowLength.Seconds()+p.Burst*0.2 {
 				t.send(q)
@@ -163,7 +166,7 @@
 				t.reject(q, windowLength)
 			}
 		})
-	default: // leases of a tenth of a window
+	default: // leases
 		b := t.refill(q, 0)
 		if b.leased >= 1 {
 			b.leased--
@@ -175,6 +178,7 @@
 	}
 }
 
+// takeToken admits a request if a token is left.
 func (t *textbook) takeToken(q *pendingRequest, b *firmState) {
 	if b.level >= 1 {
 		b.level--
@@ -184,10 +188,12 @@
 	t.reject(q, 500*time.Millisecond)
 }
 
+// windowKey is the counter name of a firm in the present window.
 func (t *textbook) windowKey(q *pendingRequest) uint64 {
 	return mixBits(q.Customer ^ mixBits(uint64(t.now/windowLength)))
 }
 
+// count calls the counter. then gets its answer, or a timeout after the limit for counter calls.
 func (t *textbook) count(key uint64, amount float64, then func(logic.Status, float64)) {
 	t.lastCallID++
 	id := t.lastCallID
@@ -203,6 +209,8 @@
 	}})
 }
 
+// requestLease asks the counter for a lease and then decides on the requests that wait for it. There is one call at a time
+// for each firm. Without an answer, the lease is taken as granted.
 func (t *textbook) requestLease(q *pendingRequest, b *firmState) {
 	if b.leasePending {
 		return
@@ -228,6 +236,7 @@
 	})
 }
 
+// send starts an attempt at a node.
 func (t *textbook) send(q *pendingRequest) {
 	if q.done {
 		return
@@ -291,7 +300,7 @@
 	t.forget(q)
 }
 
-// leave forgets a request that is over; one that is out is given up.
+// forget drops a request that is done. If an attempt is in flight, it abandons that first, and the outcome drops the request.
 func (t *textbook) forget(q *pendingRequest) {
 	if q.attemptInFlight {
 		t.emit(core.Abandon{Key: core.Key{ID: q.ID, Try: q.attempts - 1}, Reason: logic.Cancelled})
--- a/internal/model/unbudgeted.go
+++ b/internal/model/unbudgeted.go
@@ -9,10 +9,10 @@
 	"bramblefall/logic"
 )
 
-// Unbudgeted is the project's own reducer and module without the module's own budget of counter calls. Requests earn that
-// budget, so a firm of the model's own asks for admission wherever calls were spent. It has a plan without quota: it takes
-// nothing, calls nobody and is in no figure. The budget is filled again after each event, so only the calls of one event
-// are bounded, by what a limiter saves.
+// Unbudgeted is the policy that runs the project's own reducer and module with the module's budget of counter calls made
+// ineffective. Requests earn that budget, so wherever calls were spent, a firm that only the model knows asks for admission.
+// Its plan has no quota: it takes no units, makes no counter calls and is counted in no figure. The budget is refilled after
+// each event, so only the calls of a single event are bounded, by the budget that a limiter can save up.
 func Unbudgeted() Policy {
 	return Policy{"bramblefall, calls free", func(set logic.Settings, seed uint64) Decider {
 		set.Plans = append(set.Plans[:len(set.Plans):len(set.Plans)], logic.Plan{Name: "calls", Price: 1e-6})
@@ -24,21 +24,22 @@
 }
 
 const (
-	initialUnpaidCalls = 30                            // more than a limiter saves
-	requestsPerCall    = 3                             // requests that earn a call, at the least share of calls that a start begins with
-	earnerFirstID      = math.MaxUint64 >> 1           // ids and the firm of the model's own
-	earnerTTL          = 10 * time.Millisecond         // over the module's guard
-	earnerFirm         = uint64(0xfee1_0000_0000_0001) // no firm of a scenario has so large a number
+	initialUnpaidCalls = 30                            // more than the budget that a limiter can save up
+	requestsPerCall    = 3                             // requests that earn a call at the lowest share of calls, which a limiter starts with
+	earnerFirstID      = math.MaxUint64 >> 1           // above the ids of the scenario's requests
+	earnerTTL          = 10 * time.Millisecond         // above the module's guard time
+	earnerFirm         = uint64(0xfee1_0000_0000_0001) // above the ids of the scenario's firms
 )
 
 type unbudgeted struct {
 	inner       *core.Reducer
 	plan, rank  int
-	unpaidCalls int // calls that were spent
+	unpaidCalls int // counter calls for which the budget has not been refilled
 	lastEarner  uint64
-	lastUnits   float64 // of the last request: the module learns a mean that the earners must not move
+	lastUnits   float64 // units of the last request: the module learns a mean, which the model's own requests must not shift
 }
 
+// discardOrigin is the origin of requests whose answers nobody reads.
 type discardOrigin struct{}
 
 func (discardOrigin) Served(any)             {}
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -9,7 +9,7 @@
 	"bramblefall/logic"
 )
 
-// World is one run of a scenario.
+// World is the simulation of one run of a scenario.
 type World struct {
 	s          Scenario
 	seed       uint64
@@ -23,43 +23,45 @@
 	byID                 map[logic.ServerID]*node
 	lastID               logic.ServerID
 	counters             []*counter
-	counterLists         []counterRange // of counters, by limiter
+	counterLists         []counterRange // by limiter
 	firms                []*firm
 	classes              []class
 	audit                *audit
 	hallDown             []bool
 	discoverySilent      bool
-	regionsCut           bool  // regions are cut from each other
-	outboundCuts         []int // cuts of what a hall's nodes say to others
+	regionsCut           bool  // halls of even and of odd number are cut off from each other
+	outboundCuts         []int // by hall: active faults that drop what its nodes send to other halls
 	pendingAnnouncements []func()
-	floodRate            float64 // one-off senders a second beside the scenario's
+	floodRate            float64 // requests a second of one-off firms, beside the scenario's own
 	lastRequestID        uint64
 	oneOffRand           *rand.Rand
 	oneOffSeq            uint64
 	oneOffsSent          uint64
 }
 
-// listed is the counters on a limiter's list: from the first one on, so many.
+// counterRange is the consecutive counters that stand on a limiter's list.
 type counterRange struct{ first, count int }
 
+// counterAddresses are the addresses on a limiter's list of counters.
 func (w *World) counterAddresses(rank int) []string {
 	l := w.counterLists[rank]
 	return allCounterAddresses(l.first + l.count)[l.first:]
 }
 
-// relist has a limiter read another list of counters.
+// updateCounterList gives a limiter another list of counters.
 func (w *World) updateCounterList(l *limiter, newList counterRange) {
 	w.counterLists[l.rank] = newList
 	l.dispatch(core.Counters{Addresses: w.counterAddresses(l.rank)})
 }
 
-// class is a class with its mean work for this run.
+// class is a request class with the mean work, in seconds of one core, that was drawn for this run.
 type class struct {
 	ClassKind
 	mean float64
 }
 
-// New makes a run. timed measures the CPU of the deciders, which is the only figure that is not the same each time.
+// New prepares a run. measureCPU measures the time that the deciders take, which is the only figure that differs between
+// runs of the same seed.
 func New(s Scenario, seed uint64, p Policy, measureCPU bool) *World {
 	w := &World{s: s, seed: seed, policy: p, measureCPU: measureCPU, rng: newRand(seed, "world", 0), byID: map[logic.ServerID]*node{},
 		hallDown: make([]bool, s.Halls), outboundCuts: make([]int, s.Halls)}
@@ -98,7 +100,7 @@
 	return n
 }
 
-// clock is the processor's, where it is measured.
+// stopwatch is the real time since the start of the program, or always 0 if decider time is not measured.
 func (w *World) stopwatch() time.Duration {
 	if !w.measureCPU {
 		return 0
@@ -108,7 +110,7 @@
 
 var stopwatchStart = time.Now()
 
-// delay draws a way between two halls.
+// delay draws the one-way delay between two halls.
 func (w *World) delay(a, b int) time.Duration {
 	r := w.s.Network.WithinMS
 	if a != b {
@@ -117,18 +119,19 @@
 	return milliseconds(r.draw(w.rng) + w.s.Network.JitterMS*w.rng.ExpFloat64())
 }
 
-// cutOff tells whether nothing is said by a node: its hall is lost.
+// hallLost tells whether a node's hall is cut off, so that nothing from the node arrives.
 func (w *World) hallLost(n *node) bool { return w.hallDown[n.hall] }
 
-// between tells whether two halls lie in regions that are cut from each other.
+// separated tells whether two halls lie in regions that are cut off from each other.
 func (w *World) separated(a, b int) bool { return w.regionsCut && a%2 != b%2 }
 
-// flying is what is out at a node, in the order of its tries.
+// attemptsAt returns the attempts that a node has received and whose outcome has not reached the limiter, in the order of
+// limiters, requests and attempt numbers.
 func (w *World) attemptsAt(n *node) (all []*attempt) {
 	for _, l := range w.limiters {
 		for _, r := range l.openInOrder() {
 			for k := range r.attempts {
-				if f := l.attempts[core.Key{ID: r.id, Try: k}]; f != nil && f.n == n && f.state == 1 {
+				if f := l.attempts[core.Key{ID: r.id, Try: k}]; f != nil && f.n == n && f.state == attemptDelivered {
 					all = append(all, f)
 				}
 			}
@@ -137,6 +140,7 @@
 	return all
 }
 
+// serverEntry is the node's entry in the server list.
 func (n *node) serverEntry() logic.Server {
 	s := logic.Server{ID: n.id, Weight: 1, Zone: n.hall, State: n.state, Started: n.started}
 	if !n.up {
@@ -145,7 +149,7 @@
 	return s
 }
 
-// list is the whole list as it is.
+// serverEntries is the true list of the nodes that are up.
 func (w *World) serverEntries() (all []logic.Server) {
 	for _, n := range w.nodes {
 		if n.up {
@@ -155,12 +159,13 @@
 	return all
 }
 
-// tellAll gives a limiter the whole list at once, as its agent would.
+// sendSnapshot gives a limiter the whole list at once, as its agent would.
 func (w *World) sendSnapshot(l *limiter) {
 	l.updateServers(logic.ServerList{Whole: true, Servers: w.serverEntries()})
 }
 
-// changed tells every limiter of some nodes, each as late as it hears of it.
+// announce tells every limiter of the state of some nodes, each after a delay of its own. While discovery is silent, the
+// announcement is deferred.
 func (w *World) announce(nodes ...*node) {
 	changedAt := w.sim.now
 	publish := func() {
@@ -171,7 +176,7 @@
 			}
 			lag := seconds(w.s.Discovery.Late.draw(w.rng))
 			at := max(w.sim.now+lag, l.lastUpdateAt+1)
-			l.lastUpdateAt = at // news come in order
+			l.lastUpdateAt = at // updates arrive in order
 			w.sim.At(at, func() {
 				w.audit.recordChange(l, changedAt, len(entries))
 				l.updateServers(logic.ServerList{Servers: entries})
@@ -185,7 +190,7 @@
 	publish()
 }
 
-// learn is what discovery tells a limiter, also while it is down: its agent keeps it.
+// updateServers gives a limiter an update of discovery. Its agent keeps the list also while the limiter is down.
 func (l *limiter) updateServers(list logic.ServerList) {
 	if list.Whole {
 		l.servers, l.serverIndex = nil, nil
@@ -217,7 +222,7 @@
 	l.dispatch(core.UpstreamGroup{ServerList: list})
 }
 
-// settings are what a limiter is told at its start.
+// settings are the settings that a limiter starts with.
 func (w *World) settings(rank int) logic.Settings {
 	s := logic.Settings{Gateways: w.s.Limiters, Rank: rank, Zone: rank % w.s.Halls, Zones: w.s.Halls, Plans: w.s.Tiers,
 		HasCounter: true, CounterLimit: milliseconds(w.s.Counter.TimeoutMS), MostUnits: float64(w.s.Units.Most), Probes: true, Cancelling: true,
@@ -241,7 +246,8 @@
 	return s
 }
 
-// Run plays the scenario and a little longer, until all is answered.
+// Run runs the scenario. Then it stops the load and runs on for the longest deadline and one second, so that all requests
+// end.
 func (w *World) Run() Result {
 	longest := 0.0
 	for _, c := range w.s.Classes {
@@ -256,11 +262,11 @@
 	return w.audit.result()
 }
 
-// strike begins a fault, and plans its end.
+// injectFault starts the n-th fault of the scenario and schedules its end.
 func (w *World) injectFault(f Fault, n int) {
 	rng := newRand(w.seed, "fault", n)
 	pick := func(of int) []int { return f.pick(rng, of) }
-	var up []*node // what is down already is no choice
+	var up []*node // only these can be hit
 	for _, n := range w.nodes {
 		if n.up {
 			up = append(up, n)
@@ -308,7 +314,7 @@
 		atEnd(func() { c.crashed = false })
 	case FaultList:
 		if w.s.Counter.Count == 0 {
-			return // there is no list
+			return // the platform's single counter is not on a list
 		}
 		newList := counterRange{f.Hall, int(f.Size)}
 		lateLimiters := pick(len(w.limiters))
@@ -374,17 +380,17 @@
 	}
 }
 
-// some draws the part that a fault meets.
+// pick draws which of a number of instances a fault hits, at least one.
 func (f Fault) pick(rng *rand.Rand, of int) []int {
 	return rng.Perm(of)[:max(1, min(of, int(f.Part*float64(of)+0.5)))]
 }
 
-// Hot draws the firms that flood in a scenario's n-th fault, for a seed.
+// Hot draws the indices of the firms, three at most, that flood in a scenario's n-th fault, for a seed.
 func Hot(seed uint64, n, firms int) []int {
 	return newRand(seed, "hot", n).Perm(firms)[:min(3, firms)]
 }
 
-// usual is the requests a second that are asked for on a quiet day.
+// normalDemand is the requests a second that are asked for without faults.
 func (w *World) normalDemand() (sum float64) {
 	for _, f := range w.firms {
 		sum += f.demand
@@ -392,7 +398,7 @@
 	return sum + w.s.Firms.OneOffsPerSecond
 }
 
-// meanWork is the work of a request, in seconds of one core.
+// meanWork is the mean work of a request over all classes, in seconds of one core.
 func (w *World) meanWork() (mean float64) {
 	shares := 0.0
 	for _, c := range w.classes {
@@ -401,7 +407,7 @@
 	return mean / shares
 }
 
-// replace drains a node, ends it, and brings another in its place, cold and with a new id.
+// replaceNode drains a node, ends it 8 s later, and starts another in its place, cold and with a new id.
 func (w *World) replaceNode(n *node) {
 	if !n.up || n.state != logic.Ready {
 		return
@@ -417,9 +423,10 @@
 	})
 }
 
+// failHall crashes a hall's nodes, or cuts off the hall with its limiters if the fault's part is over a half.
 func (w *World) failHall(f Fault, atEnd func(func())) {
 	hall := f.Hall % w.s.Halls
-	wholeHall := f.Part > 0.5 // else its nodes' processes die, and say so
+	wholeHall := f.Part > 0.5 // otherwise only the nodes' processes crash, and their connections are reset
 	w.hallDown[hall] = wholeHall
 	for _, n := range w.nodes {
 		if n.hall == hall && n.up {
@@ -432,7 +439,7 @@
 			l.crash()
 		}
 	}
-	if hall == 0 && wholeHall { // the counters stand there; they are back elsewhere, empty
+	if hall == 0 && wholeHall { // the counters run in hall 0; after 5 s they are back elsewhere, empty
 		for _, c := range w.counters {
 			c.unreachable = true
 			w.sim.After(5*time.Second, func() {
@@ -457,19 +464,19 @@
 	})
 }
 
-// Play plays on to some seconds after the begin and tells what has come until then.
+// Play runs the simulation until the given number of seconds after its start and returns the result so far.
 func (w *World) Play(to float64) Result {
 	w.sim.Run(epoch + seconds(to))
 	return w.audit.result()
 }
 
-// NodeView is how a node looks from outside.
+// NodeView is the state of a node for display.
 type NodeView struct {
 	Up, Draining bool
-	Busy         float64 // requests in work over cores
+	Busy         float64 // requests running or queued, divided by cores
 }
 
-// Nodes is how the nodes look now.
+// Nodes is the present state of the nodes.
 func (w *World) Nodes() (all []NodeView) {
 	for _, n := range w.nodes {
 		all = append(all, NodeView{n.up, n.state == logic.Draining, float64(n.inService+len(n.queue)) / float64(n.cores)})
