--- a/internal/model/limiter.go
+++ b/internal/model/limiter.go
@@ -43,7 +43,7 @@
 	attempts       map[core.Key]*attempt
 	servers        []logic.Server                   // kept over a restart
 	serverIndex    map[logic.ServerID]int           // index in servers
-	leavingSince   map[logic.ServerID]time.Duration // when discovery told that the node drains or is gone
+	leavingSince   map[logic.ServerID]time.Duration // when discovery announced that the node drains or is gone
 	lastUpdateAt   time.Duration                    // when the last update of discovery arrives
 	openRequests   map[*request]struct{}
 	downAt         time.Duration
@@ -54,13 +54,13 @@
 	CPU            time.Duration // spent in the decider; 0 unless measured
 }
 
-// attempt is an attempt at a node that the limiter has started and that has not ended.
+// attempt is one attempt of a limiter to have a request served by a node.
 type attempt struct {
 	l         *limiter
 	key       core.Key
 	n         *node
 	j         *job
-	state     uint8
+	state     uint8 // attemptConnecting or attemptDelivered
 	ended     bool
 	req       *request
 	holdsConn bool
@@ -74,6 +74,7 @@
 	attemptDelivered  uint8 = 1
 )
 
+// start starts a new process of the limiter. Its agent has kept the list of nodes.
 func (l *limiter) start() {
 	l.up, l.incarnation = true, l.incarnation+1
 	l.attempts, l.inbox = map[core.Key]*attempt{}, nil
@@ -109,6 +110,7 @@
 	})
 }
 
+// crash ends the limiter's process. Its attempts are discarded, and its clients lose their requests.
 func (l *limiter) crash() {
 	if !l.up {
 		return
@@ -172,6 +174,7 @@
 	l.inbox, l.dispatching = l.inbox[:0], false
 }
 
+// apply carries out an effect of the decider.
 func (l *limiter) apply(e core.Effect) {
 	switch e := e.(type) {
 	case core.SetTimer:
