--- a/internal/model/audit.go
+++ b/internal/model/audit.go
@@ -66,7 +66,7 @@
 // audit checks a run against the true state of the model, which limiters cannot see, and collects the figures.
 type audit struct {
 	w             *World
-	r             Result
+	totals        Result
 	latency       *hdrhistogram.Histogram
 	refusedByTier []int
 	triesByTier   []int
@@ -178,8 +178,10 @@
 	}
 	expect(r.Broken <= b.MaxViolations, "%d rule violations, want at most %d; the first are %v", r.Broken, b.MaxViolations, r.Violations)
 	expect(b.MinWorthShare == 0 || r.Worth() >= b.MinWorthShare, "worth served %.3f, want at least %.3f", r.Worth(), b.MinWorthShare)
-	expect(b.MaxOverQuotaShare == 0 || r.OverQuota() <= b.MaxOverQuotaShare, "%.2f%% of the units beyond quotas, want at most %.2f%%", 100*r.OverQuota(), 100*b.MaxOverQuotaShare)
-	expect(b.MaxCallsPerRequest == 0 || r.CallsEach() <= b.MaxCallsPerRequest, "%.2f counter calls a request, want at most %.2f", r.CallsEach(), b.MaxCallsPerRequest)
+	expect(b.MaxOverQuotaShare == 0 || r.OverQuota() <= b.MaxOverQuotaShare,
+		"%.2f%% of the units beyond quotas, want at most %.2f%%", 100*r.OverQuota(), 100*b.MaxOverQuotaShare)
+	expect(b.MaxCallsPerRequest == 0 || r.CallsEach() <= b.MaxCallsPerRequest,
+		"%.2f counter calls a request, want at most %.2f", r.CallsEach(), b.MaxCallsPerRequest)
 	expect(b.MaxP99Seconds == 0 || r.P99 <= b.MaxP99Seconds, "99th percentile of latency %.3f s, want at most %.3f s", r.P99, b.MaxP99Seconds)
 	return broken
 }
@@ -199,34 +201,34 @@
 const maxViolationsKept = 10
 
 func (a *audit) recordViolation(r *request, text string) {
-	if a.r.Broken++; len(a.r.Violations) < maxViolationsKept {
-		a.r.Violations = append(a.r.Violations, fmt.Sprintf("%.3f s, request %d of firm %x at limiter %d: %s [%v]",
-			(a.w.sim.now-epoch).Seconds(), r.id, r.f.id, r.l.rank, text, r.trace))
+	if a.totals.Broken++; len(a.totals.Violations) < maxViolationsKept {
+		a.totals.Violations = append(a.totals.Violations, fmt.Sprintf("%.3f s, request %d of firm %x at limiter %d: %s [%v]",
+			(a.w.sim.now-epoch).Seconds(), r.id, r.firm.id, r.limiter.rank, text, r.trace))
 	}
 }
 
 // worth is the full worth of a request, if it is served in time and within its quota.
 func (a *audit) worth(r *request) float64 {
-	return a.w.classes[r.class].Worth * a.w.s.Tiers[r.f.tier].Price * r.units
+	return a.w.classes[r.class].Worth * a.w.s.Tiers[r.firm.tier].Price * r.units
 }
 
 func (a *audit) recordRequest(r *request) {
 	if !a.afterWarmup(r) {
 		return
 	}
-	a.r.Requests++
-	a.r.UnitsAsked += r.units
+	a.totals.Requests++
+	a.totals.UnitsAsked += r.units
 	if r.askedInQuota {
-		a.r.WorthAsked += a.worth(r)
+		a.totals.WorthAsked += a.worth(r)
 	}
 }
 
 func (a *audit) recordTry(r *request) {
 	if a.afterWarmup(r) {
-		a.r.Tries++
-		a.triesByTier[r.f.tier]++
+		a.totals.Tries++
+		a.triesByTier[r.firm.tier]++
 		if r.firstTry.askedInQuota {
-			a.tiers[r.f.tier].Inside++
+			a.tiers[r.firm.tier].Inside++
 		}
 	}
 }
@@ -234,7 +236,7 @@
 // recordChange records that a change of nodes has reached a limiter, which uses it from this event on.
 func (a *audit) recordChange(l *limiter, changedAt time.Duration, entries int) {
 	if l.up {
-		a.r.Changes.Told += entries
+		a.totals.Changes.Told += entries
 		_ = a.changeDelay.RecordValues((a.w.sim.now - changedAt).Microseconds(), int64(entries))
 	}
 }
@@ -242,7 +244,7 @@
 // recordCall records that a limiter made a counter call.
 func (a *audit) recordCall() {
 	if a.callAfterWarmup(a.w.sim.now) {
-		a.r.Called.Made++
+		a.totals.Called.Made++
 	}
 }
 
@@ -257,9 +259,9 @@
 	switch now := a.w.sim.now; {
 	case !a.callAfterWarmup(made):
 	case s == logic.OK && now <= deadline:
-		a.r.Called.Answered++
+		a.totals.Called.Answered++
 		if now > made+milliseconds(a.w.s.Counter.TimeoutMS) {
-			a.r.Called.AnsweredSlowly++
+			a.totals.Called.AnsweredSlowly++
 		}
 	}
 }
@@ -268,7 +270,7 @@
 // time has passed, that the node drains or is gone.
 func (a *audit) recordAttempt(l *limiter, n *node, r *request) {
 	r.attempts++
-	a.r.Attempts++
+	a.totals.Attempts++
 	if at, left := l.leavingSince[n.id]; left && a.w.sim.now > at+seconds(a.w.s.Rules.DrainGraceSeconds) {
 		a.recordViolation(r, fmt.Sprintf("attempt sent to node %d %.3f s after it was announced as leaving, want at most %.3f s", n.id,
 			(a.w.sim.now-at).Seconds(), a.w.s.Rules.DrainGraceSeconds))
@@ -280,29 +282,29 @@
 func (a *audit) recordDelivery(f *attempt, r *request, try int) {
 	now := a.w.sim.now
 	if len(r.trace) < 12 {
-		r.trace = append(r.trace, fmt.Sprintf("try %d at node %d hall %d %.3f", try, f.n.id, f.n.hall, (now-epoch).Seconds()))
+		r.trace = append(r.trace, fmt.Sprintf("try %d at node %d hall %d %.3f", try, f.node.id, f.node.hall, (now-epoch).Seconds()))
 	}
 	if !r.delivered {
 		r.delivered = true
-		inside, excess := r.f.ledger.takeSent(now, r.units)
+		inside, excess := r.firm.ledger.takeSent(now, r.units)
 		r.sentInQuota = inside
 		if a.afterWarmup(r) {
-			t, h := &a.tiers[r.f.tier], &a.halls[r.l.hall]
-			a.r.SentUnits, t.Units, h.Units = a.r.SentUnits+r.units, t.Units+r.units, h.Units+r.units
+			t, h := &a.tiers[r.firm.tier], &a.halls[r.limiter.hall]
+			a.totals.SentUnits, t.Units, h.Units = a.totals.SentUnits+r.units, t.Units+r.units, h.Units+r.units
 			if !inside {
-				a.r.BeyondUnits, t.Beyond, h.UnitsOverQuota = a.r.BeyondUnits+r.units, t.Beyond+r.units, h.UnitsOverQuota+r.units
-				a.r.WorthServed -= a.w.s.Tiers[r.f.tier].OverCost * a.worth(r)
+				a.totals.BeyondUnits, t.Beyond, h.UnitsOverQuota = a.totals.BeyondUnits+r.units, t.Beyond+r.units, h.UnitsOverQuota+r.units
+				a.totals.WorthServed -= a.w.s.Tiers[r.firm.tier].OverCost * a.worth(r)
 			}
 		}
 		if excess > 0 {
-			if a.r.CeilingOver == 0 || excess > a.r.CeilingOver+1 {
+			if a.totals.CeilingOver == 0 || excess > a.totals.CeilingOver+1 {
 				a.recordViolation(r, fmt.Sprintf("ceiling and its slack exceeded by %.2f units", excess))
 			}
-			a.r.CeilingOver = max(a.r.CeilingOver, excess)
+			a.totals.CeilingOver = max(a.totals.CeilingOver, excess)
 		}
 	}
 	f.inFlight = true
-	t := r.f.ledger
+	t := r.firm.ledger
 	if t.inFlight++; t.plan.Open > 0 {
 		a.checkCap(r, t)
 	}
@@ -310,23 +312,24 @@
 	if c.UnsafeToRepeat && r.possibleRuns > 0 {
 		a.recordViolation(r, "request that is unsafe to repeat may have run and was sent again")
 	}
-	if c.Keyed && r.possibleRuns > 0 && (f.n.hall != r.firstRunHall || now > r.firstRunAt+seconds(c.KeyTTLSeconds)) {
-		a.recordViolation(r, fmt.Sprintf("keyed request may have run in hall %d and was sent to hall %d, another hall or after the key's TTL", r.firstRunHall, f.n.hall))
+	if c.Keyed && r.possibleRuns > 0 && (f.node.hall != r.firstRunHall || now > r.firstRunAt+seconds(c.KeyTTLSeconds)) {
+		a.recordViolation(r, fmt.Sprintf("keyed request may have run in hall %d and was sent to hall %d, another hall or after the key's TTL",
+			r.firstRunHall, f.node.hall))
 	}
 	if r.possibleRuns++; r.possibleRuns == 1 {
-		r.firstRunHall, r.firstRunAt = f.n.hall, now
+		r.firstRunHall, r.firstRunAt = f.node.hall, now
 	}
 }
 
 // checkCap compares the attempts in flight with the firm's cap. Limiters know only their own attempts. Where a limiter's
-// part of the cap is none and one by turns, an attempt that outlives its turn is in flight beside that of the next turn. So
-// attempts over the cap are only counted, and a violation is more than the most that this can lead to. Under a plan without a
-// rate the parts follow forecasts, and no bound is proven.
+// part of the cap alternates between none and one, an attempt that outlives its limiter's turn is in flight beside that of the
+// next limiter. So attempts over the cap are only counted, and it is a violation if there are more than this can lead to at
+// most. Under a plan without a rate the parts follow forecasts, and no bound is proven.
 func (a *audit) checkCap(r *request, t *ledger) {
-	if a.r.AttemptsUnderCap++; t.inFlight > t.plan.Open {
-		a.r.AttemptsOverCap++
+	if a.totals.AttemptsUnderCap++; t.inFlight > t.plan.Open {
+		a.totals.AttemptsOverCap++
 	}
-	n := float64(r.f.spread)
+	n := float64(r.firm.spread)
 	if most := n * math.Ceil(float64(t.plan.Open)/n); t.plan.Rate > 0 && float64(t.inFlight) > most {
 		a.recordViolation(r, fmt.Sprintf("%d attempts in flight, want at most %.0f for a cap of %d", t.inFlight, most, t.plan.Open))
 	}
@@ -336,7 +339,7 @@
 // has not run.
 func (a *audit) recordAttemptEnd(f *attempt, s logic.Status) {
 	if s == logic.Full {
-		f.req.possibleRuns--
+		f.request.possibleRuns--
 	}
 }
 
@@ -356,17 +359,18 @@
 	for _, p := range n.recentWork {
 		sum += p.work
 	}
-	can := n.speed * n.warmupFactor() * float64(n.cores) * window.Seconds()
+	// capacity, slack and sum are seconds of work of one core.
+	capacity := n.speed * n.warmupFactor() * float64(n.cores) * window.Seconds()
 	slack := 3 * 0.2 * math.Sqrt(float64(n.cores))
 	// The operators allow a slack too, in requests of mean work. It holds for the sum of all limiters, however many there are.
-	budget := multiple * can / a.w.meanWork()
+	budget := multiple * capacity / a.w.meanWork()
 	pressure := sum / a.w.meanWork() / (budget + 2*math.Sqrt(budget) + 2)
 	a.peakPressure = max(a.peakPressure, pressure)
-	if sum > multiple*can+slack || pressure > 1 {
+	if sum > multiple*capacity+slack || pressure > 1 {
 		n.collapsed = true
-		a.r.Broken++
-		if len(a.r.Violations) < maxViolationsKept {
-			a.r.Violations = append(a.r.Violations, fmt.Sprintf("%.3f s: cold node %d was overloaded, %.1f s of work in %v at a warm-up factor of %.2f",
+		a.totals.Broken++
+		if len(a.totals.Violations) < maxViolationsKept {
+			a.totals.Violations = append(a.totals.Violations, fmt.Sprintf("%.3f s: cold node %d was overloaded, %.1f s of work in %v at a warm-up factor of %.2f",
 				(now-epoch).Seconds(), n.id, sum, window, n.warmupFactor()))
 		}
 		n.terminate(false)
@@ -378,52 +382,52 @@
 	if !a.afterWarmup(r) {
 		return
 	}
-	a.r.Served++
+	a.totals.Served++
 	took := a.w.sim.now - r.firstSentAt
 	_ = a.latency.RecordValue(took.Microseconds())
 	worth := a.worth(r)
 	if !r.sentInQuota {
-		worth *= a.w.s.Tiers[r.f.tier].OverWorth
+		worth *= a.w.s.Tiers[r.firm.tier].OverWorth
 	}
 	if took > seconds(a.w.classes[r.class].Aim) {
-		a.r.AnsweredLate++
+		a.totals.AnsweredLate++
 		worth *= a.w.classes[r.class].Late
 	}
-	a.r.WorthServed += worth
+	a.totals.WorthServed += worth
 }
 
 func (a *audit) recordRefused(r *request) {
 	if c := a.w.classes[r.class]; (c.Keyed || c.UnsafeToRepeat) && r.possibleRuns > 0 {
-		a.recordViolation(r, "may have run and was refused as safe to repeat")
+		a.recordViolation(r, "request may have run and was refused as safe to repeat")
 	}
 	if !a.afterWarmup(r) {
 		return
 	}
-	a.r.Refused++
-	a.refusedByTier[r.f.tier]++
+	a.totals.Refused++
+	a.refusedByTier[r.firm.tier]++
 	if r.firstTry.askedInQuota {
-		a.tiers[r.f.tier].InsideRefused++
+		a.tiers[r.firm.tier].InsideRefused++
 	}
-	if r.f.ledger.remainingShare(a.w.sim.now) >= 0.5 {
-		a.r.RoomRefused++
-		a.tiers[r.f.tier].RoomRefused++
+	if r.firm.ledger.remainingShare(a.w.sim.now) >= 0.5 {
+		a.totals.RoomRefused++
+		a.tiers[r.firm.tier].RoomRefused++
 	}
 }
 
 func (a *audit) recordFailed(r *request) {
 	if a.afterWarmup(r) {
-		a.r.Failed++
+		a.totals.Failed++
 	}
 }
 
 func (a *audit) recordLost(r *request) {
 	if a.afterWarmup(r) {
-		a.r.Lost++
+		a.totals.Lost++
 	}
 }
 
 func (a *audit) result() Result {
-	r := a.r
+	r := a.totals
 	r.Scenario, r.Policy, r.Seed = a.w.s.Name, a.w.policy.Name, a.w.seed
 	r.Calls, r.BusiestCalls, r.Borne = 0, 0, 0
 	for _, c := range a.w.counters {
--- a/internal/model/clients.go
+++ b/internal/model/clients.go
@@ -132,8 +132,8 @@
 // request is one try of a client, and the origin of its request context. A retry is a request of its own.
 type request struct {
 	w            *World
-	f            *firm
-	l            *limiter
+	firm         *firm
+	limiter      *limiter
 	incarnation  int
 	id           uint64
 	class        int
@@ -163,7 +163,7 @@
 		x -= w.classes[class].Share
 		class++
 	}
-	r := &request{w: w, f: f, class: class, units: 1, retriesLeft: w.s.Clients.Retries, firstSentAt: w.sim.now, rng: rng}
+	r := &request{w: w, firm: f, class: class, units: 1, retriesLeft: w.s.Clients.Retries, firstSentAt: w.sim.now, rng: rng}
 	r.firstTry = r
 	if u := w.s.Units; u.Most > 1 {
 		r.units = min(max(1, math.Round(r.workAt(0)/w.classes[class].mean*u.Mean)), float64(u.Most))
@@ -175,7 +175,7 @@
 
 // send sends the try to one of the firm's limiters that the front believes to be up.
 func (r *request) send() {
-	w, f := r.w, r.f
+	w, f := r.w, r.firm
 	w.lastRequestID++
 	r.id = w.lastRequestID
 	k := f.busiestOffset
@@ -183,8 +183,8 @@
 		k = r.rng.IntN(f.spread)
 	}
 	for n := range f.spread {
-		r.l = w.limiters[(f.firstLimiter+(k+n)%f.spread)%len(w.limiters)]
-		if r.l.up || w.sim.now < r.l.downDetectedAt {
+		r.limiter = w.limiters[(f.firstLimiter+(k+n)%f.spread)%len(w.limiters)]
+		if r.limiter.up || w.sim.now < r.limiter.downDetectedAt {
 			break
 		}
 	}
@@ -193,30 +193,30 @@
 	if r.firstTry == r {
 		r.expiresAt = w.sim.now + seconds(deadline.Seconds()*max(w.s.Clients.GiveUp[1], 0.1))
 	}
-	if !r.l.up {
+	if !r.limiter.up {
 		w.sim.After(time.Millisecond, func() { r.retry(false, 0) })
 		return
 	}
-	r.incarnation, r.sentAt = r.l.incarnation, w.sim.now
-	r.l.openRequests[r] = struct{}{}
+	r.incarnation, r.sentAt = r.limiter.incarnation, w.sim.now
+	r.limiter.openRequests[r] = struct{}{}
 	w.audit.recordTry(r)
-	r.l.dispatch(core.RequestContext{Request: logic.Request{ID: r.id, Class: r.class, Plan: f.tier, Customer: f.id, TTL: r.expiresAt - w.sim.now,
+	r.limiter.dispatch(core.RequestContext{Request: logic.Request{ID: r.id, Class: r.class, Plan: f.tier, Customer: f.id, TTL: r.expiresAt - w.sim.now,
 		Units: r.units, Spread: f.spread, First: f.firstLimiter, Repeat: r.firstTry != r && w.s.Clients.MarksRetries}, Origin: r})
 	w.sim.At(r.expiresAt, func() {
 		if !r.ended {
-			r.l.dispatch(core.ClientGone{ID: r.id})
+			r.limiter.dispatch(core.ClientGone{ID: r.id})
 		}
 	})
 	w.sim.At(r.expiresAt+58*time.Millisecond, func() {
-		if r.ended || !r.l.up || r.l.incarnation != r.incarnation {
+		if r.ended || !r.limiter.up || r.limiter.incarnation != r.incarnation {
 			return
 		}
 		// A stalled limiter cannot answer, nor can it know how long requests that arrived meanwhile have waited unread.
-		if r.l.stalledUntil < r.expiresAt && r.l.stalledUntil < r.sentAt {
+		if r.limiter.stalledUntil < r.expiresAt && r.limiter.stalledUntil < r.sentAt {
 			w.audit.recordViolation(r, "no final answer within 58 ms after the client stopped waiting")
 		}
 		if r.markEnded(); w.audit.afterWarmup(r) {
-			w.audit.r.UnreadTries++
+			w.audit.totals.UnreadTries++
 		}
 	})
 }
@@ -235,7 +235,7 @@
 		return false
 	}
 	r.ended = true
-	delete(r.l.openRequests, r)
+	delete(r.limiter.openRequests, r)
 	return true
 }
 
@@ -303,6 +303,7 @@
 	if r.w.sim.now+wait >= r.firstSentAt+seconds(c.Deadline) {
 		return
 	}
-	next := &request{w: r.w, f: r.f, class: r.class, units: r.units, retriesLeft: r.retriesLeft - 1, firstSentAt: r.firstSentAt, firstTry: r.firstTry, drawnWork: r.drawnWork, rng: r.rng}
+	next := &request{w: r.w, firm: r.firm, class: r.class, units: r.units, retriesLeft: r.retriesLeft - 1,
+		firstSentAt: r.firstSentAt, firstTry: r.firstTry, drawnWork: r.drawnWork, rng: r.rng}
 	r.w.sim.After(wait, next.send)
 }
--- a/internal/model/limiter.go
+++ b/internal/model/limiter.go
@@ -56,13 +56,13 @@
 
 // attempt is one attempt of a limiter to have a request served by a node.
 type attempt struct {
-	l         *limiter
+	limiter   *limiter
 	key       core.Key
-	n         *node
-	j         *job
+	node      *node
+	job       *job
 	state     uint8 // attemptConnecting or attemptDelivered
 	ended     bool
-	req       *request
+	request   *request
 	holdsConn bool
 	inFlight  bool // counts towards the firm's cap on concurrent attempts
 	load      []float64
@@ -229,23 +229,23 @@
 // startAttempt sends a request to a node. The attempt counts as sent once the node has received it whole.
 func (l *limiter) startAttempt(e core.Try) {
 	r := e.Origin.(*request)
-	f := &attempt{l: l, key: e.Key, req: r, n: l.w.byID[e.Server]}
+	f := &attempt{limiter: l, key: e.Key, request: r, node: l.w.byID[e.Server]}
 	l.attempts[e.Key] = f
-	if f.n == nil {
+	if f.node == nil {
 		f.terminate(logic.ConnectFailed)
 		return
 	}
-	l.w.audit.recordAttempt(l, f.n, r)
+	l.w.audit.recordAttempt(l, f.node, r)
 	l.sendAttempt(f, func() {
-		f.j = &job{work: r.workAt(e.Key.Try), reply: func(s logic.Status) { f.respond(s) }}
+		f.job = &job{work: r.workAt(e.Key.Try), reply: func(s logic.Status) { f.respond(s) }}
 		l.w.audit.recordDelivery(f, r, e.Key.Try)
-		f.n.accept(f.j)
+		f.node.accept(f.job)
 	})
 }
 
 // sendAttempt delivers an attempt to its node, over an idle connection if there is one and else over a new one.
 func (l *limiter) sendAttempt(f *attempt, onDelivered func()) {
-	n, oneWay := f.n, l.w.delay(l.hall, f.n.hall)
+	n, oneWay := f.node, l.w.delay(l.hall, f.node.hall)
 	if n.idle[l.rank] > 0 {
 		n.idle[l.rank]--
 	} else {
@@ -282,16 +282,16 @@
 
 // respond carries the node's answer back to the limiter.
 func (f *attempt) respond(s logic.Status) {
-	n, incarnation := f.n, f.n.incarnation
+	n, incarnation := f.node, f.node.incarnation
 	f.releaseSlot()
 	if s == logic.OK {
 		f.load = n.loadReport()
 	}
-	f.l.w.sim.After(f.l.w.delay(f.n.hall, f.l.hall), func() {
-		if f.ended || f.l.w.hallLost(n) || f.l.w.outboundCuts[n.hall] > 0 && n.hall != f.l.hall || f.l.w.separated(n.hall, f.l.hall) {
+	f.limiter.w.sim.After(f.limiter.w.delay(f.node.hall, f.limiter.hall), func() {
+		if f.ended || f.limiter.w.hallLost(n) || f.limiter.w.outboundCuts[n.hall] > 0 && n.hall != f.limiter.hall || f.limiter.w.separated(n.hall, f.limiter.hall) {
 			return
 		}
-		n.returnConn(f.l.rank, incarnation)
+		n.returnConn(f.limiter.rank, incarnation)
 		f.complete(s)
 	})
 }
@@ -301,12 +301,12 @@
 	if f.ended {
 		return
 	}
-	if f.holdsConn && f.n.conns > 0 {
-		f.n.conns--
+	if f.holdsConn && f.node.conns > 0 {
+		f.node.conns--
 	}
 	f.releaseSlot()
-	if f.j != nil {
-		f.n.cancel(f.j)
+	if f.job != nil {
+		f.node.cancel(f.job)
 	}
 	f.complete(s)
 }
@@ -315,7 +315,7 @@
 func (f *attempt) releaseSlot() {
 	if f.inFlight {
 		f.inFlight = false
-		f.req.f.ledger.inFlight--
+		f.request.firm.ledger.inFlight--
 	}
 }
 
@@ -323,8 +323,8 @@
 func (f *attempt) discard() {
 	f.ended = true
 	f.releaseSlot()
-	if f.j != nil {
-		f.n.cancel(f.j)
+	if f.job != nil {
+		f.node.cancel(f.job)
 	}
 }
 
@@ -334,9 +334,9 @@
 		return
 	}
 	f.ended = true
-	delete(f.l.attempts, f.key)
-	if f.j != nil {
-		f.l.w.audit.recordAttemptEnd(f, s)
+	delete(f.limiter.attempts, f.key)
+	if f.job != nil {
+		f.limiter.w.audit.recordAttemptEnd(f, s)
 	}
-	f.l.dispatch(core.Outcome{Key: f.key, Status: s, Value: "v", Load: f.load})
+	f.limiter.dispatch(core.Outcome{Key: f.key, Status: s, Value: "v", Load: f.load})
 }
--- a/internal/model/scenario.go
+++ b/internal/model/scenario.go
@@ -278,7 +278,8 @@
 	s.Limiters, s.Nodes, s.Firms.Count, s.Firms.OneOffsPerSecond = limiters, nodes, firms, oneOffs
 	s.Firms.Spread = Range{2, min(4, float64(limiters))}
 	s.Counter.Parts = max(1, limiters/3)
-	// Firms are taken to use 0.55 of their rate, and nodes to be used to 0.55 of their cores.
+	// Firms are taken to use 0.55 of their rate, and nodes to be used to 0.55 of their cores. demandUnits is the mean demand of
+	// a firm, in units a second.
 	demandUnits := 0.0
 	for k, t := range s.Tiers {
 		demandUnits += s.TierShares[k] * t.Rate * 0.55
@@ -347,7 +348,8 @@
 		if !slices.Contains(faultKinds, f.Kind) {
 			addError(fmt.Sprintf("faults[%d].kind", k), "%q is none of %v", f.Kind, faultKinds)
 		}
-		if counters := s.Counter.Count + s.Counter.SpareCount; f.Kind == FaultLost && f.Hall >= max(counters, 1) || f.Kind == FaultList && (f.Size < 1 || f.Hall < 0 || f.Hall+int(f.Size) > counters || s.Counter.Count < 1) {
+		if counters := s.Counter.Count + s.Counter.SpareCount; f.Kind == FaultLost && f.Hall >= max(counters, 1) ||
+			f.Kind == FaultList && (f.Size < 1 || f.Hall < 0 || f.Hall+int(f.Size) > counters || s.Counter.Count < 1) {
 			addError(fmt.Sprintf("faults[%d].kind", k), "got %s with hall %d and size %v, but there are %d counters", f.Kind, f.Hall, f.Size, counters)
 		}
 		if f.At < 0 || f.At >= s.Seconds || f.For < 0 {
--- a/internal/model/textbook.go
+++ b/internal/model/textbook.go
@@ -18,7 +18,7 @@
 	for _, admission := range []string{"even-split", "whole-quota", "count-each", "leases"} {
 		for _, choose := range []string{"random", "least"} {
 			all = append(all, Policy{admission + "+" + choose, func(set logic.Settings, seed uint64) Decider {
-				return &textbook{set: set, rng: rand.New(rand.NewPCG(seed, 5)), admission: admission, leastLoaded: choose == "least",
+				return &textbook{settings: set, rng: rand.New(rand.NewPCG(seed, 5)), admission: admission, leastLoaded: choose == "least",
 					requests: map[uint64]*pendingRequest{}, firms: map[uint64]*firmState{}, pendingCalls: map[uint64]func(logic.Status, float64){},
 					inFlightByServer: map[logic.ServerID]int{}}
 			}})
@@ -45,7 +45,7 @@
 
 // textbook is the decider of all textbook policies.
 type textbook struct {
-	set              logic.Settings
+	settings         logic.Settings
 	rng              *rand.Rand
 	admission        string
 	leastLoaded      bool
@@ -139,7 +139,7 @@
 
 // refill adds to a firm's token bucket what its rate has brought up to now. share is the limiter's share of the quota.
 func (t *textbook) refill(q *pendingRequest, share float64) *firmState {
-	p := t.set.Plans[q.Plan]
+	p := t.settings.Plans[q.Plan]
 	b := t.firms[q.Customer]
 	if b == nil {
 		b = &firmState{level: p.Burst * share, filledAt: t.now}
@@ -152,7 +152,7 @@
 
 // admitRequest applies the rule of admission.
 func (t *textbook) admitRequest(q *pendingRequest) {
-	p := t.set.Plans[q.Plan]
+	p := t.settings.Plans[q.Plan]
 	switch {
 	case strings.HasPrefix(t.admission, "even"):
 		t.takeToken(q, t.refill(q, 1/float64(max(q.Spread, 1))))
@@ -199,7 +199,7 @@
 	id := t.lastCallID
 	t.pendingCalls[id] = then
 	t.emit(core.Count{Call: id, Name: key, Amount: amount, Lives: 3 * windowLength})
-	t.emit(timerEffect{t.now + t.set.CounterLimit, func(now time.Duration) []core.Effect {
+	t.emit(timerEffect{t.now + t.settings.CounterLimit, func(now time.Duration) []core.Effect {
 		t.now, t.effects = now, nil
 		if call := t.pendingCalls[id]; call != nil {
 			delete(t.pendingCalls, id)
@@ -216,7 +216,7 @@
 		return
 	}
 	b.leasePending = true
-	p := t.set.Plans[q.Plan]
+	p := t.settings.Plans[q.Plan]
 	leaseUnits := max(1, leaseShare*p.Rate*windowLength.Seconds())
 	t.count(t.windowKey(q), leaseUnits, func(s logic.Status, total float64) {
 		b.leasePending = false
@@ -287,7 +287,7 @@
 func (t *textbook) reject(q *pendingRequest, after time.Duration) {
 	if !q.done {
 		q.done = true
-		t.emit(core.Reject{Origin: q.Origin, After: min(after, t.set.MaxRetryAfter)})
+		t.emit(core.Reject{Origin: q.Origin, After: min(after, t.settings.MaxRetryAfter)})
 	}
 	t.forget(q)
 }
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -131,7 +131,7 @@
 	for _, l := range w.limiters {
 		for _, r := range l.openInOrder() {
 			for k := range r.attempts {
-				if f := l.attempts[core.Key{ID: r.id, Try: k}]; f != nil && f.n == n && f.state == attemptDelivered {
+				if f := l.attempts[core.Key{ID: r.id, Try: k}]; f != nil && f.node == n && f.state == attemptDelivered {
 					all = append(all, f)
 				}
 			}
