--- a/internal/model/audit.go
+++ b/internal/model/audit.go
@@ -77,45 +77,46 @@
 }
 
 // Result holds the figures of a run. Figures of tries, units and worth leave out requests whose first try came in the warm-up;
-// attempts, counter calls, changes and violations are counted from the start of the run.
+// attempts, counter calls, changes and violations are counted from the start of the run; Called alone leaves out the calls of the
+// warm-up.
 type Result struct {
-	Scenario         string
-	Policy           string
-	Seed             uint64
-	Requests         int // first tries of clients
-	Tries            int
-	Served           int
-	AnsweredLate     int // served after the class's aim
-	Refused          int
-	Failed           int
-	Lost             int // tries held by a limiter that crashed
-	UnreadTries      int // tries that a stalled limiter did not answer before the client stopped waiting
-	Attempts         int
-	WorthAsked       float64 // within the quotas
-	WorthServed      float64
-	UnitsAsked       float64 // within and beyond quotas
-	SentUnits        float64
-	BeyondUnits      float64 // units sent beyond a quota
-	RoomRefused      int     // tries refused while at least half of the quota was left
-	AttemptsUnderCap int     // attempts of firms with a cap on concurrent attempts
-	AttemptsOverCap  int     // attempts that exceeded such a cap
-	Calls            int     // counter calls
-	BusiestCalls     int     // calls of the counter that got most
-	Borne            int     // calls that the counters served
-	Seconds          float64
-	CeilingOver      float64 // most units by which a ceiling with its slack was exceeded
-	Violations       []string
-	Broken           int           // violations, including those that are not listed
-	Median           float64       // seconds from the first try until served
-	P99              float64       // seconds from the first try until served
-	RefusedByTier    []float64     // refused share of the tries
-	Events           uint64        // events of the simulation
-	CPU              time.Duration // real time that the deciders took; 0 unless measured
-	Firms            int
-	Tiers            []TierResult
-	Halls            []HallResult // by the limiter's hall
-	Called           CallResult
-	Changes          ChangeResult
+	Scenario        string
+	Policy          string
+	Seed            uint64
+	Requests        int // first tries of clients
+	Tries           int
+	Served          int
+	AnsweredLate    int // served after the class's aim
+	Refused         int
+	Failed          int
+	Lost            int // tries held by a limiter that crashed
+	UnreadTries     int // tries that a stalled limiter did not answer before the client stopped waiting
+	Attempts        int
+	WorthAsked      float64 // within the quotas
+	WorthServed     float64
+	UnitsAsked      float64 // within and beyond quotas
+	SentUnits       float64
+	BeyondUnits     float64 // units sent beyond a quota
+	RoomRefused     int     // tries refused while at least half of the quota was left
+	CappedAttempts  int     // attempts of firms with a cap on concurrent attempts, over the cap or not
+	AttemptsOverCap int     // those of CappedAttempts that exceeded the cap
+	Calls           int     // counter calls
+	BusiestCalls    int     // calls of the counter that got most
+	Borne           int     // calls that the counters served before the end of the scenario
+	Seconds         float64
+	CeilingOver     float64 // most units by which a ceiling with its slack was exceeded
+	Violations      []string
+	Broken          int           // violations, including those that are not listed
+	Median          float64       // seconds from the first try until served
+	P99             float64       // seconds from the first try until served
+	RefusedByTier   []float64     // refused share of the tries
+	Events          uint64        // events of the simulation
+	CPU             time.Duration // real time that the deciders took; 0 unless measured
+	Firms           int
+	Tiers           []TierResult
+	Halls           []HallResult // by the limiter's hall
+	Called          CallResult
+	Changes         ChangeResult
 }
 
 // ChangeResult describes how changes of nodes reached the limiters that were up.
@@ -266,13 +267,13 @@
 	}
 }
 
-// recordAttempt records the start of an attempt. No attempt may start at a node after the limiter has been told, and the grace
-// time has passed, that the node drains or is gone.
+// recordAttempt records the start of an attempt. No attempt may go to a node once the grace time has passed since the limiter
+// was told that the node drains or is gone.
 func (a *audit) recordAttempt(l *limiter, n *node, r *request) {
 	r.attempts++
 	a.totals.Attempts++
 	if at, left := l.leavingSince[n.id]; left && a.w.sim.now > at+seconds(a.w.s.Rules.DrainGraceSeconds) {
-		a.recordViolation(r, fmt.Sprintf("attempt sent to node %d %.3f s after it was announced as leaving, want at most %.3f s", n.id,
+		a.recordViolation(r, fmt.Sprintf("attempt sent to node %d %.3f s after the limiter was told that it is leaving, want at most %.3f s", n.id,
 			(a.w.sim.now-at).Seconds(), a.w.s.Rules.DrainGraceSeconds))
 	}
 }
@@ -326,7 +327,7 @@
 // next limiter. So attempts over the cap are only counted, and it is a violation if there are more than this can lead to at
 // most. Under a plan without a rate the parts follow forecasts, and no bound is proven.
 func (a *audit) checkCap(r *request, t *ledger) {
-	if a.totals.AttemptsUnderCap++; t.inFlight > t.plan.Open {
+	if a.totals.CappedAttempts++; t.inFlight > t.plan.Open {
 		a.totals.AttemptsOverCap++
 	}
 	n := float64(r.firm.spread)
@@ -431,7 +432,7 @@
 	r.Scenario, r.Policy, r.Seed = a.w.s.Name, a.w.policy.Name, a.w.seed
 	r.Calls, r.BusiestCalls, r.Borne = 0, 0, 0
 	for _, c := range a.w.counters {
-		r.Calls, r.BusiestCalls, r.Borne = r.Calls+c.Calls, max(r.BusiestCalls, c.Calls), r.Borne+c.answered
+		r.Calls, r.BusiestCalls, r.Borne = r.Calls+c.Calls, max(r.BusiestCalls, c.Calls), r.Borne+c.served
 	}
 	r.Seconds = min((a.w.sim.now - epoch).Seconds(), a.w.s.Seconds)
 	r.Median = float64(a.latency.ValueAtQuantile(50)) / 1e6
--- a/internal/model/counter.go
+++ b/internal/model/counter.go
@@ -23,7 +23,7 @@
 	crashed     bool // its process has ended: calls fail to connect
 	partitioned bool
 	Calls       int
-	answered    int // calls served before the end of the scenario
+	served      int // calls served before the end of the scenario
 }
 
 type shard struct {
@@ -78,7 +78,7 @@
 				return
 			}
 			if c.w.sim.now < epoch+seconds(c.w.s.Seconds) {
-				c.answered++
+				c.served++
 			}
 			total := c.add(limiter, name, amount, ttl)
 			if !c.silent && !c.unreachable {
--- a/internal/model/counters_test.go
+++ b/internal/model/counters_test.go
@@ -44,9 +44,9 @@
 	require.Empty(t, withCrash.Violations)
 	require.Greater(t, withCrash.Worth(), baseline.Worth()-0.05)
 	for _, k := range []int{0, 2, 3} {
-		require.InEpsilon(t, w.counters[k].answered, v.counters[k].answered, 0.15, "counter %d", k)
+		require.InEpsilon(t, w.counters[k].served, v.counters[k].served, 0.15, "counter %d", k)
 	}
-	require.Less(t, v.counters[1].answered, w.counters[1].answered*8/10)
+	require.Less(t, v.counters[1].served, w.counters[1].served*8/10)
 }
 
 // Half of the limiters learn of a change of the counter list ten seconds later than the others. Quotas must not be granted
@@ -77,7 +77,7 @@
 	w.Run()
 	laterRate := float64(w.counters[2].Calls-firstCalls) / 2.5
 	t.Logf("%d calls at the old counters in the 6 s before, %d at the new one in its first half second, then %.0f a second", callsBefore, firstCalls, laterRate)
-	require.Less(t, float64(firstCalls), laterRate/2, "calls in the first half second must not exceed the later rate")
+	require.Less(t, float64(firstCalls), laterRate/2, "calls in the first half second must be fewer than half a second brings at the later rate")
 }
 
 // A list that changes every second does not multiply the counter calls. The price is that counts are dropped of names that
--- a/internal/model/limiter.go
+++ b/internal/model/limiter.go
@@ -43,7 +43,7 @@
 	attempts       map[core.Key]*attempt
 	servers        []logic.Server                   // kept over a restart
 	serverIndex    map[logic.ServerID]int           // index in servers
-	leavingSince   map[logic.ServerID]time.Duration // when discovery announced that the node drains or is gone
+	leavingSince   map[logic.ServerID]time.Duration // when the limiter was told that the node drains or is gone
 	lastUpdateAt   time.Duration                    // when the last update of discovery arrives
 	openRequests   map[*request]struct{}
 	downAt         time.Duration
--- a/internal/model/many_limiters_test.go
+++ b/internal/model/many_limiters_test.go
@@ -17,7 +17,7 @@
 	s.Name, s.Seconds, s.Warm = fmt.Sprint("throng-", seed), 30, 1
 	s.Node.ColdShare, s.Node.ColdSeconds = 0.16+0.02*float64(seed%8), 8+float64(seed*5%12)
 	s.Rules.OverloadFactor, s.Rules.OverloadWindowSeconds = 2+0.25*float64(seed*3%5), 2+0.5*float64(seed*11%5)
-	s.Firms.QuotaUse, s.Firms.Spread = Range{0.5, 0.95}, Range{1, 4} // the load stays within quotas, so that it reaches the servers and fills them
+	s.Firms.QuotaUse, s.Firms.Spread = Range{0.5, 0.95}, Range{1, 4} // most of the load stays within quotas, so that it reaches the servers and fills them
 	s.Discovery.Late = Range{0.1, 1}
 	s.Faults = []Fault{
 		{Kind: FaultDrain, At: 2, Part: 0.6},
--- a/internal/model/rejections_test.go
+++ b/internal/model/rejections_test.go
@@ -41,8 +41,8 @@
 	return effects
 }
 
-// Under normal load, during releases and after a loss of half of the nodes, at most one limiter in ten may reject everything for four
-// seconds.
+// Under normal load, during releases, and while half of the nodes are down and the counter is silent, at most one limiter in ten may
+// reject everything for four seconds.
 func TestFewLimitersRejectEverything(t *testing.T) {
 	for name, faults := range map[string][]Fault{
 		"calm":    {{Kind: FaultHot, At: 8, For: 8, Size: 0.5}},
--- a/internal/model/scenario.go
+++ b/internal/model/scenario.go
@@ -12,7 +12,7 @@
 type Scenario struct {
 	Name     string  `json:"name"`
 	Seconds  float64 `json:"seconds"`
-	Warm     float64 `json:"warm"` // warm-up at the start of the run, left out of the figures
+	Warm     float64 `json:"warm"` // warm-up at the start of the run; Result tells which figures leave it out
 	Limiters int     `json:"limiters"`
 	Nodes    int     `json:"nodes"`
 	Halls    int     `json:"halls"`
@@ -126,7 +126,7 @@
 	Deadline       float64 `json:"deadline"`
 	Worth          float64 `json:"worth"`
 	Late           float64 `json:"late"`  // share of the worth that is left after the aim
-	Keyed          bool    `json:"keyed"` // safe to repeat only in the same hall, within the key's TTL; otherwise in any
+	Keyed          bool    `json:"keyed"` // safe to repeat only in the same hall, within the key's TTL; a class that is neither keyed nor unsafe is safe in any hall
 	KeyTTLSeconds  float64 `json:"key_ttl"`
 	UnsafeToRepeat bool    `json:"unsafe"` // must never run twice
 }
--- a/internal/model/settings_test.go
+++ b/internal/model/settings_test.go
@@ -74,10 +74,10 @@
 // servers, ceilings and caps on attempts in flight. Every try ends exactly once, and no figure is NaN.
 func TestRandomDeploymentsKeepTheRules(t *testing.T) {
 	const deployments = 60
-	var underCap, overCap atomic.Int64
+	var capped, overCap atomic.Int64
 	t.Cleanup(func() {
-		share := float64(overCap.Load()) / float64(underCap.Load())
-		t.Logf("share %.4f of %d attempts over caps", share, underCap.Load())
+		share := float64(overCap.Load()) / float64(capped.Load())
+		t.Logf("share %.4f of %d attempts over caps", share, capped.Load())
 		require.Less(t, share, 0.013)
 	})
 	for seed := range uint64(deployments) {
@@ -89,7 +89,7 @@
 			require.Empty(t, r.Violations, "%+v", s)
 			require.Positive(t, r.Tries)
 			require.Equal(t, r.Tries, r.Served+r.Refused+r.Failed+r.Lost+r.UnreadTries, "every try must end exactly once: %+v", r)
-			underCap.Add(int64(r.AttemptsUnderCap))
+			capped.Add(int64(r.CappedAttempts))
 			overCap.Add(int64(r.AttemptsOverCap))
 			require.False(t, math.IsNaN(r.Worth()) || math.IsNaN(r.OverQuota()))
 		})
--- a/internal/model/textbook.go
+++ b/internal/model/textbook.go
@@ -11,7 +11,7 @@
 
 // Textbook policies run in the same model for comparison. Each has its own rule of admission, and sends to a random node or
 // to the node with the fewest attempts in flight from the same limiter. An attempt that could not connect or was rejected is
-// repeated once. At its deadline a request fails.
+// repeated once, at a node that is chosen anew and may be the same. At its deadline a request fails.
 
 // Textbook returns the policies for comparison: each rule of admission with each rule of choosing a node.
 func Textbook() (all []Policy) {
@@ -158,7 +158,7 @@
 		t.takeToken(q, t.refill(q, 1/float64(max(q.Spread, 1))))
 	case strings.HasPrefix(t.admission, "whole"):
 		t.takeToken(q, t.refill(q, 1))
-	case strings.HasPrefix(t.admission, "count"): // one counter call for each request, which is admitted without an answer too
+	case strings.HasPrefix(t.admission, "count"): // one counter call for each request: the window's total decides, and without an answer the request is admitted
 		t.count(t.windowKey(q), 1, func(s logic.Status, total float64) {
 			if s != logic.OK || total <= p.Rate*windowLength.Seconds()+p.Burst*0.2 {
 				t.send(q)
