--- a/internal/model/audit.go
+++ b/internal/model/audit.go
@@ -11,31 +11,31 @@
 	"bramblefall/logic"
 )
 
-// ledger is a firm's stores as one limiter that saw all would keep them: what was asked for, what was sent on, and the
-// ceiling.
+// ledger holds a firm's token buckets as a single limiter that sees all requests would keep them: for the units asked for,
+// for the units sent to nodes, and for the ceiling.
 type ledger struct {
-	plan              logic.Plan
-	asked, sent, ceil store
-	out               int // attempts
+	plan                 logic.Plan
+	asked, sent, ceiling tokenBucket
+	inFlight             int // attempts at nodes
 }
 
-type store struct {
-	level float64
-	at    time.Duration
+type tokenBucket struct {
+	level    float64
+	filledAt time.Duration
 }
 
-func (s *store) fill(now time.Duration, rate, burst float64) {
-	s.level = min(s.level+rate*(now-s.at).Seconds(), burst)
-	s.at = now
+func (s *tokenBucket) refill(now time.Duration, rate, burst float64) {
+	s.level = min(s.level+rate*(now-s.filledAt).Seconds(), burst)
+	s.filledAt = now
 }
 
 func newLedger(p logic.Plan) *ledger {
-	return &ledger{p, store{p.Burst, 0}, store{p.Burst, 0}, store{p.CeilingBurst, 0}, 0}
+	return &ledger{p, tokenBucket{p.Burst, 0}, tokenBucket{p.Burst, 0}, tokenBucket{p.CeilingBurst, 0}, 0}
 }
 
-// ask takes units of what is asked for; false: they are beyond the quota.
-func (l *ledger) ask(now time.Duration, units float64) bool {
-	l.asked.fill(now, l.plan.Rate, l.plan.Burst)
+// takeAsked takes the units that a client asks for. It returns false if they are beyond the quota.
+func (l *ledger) takeAsked(now time.Duration, units float64) bool {
+	l.asked.refill(now, l.plan.Rate, l.plan.Burst)
 	if l.asked.level < units {
 		return false
 	}
@@ -43,380 +43,409 @@
 	return true
 }
 
-// send takes units of what is sent on. over is by how much the ceiling with its slack is passed.
-func (l *ledger) send(now time.Duration, units float64) (inside bool, over float64) {
-	l.sent.fill(now, l.plan.Rate, l.plan.Burst)
+// takeSent takes units that are sent to a node. excess is the number of units by which the ceiling with its slack is exceeded.
+func (l *ledger) takeSent(now time.Duration, units float64) (inside bool, excess float64) {
+	l.sent.refill(now, l.plan.Rate, l.plan.Burst)
 	if inside = l.sent.level >= units; inside {
 		l.sent.level -= units
 	}
 	if l.plan.CeilingRate > 0 {
-		l.ceil.fill(now, l.plan.CeilingRate, l.plan.CeilingBurst)
-		l.ceil.level -= units
-		over = max(0, -l.ceil.level-l.plan.CeilingSlack)
+		l.ceiling.refill(now, l.plan.CeilingRate, l.plan.CeilingBurst)
+		l.ceiling.level -= units
+		excess = max(0, -l.ceiling.level-l.plan.CeilingSlack)
 	}
-	return inside, over
+	return inside, excess
 }
 
-// room is the share of the store that is left.
-func (l *ledger) room(now time.Duration) float64 {
-	l.sent.fill(now, l.plan.Rate, l.plan.Burst)
+// remainingShare is the share of the burst that is left for units sent to nodes.
+func (l *ledger) remainingShare(now time.Duration) float64 {
+	l.sent.refill(now, l.plan.Rate, l.plan.Burst)
 	return l.sent.level / max(l.plan.Burst, 1)
 }
 
-// audit stands beside the model and knows the truth.
+// audit checks a run against the true state of the model, which limiters cannot see, and collects the figures.
 type audit struct {
-	w       *World
-	r       Result
-	latency *hdrhistogram.Histogram
-	refuse  []int
-	tries   []int
-	tiers   []TierResult
-	halls   []HallResult
-	force   *hdrhistogram.Histogram // from a change of nodes until it is in force at a limiter
-	press   float64                 // of what a cold node may get of the fleet, the most that one got
-}
-
-// Result is what a run came to.
+	w             *World
+	totals        Result
+	latency       *hdrhistogram.Histogram
+	refusedByTier []int
+	triesByTier   []int
+	tiers         []TierResult
+	halls         []HallResult
+	changeDelay   *hdrhistogram.Histogram // from a change of nodes until it takes effect at a limiter, in microseconds
+	peakPressure  float64                 // most work that a cold node received, as a share of what the fleet may send it
+}
+
+// Result holds the figures of a run. Figures of tries, units and worth leave out requests whose first try came in the warm-up;
+// attempts, counter calls, changes and violations are counted from the start of the run; Called alone leaves out the calls of the
+// warm-up.
 type Result struct {
-	Scenario, Policy string
-	Seed             uint64
-	Requests         int // first tries of clients, counted
-	Tries            int
-	Served           int
-	ServedLate       int
-	Refused          int
-	Failed           int
-	Lost             int // held by a limiter that died
-	Unread           int // of a limiter that stood still until nobody waited any more
-	Attempts         int
-	WorthAsked       float64 // inside the quotas
-	WorthServed      float64
-	UnitsAsked       float64 // by all that was counted, also beyond quotas
-	SentUnits        float64
-	BeyondUnits      float64
-	RoomRefused      int // refused while half of the quota was left
-	Capped, OverCap  int // attempts under a cap on those out at once; beyond it
-	Calls            int
-	BusiestCalls     int // at the counter with most
-	Borne            int // answered
-	Seconds          float64
-	CeilingOver      float64 // units
-	Violations       []string
-	Broken           int
-	Median, P99      float64   // seconds, of what was served
-	RefusedByTier    []float64 // share of the tries
-	Events           uint64
-	CPU              time.Duration // of the deciders, where measured
-	Firms            int
-	Tiers            []TierResult
-	Halls            []HallResult // by the limiter's hall
-	Called           CallResult
-	Changes          ChangeResult
-}
-
-// ChangeResult is how changes of nodes reached the limiters that were up.
+	Scenario        string
+	Policy          string
+	Seed            uint64
+	Requests        int // first tries of clients
+	Tries           int
+	Served          int
+	AnsweredLate    int // served after the class's aim
+	Refused         int
+	Failed          int
+	Lost            int // tries held by a limiter that crashed
+	UnreadTries     int // tries that a stalled limiter did not answer before the client stopped waiting
+	Attempts        int
+	WorthAsked      float64 // within the quotas
+	WorthServed     float64
+	UnitsAsked      float64 // within and beyond quotas
+	SentUnits       float64
+	BeyondUnits     float64 // units sent beyond a quota
+	RoomRefused     int     // tries refused while at least half of the quota was left
+	CappedAttempts  int     // attempts of firms with a cap on concurrent attempts, over the cap or not
+	AttemptsOverCap int     // those of CappedAttempts that exceeded the cap
+	Calls           int     // counter calls
+	BusiestCalls    int     // calls of the counter that got most
+	Borne           int     // calls that the counters served before the end of the scenario
+	Seconds         float64
+	CeilingOver     float64 // most units by which a ceiling with its slack was exceeded
+	Violations      []string
+	Broken          int           // violations, including those that are not listed
+	Median          float64       // seconds from the first try until served
+	P99             float64       // seconds from the first try until served
+	RefusedByTier   []float64     // refused share of the tries
+	Events          uint64        // events of the simulation
+	CPU             time.Duration // real time that the deciders took; 0 unless measured
+	Firms           int
+	Tiers           []TierResult
+	Halls           []HallResult // by the limiter's hall
+	Called          CallResult
+	Changes         ChangeResult
+}
+
+// ChangeResult describes how changes of nodes reached the limiters that were up.
 type ChangeResult struct {
-	Told      int     // over all limiters
-	P99, Last float64 // seconds from a change until it is in force
+	Told int     // changes that took effect, summed over limiters
+	P99  float64 // seconds from a change until it takes effect
+	Last float64 // longest time in seconds from a change until it takes effect
 }
 
-// TierResult is what the firms of a tier came to.
+// TierResult holds the figures of a tier's firms.
 type TierResult struct {
-	Tries, Refused, RoomRefused int
-	Units, Beyond               float64 // sent on
-	Inside, InsideRefused       int     // tries of requests that were inside the quota as asked for; of these refused
+	Tries         int
+	Refused       int
+	RoomRefused   int     // refused while at least half of the quota was left
+	Units         float64 // sent to nodes
+	Beyond        float64 // sent to nodes beyond a quota
+	Inside        int     // tries of requests that were within the quota by the units asked for
+	InsideRefused int     // refused tries of such requests
 }
 
-// HallResult is what the limiters of a hall sent on.
-type HallResult struct{ Units, Beyond float64 }
+// HallResult holds the units that the limiters of a hall sent to nodes.
+type HallResult struct {
+	Units          float64
+	UnitsOverQuota float64
+}
 
-// CallResult is how the counter's calls ended that were made after the warm-up.
+// CallResult describes the outcome of the counter calls that were made after the warm-up.
 type CallResult struct {
-	Made, Answered int // with a total, while it was of use
-	Slow           int // of these, later than the settings' limit
+	Made           int
+	Answered       int // with a total, while the limiter could still use it
+	AnsweredSlowly int // of these, later than the timeout in the settings
 }
 
-// Unanswered is the share of the calls that brought no total within the settings' limit: late, lost or turned away.
+// Unanswered is the share of the calls that brought no total within the timeout in the settings: late, lost or rejected.
 func (c CallResult) Unanswered() float64 {
-	return float64(c.Made-c.Answered+c.Slow) / float64(max(c.Made, 1))
+	return float64(c.Made-c.Answered+c.AnsweredSlowly) / float64(max(c.Made, 1))
 }
 
-// Lost is the share of the calls that brought no total while the limiter waited for one, which may be longer than the limit.
+// Lost is the share of the calls that brought no total while the limiter waited for one, which may be longer than the timeout.
 func (c CallResult) Lost() float64 { return float64(c.Made-c.Answered) / float64(max(c.Made, 1)) }
 
-// Worth is the share of the worth asked for inside the quotas that was served.
+// Worth is the served share of the worth that was asked for within quotas.
 func (r Result) Worth() float64 { return r.WorthServed / max(r.WorthAsked, 1e-9) }
 
-// OverQuota is the share of the units sent on that was beyond a quota.
+// OverQuota is the share of the units sent to nodes that was beyond a quota.
 func (r Result) OverQuota() float64 { return r.BeyondUnits / max(r.SentUnits, 1) }
 
-// CallsEach is the counter calls for each first try.
+// CallsEach is the number of counter calls for each first try.
 func (r Result) CallsEach() float64 { return float64(r.Calls) / float64(max(r.Requests, 1)) }
 
-// RefusedShare is the refusals, of the tries.
+// RefusedShare is the share of the tries that were refused.
 func (r Result) RefusedShare() float64 { return float64(r.Refused) / float64(max(r.Tries, 1)) }
 
-// Check holds a result against bounds.
+// Check compares a result with bounds and describes each one that it does not keep.
 func (r Result) Check(b Bounds) (broken []string) {
-	bad := func(holds bool, text string, args ...any) {
+	expect := func(holds bool, text string, args ...any) {
 		if !holds {
 			broken = append(broken, fmt.Sprintf(text, args...))
 		}
 	}
-	bad(r.Broken <= b.Violations, "%d broken rules, first %v", r.Broken, r.Violations)
-	bad(b.Worth == 0 || r.Worth() >= b.Worth, "worth served %.3f, %.3f is the least", r.Worth(), b.Worth)
-	bad(b.OverQuota == 0 || r.OverQuota() <= b.OverQuota, "%.2f%% beyond quotas, %.2f%% is the most", 100*r.OverQuota(), 100*b.OverQuota)
-	bad(b.CallsEach == 0 || r.CallsEach() <= b.CallsEach, "%.2f counter calls a request, %.2f is the most", r.CallsEach(), b.CallsEach)
-	bad(b.P99 == 0 || r.P99 <= b.P99, "99th percentile %.3f s, %.3f is the most", r.P99, b.P99)
+	expect(r.Broken <= b.MaxViolations, "%d rule violations, want at most %d; the first are %v", r.Broken, b.MaxViolations, r.Violations)
+	expect(b.MinWorthShare == 0 || r.Worth() >= b.MinWorthShare, "worth served %.3f, want at least %.3f", r.Worth(), b.MinWorthShare)
+	expect(b.MaxOverQuotaShare == 0 || r.OverQuota() <= b.MaxOverQuotaShare,
+		"%.2f%% of the units beyond quotas, want at most %.2f%%", 100*r.OverQuota(), 100*b.MaxOverQuotaShare)
+	expect(b.MaxCallsPerRequest == 0 || r.CallsEach() <= b.MaxCallsPerRequest,
+		"%.2f counter calls a request, want at most %.2f", r.CallsEach(), b.MaxCallsPerRequest)
+	expect(b.MaxP99Seconds == 0 || r.P99 <= b.MaxP99Seconds, "99th percentile of latency %.3f s, want at most %.3f s", r.P99, b.MaxP99Seconds)
 	return broken
 }
 
+// newAudit creates the audit of a run. Its histograms hold microseconds, up to one minute of latency and ten minutes of
+// change delay, to three digits.
 func newAudit(w *World) *audit {
-	return &audit{w: w, latency: hdrhistogram.New(1, 60_000_000, 3), refuse: make([]int, len(w.s.Tiers)), tries: make([]int, len(w.s.Tiers)),
+	return &audit{w: w, latency: hdrhistogram.New(1, 60_000_000, 3), refusedByTier: make([]int, len(w.s.Tiers)), triesByTier: make([]int, len(w.s.Tiers)),
 		tiers: make([]TierResult, len(w.s.Tiers)), halls: make([]HallResult, w.s.Halls),
-		force: hdrhistogram.New(1, 600_000_000, 3)}
+		changeDelay: hdrhistogram.New(1, 600_000_000, 3)}
 }
 
-// counts tells whether a request's first try came after the warm-up.
-func (a *audit) counts(r *request) bool { return r.began >= begin+seconds(a.w.s.Warm) }
+// afterWarmup tells whether a request's first try came after the warm-up.
+func (a *audit) afterWarmup(r *request) bool { return r.firstSentAt >= epoch+seconds(a.w.s.Warm) }
 
-const mostTold = 10
+// maxViolationsKept is the number of violations that a result describes. Further ones are only counted.
+const maxViolationsKept = 10
 
-func (a *audit) violation(r *request, text string) {
-	if a.r.Broken++; len(a.r.Violations) < mostTold {
-		a.r.Violations = append(a.r.Violations, fmt.Sprintf("%.3f s, request %d of firm %x at limiter %d: %s [%v]",
-			(a.w.sim.now-begin).Seconds(), r.id, r.f.id, r.l.rank, text, r.trace))
+func (a *audit) recordViolation(r *request, text string) {
+	if a.totals.Broken++; len(a.totals.Violations) < maxViolationsKept {
+		a.totals.Violations = append(a.totals.Violations, fmt.Sprintf("%.3f s, request %d of firm %x at limiter %d: %s [%v]",
+			(a.w.sim.now-epoch).Seconds(), r.id, r.firm.id, r.limiter.rank, text, r.trace))
 	}
 }
 
+// worth is the full worth of a request, if it is served in time and within its quota.
 func (a *audit) worth(r *request) float64 {
-	return a.w.classes[r.class].Worth * a.w.s.Tiers[r.f.tier].Price * r.units
+	return a.w.classes[r.class].Worth * a.w.s.Tiers[r.firm.tier].Price * r.units
 }
 
-func (a *audit) asked(r *request) {
-	if !a.counts(r) {
+func (a *audit) recordRequest(r *request) {
+	if !a.afterWarmup(r) {
 		return
 	}
-	a.r.Requests++
-	a.r.UnitsAsked += r.units
-	if r.asked {
-		a.r.WorthAsked += a.worth(r)
+	a.totals.Requests++
+	a.totals.UnitsAsked += r.units
+	if r.askedInQuota {
+		a.totals.WorthAsked += a.worth(r)
 	}
 }
 
-func (a *audit) taken(r *request) {
-	if a.counts(r) {
-		a.r.Tries++
-		a.tries[r.f.tier]++
-		if r.first.asked {
-			a.tiers[r.f.tier].Inside++
+func (a *audit) recordTry(r *request) {
+	if a.afterWarmup(r) {
+		a.totals.Tries++
+		a.triesByTier[r.firm.tier]++
+		if r.firstTry.askedInQuota {
+			a.tiers[r.firm.tier].Inside++
 		}
 	}
 }
 
-// inForce sees a change of nodes reach a limiter: it decides by it from this event on.
-func (a *audit) inForce(l *limiter, since time.Duration, lines int) {
+// recordChange records that a change of nodes has reached a limiter, which uses it from this event on.
+func (a *audit) recordChange(l *limiter, changedAt time.Duration, entries int) {
 	if l.up {
-		a.r.Changes.Told += lines
-		_ = a.force.RecordValues((a.w.sim.now - since).Microseconds(), int64(lines))
+		a.totals.Changes.Told += entries
+		_ = a.changeDelay.RecordValues((a.w.sim.now - changedAt).Microseconds(), int64(entries))
 	}
 }
 
-// called and heard see a counter call and how it ended. An answer that comes after the limiter has given it up is none.
-func (a *audit) called() {
-	if a.callCounts(a.w.sim.now) {
-		a.r.Called.Made++
+// recordCall records that a limiter made a counter call.
+func (a *audit) recordCall() {
+	if a.callAfterWarmup(a.w.sim.now) {
+		a.totals.Called.Made++
 	}
 }
 
-// callCounts leaves out the calls of the warm-up, and those after the last request came.
-func (a *audit) callCounts(made time.Duration) bool {
-	return made >= begin+seconds(a.w.s.Warm) && made < begin+seconds(a.w.s.Seconds)
+// callAfterWarmup tells whether a counter call counts: calls in the warm-up, and after the last request arrived, do not.
+func (a *audit) callAfterWarmup(made time.Duration) bool {
+	return made >= epoch+seconds(a.w.s.Warm) && made < epoch+seconds(a.w.s.Seconds)
 }
 
-func (a *audit) heard(made, until time.Duration, s logic.Status) {
+// recordCallEnd records the outcome of a counter call. An answer that comes after the limiter has stopped waiting does not
+// count.
+func (a *audit) recordCallEnd(made, deadline time.Duration, s logic.Status) {
 	switch now := a.w.sim.now; {
-	case !a.callCounts(made):
-	case s == logic.OK && now <= until:
-		a.r.Called.Answered++
+	case !a.callAfterWarmup(made):
+	case s == logic.OK && now <= deadline:
+		a.totals.Called.Answered++
 		if now > made+milliseconds(a.w.s.Counter.TimeoutMS) {
-			a.r.Called.Slow++
+			a.totals.Called.AnsweredSlowly++
 		}
 	}
 }
 
-// tried sees an attempt leave: nothing new may go to a node that the limiter was told drains or is gone.
-func (a *audit) tried(l *limiter, n *node, r *request) {
-	r.tries++
-	a.r.Attempts++
-	if at, left := l.left[n.id]; left && a.w.sim.now > at+seconds(a.w.s.Rules.DrainGrace) {
-		a.violation(r, fmt.Sprintf("sent to node %d, told to be leaving %.3f s before", n.id, (a.w.sim.now-at).Seconds()))
+// recordAttempt records the start of an attempt. No attempt may go to a node once the grace time has passed since the limiter
+// was told that the node drains or is gone.
+func (a *audit) recordAttempt(l *limiter, n *node, r *request) {
+	r.attempts++
+	a.totals.Attempts++
+	if at, left := l.leavingSince[n.id]; left && a.w.sim.now > at+seconds(a.w.s.Rules.DrainGraceSeconds) {
+		a.recordViolation(r, fmt.Sprintf("attempt sent to node %d %.3f s after the limiter was told that it is leaving, want at most %.3f s", n.id,
+			(a.w.sim.now-at).Seconds(), a.w.s.Rules.DrainGraceSeconds))
 	}
 }
 
-// came sees an attempt come whole: the first takes the units, and no keyed request may run in two halls.
-func (a *audit) came(f *flight, r *request, try int) {
+// recordDelivery records that a node has received an attempt whole. The first attempt of a request takes its units. No keyed
+// request may run in two halls or after its key's TTL, and no request that is unsafe to repeat may run twice.
+func (a *audit) recordDelivery(f *attempt, r *request, try int) {
 	now := a.w.sim.now
 	if len(r.trace) < 12 {
-		r.trace = append(r.trace, fmt.Sprintf("try %d at node %d hall %d %.3f", try, f.n.id, f.n.hall, (now-begin).Seconds()))
-	}
-	if !r.sent {
-		r.sent = true
-		in, over := r.f.truth.send(now, r.units)
-		r.in = in
-		if a.counts(r) {
-			t, h := &a.tiers[r.f.tier], &a.halls[r.l.hall]
-			a.r.SentUnits, t.Units, h.Units = a.r.SentUnits+r.units, t.Units+r.units, h.Units+r.units
-			if !in {
-				a.r.BeyondUnits, t.Beyond, h.Beyond = a.r.BeyondUnits+r.units, t.Beyond+r.units, h.Beyond+r.units
-				a.r.WorthServed -= a.w.s.Tiers[r.f.tier].OverCost * a.worth(r)
+		r.trace = append(r.trace, fmt.Sprintf("try %d at node %d hall %d %.3f", try, f.node.id, f.node.hall, (now-epoch).Seconds()))
+	}
+	if !r.delivered {
+		r.delivered = true
+		inside, excess := r.firm.ledger.takeSent(now, r.units)
+		r.sentInQuota = inside
+		if a.afterWarmup(r) {
+			t, h := &a.tiers[r.firm.tier], &a.halls[r.limiter.hall]
+			a.totals.SentUnits, t.Units, h.Units = a.totals.SentUnits+r.units, t.Units+r.units, h.Units+r.units
+			if !inside {
+				a.totals.BeyondUnits, t.Beyond, h.UnitsOverQuota = a.totals.BeyondUnits+r.units, t.Beyond+r.units, h.UnitsOverQuota+r.units
+				a.totals.WorthServed -= a.w.s.Tiers[r.firm.tier].OverCost * a.worth(r)
 			}
 		}
-		if over > 0 {
-			if a.r.CeilingOver == 0 || over > a.r.CeilingOver+1 {
-				a.violation(r, fmt.Sprintf("the ceiling was passed by %.2f units", over))
+		if excess > 0 {
+			if a.totals.CeilingOver == 0 || excess > a.totals.CeilingOver+1 {
+				a.recordViolation(r, fmt.Sprintf("ceiling and its slack exceeded by %.2f units", excess))
 			}
-			a.r.CeilingOver = max(a.r.CeilingOver, over)
+			a.totals.CeilingOver = max(a.totals.CeilingOver, excess)
 		}
 	}
-	f.out = true
-	t := r.f.truth
-	if t.out++; t.plan.Open > 0 {
-		a.capped(r, t)
+	f.inFlight = true
+	t := r.firm.ledger
+	if t.inFlight++; t.plan.Open > 0 {
+		a.checkCap(r, t)
 	}
 	c := a.w.classes[r.class]
-	if c.Unsafe && r.maybe > 0 {
-		a.violation(r, "may have run and was sent again")
+	if c.UnsafeToRepeat && r.possibleRuns > 0 {
+		a.recordViolation(r, "request that is unsafe to repeat may have run and was sent again")
 	}
-	if c.Keyed && r.maybe > 0 && (f.n.hall != r.hall || now > r.ranAt+seconds(c.KeyTTL)) {
-		a.violation(r, fmt.Sprintf("may have run in hall %d and was sent to hall %d", r.hall, f.n.hall))
+	if c.Keyed && r.possibleRuns > 0 && (f.node.hall != r.firstRunHall || now > r.firstRunAt+seconds(c.KeyTTLSeconds)) {
+		a.recordViolation(r, fmt.Sprintf("keyed request may have run in hall %d and was sent to hall %d, another hall or after the key's TTL",
+			r.firstRunHall, f.node.hall))
 	}
-	if r.maybe++; r.maybe == 1 {
-		r.hall, r.ranAt = f.n.hall, now
+	if r.possibleRuns++; r.possibleRuns == 1 {
+		r.firstRunHall, r.firstRunAt = f.node.hall, now
 	}
 }
 
-// capped holds the attempts out to the cap. Limiters know only their own: where one's part is none or one by turns, an
-// attempt that outlives its turn is out beside the next one's. So what passes the cap is counted, and the rule is the most
-// that can come of it. Under a plan without a rate parts follow forecasts, and nothing is proven.
-func (a *audit) capped(r *request, t *ledger) {
-	if a.r.Capped++; t.out > t.plan.Open {
-		a.r.OverCap++
+// checkCap compares the attempts in flight with the firm's cap. Limiters know only their own attempts. Where a limiter's
+// part of the cap alternates between none and one, an attempt that outlives its limiter's turn is in flight beside that of the
+// next limiter. So attempts over the cap are only counted, and it is a violation if there are more than this can lead to at
+// most. Under a plan without a rate the parts follow forecasts, and no bound is proven.
+func (a *audit) checkCap(r *request, t *ledger) {
+	if a.totals.CappedAttempts++; t.inFlight > t.plan.Open {
+		a.totals.AttemptsOverCap++
 	}
-	n := float64(r.f.spread)
-	if most := n * math.Ceil(float64(t.plan.Open)/n); t.plan.Rate > 0 && float64(t.out) > most {
-		a.violation(r, fmt.Sprintf("%d attempts out, the cap is %d", t.out, t.plan.Open))
+	n := float64(r.firm.spread)
+	if most := n * math.Ceil(float64(t.plan.Open)/n); t.plan.Rate > 0 && float64(t.inFlight) > most {
+		a.recordViolation(r, fmt.Sprintf("%d attempts in flight, want at most %.0f for a cap of %d", t.inFlight, most, t.plan.Open))
 	}
 }
 
-// told sees what the limiter is told of an attempt that had come: one that was turned away has not run.
-func (a *audit) told(f *flight, s logic.Status) {
+// recordAttemptEnd records the outcome, as the limiter learns it, of an attempt that a node had received. A rejected attempt
+// has not run.
+func (a *audit) recordAttemptEnd(f *attempt, s logic.Status) {
 	if s == logic.Full {
-		f.req.maybe--
+		f.request.possibleRuns--
 	}
 }
 
-// pressed sees work come to a node: sent more than some times what it can do at the moment for some seconds, a cold one
-// falls over and stays down.
-func (a *audit) pressed(n *node, work float64) {
+// recordNodeWork records work that a node receives. A cold node that receives more than a multiple of its present capacity
+// within the overload window collapses and stays down.
+func (a *audit) recordNodeWork(n *node, work float64) {
 	now := a.w.sim.now
-	if n.started == 0 || n.warmth() >= 1 || n.over {
+	if n.started == 0 || n.warmupFactor() >= 1 || n.collapsed {
 		return
 	}
-	window, multiple := seconds(a.w.s.Rules.Fall), a.w.s.Rules.FallMultiple
-	n.pushed = append(n.pushed, push{now, work})
-	for len(n.pushed) > 0 && n.pushed[0].at < now-window {
-		n.pushed = n.pushed[1:]
+	window, multiple := seconds(a.w.s.Rules.OverloadWindowSeconds), a.w.s.Rules.OverloadFactor
+	n.recentWork = append(n.recentWork, workArrival{now, work})
+	for len(n.recentWork) > 0 && n.recentWork[0].at < now-window {
+		n.recentWork = n.recentWork[1:]
 	}
 	sum := 0.0
-	for _, p := range n.pushed {
+	for _, p := range n.recentWork {
 		sum += p.work
 	}
-	can := n.speed * n.warmth() * float64(n.cores) * window.Seconds()
+	// capacity, slack and sum are seconds of work of one core.
+	capacity := n.speed * n.warmupFactor() * float64(n.cores) * window.Seconds()
 	slack := 3 * 0.2 * math.Sqrt(float64(n.cores))
-	// The operators' own slack, in requests of mean work, counts over all limiters, however many.
-	budget := multiple * can / a.w.meanWork()
-	press := sum / a.w.meanWork() / (budget + 2*math.Sqrt(budget) + 2)
-	a.press = max(a.press, press)
-	if sum > multiple*can+slack || press > 1 {
-		n.over = true
-		a.r.Broken++
-		if len(a.r.Violations) < mostTold {
-			a.r.Violations = append(a.r.Violations, fmt.Sprintf("%.3f s: node %d was pushed over, %.1f s of work in %v at a warmth of %.2f",
-				(now-begin).Seconds(), n.id, sum, window, n.warmth()))
+	// The operators allow a slack too, in requests of mean work. It holds for the sum of all limiters, however many there are.
+	budget := multiple * capacity / a.w.meanWork()
+	pressure := sum / a.w.meanWork() / (budget + 2*math.Sqrt(budget) + 2)
+	a.peakPressure = max(a.peakPressure, pressure)
+	if sum > multiple*capacity+slack || pressure > 1 {
+		n.collapsed = true
+		a.totals.Broken++
+		if len(a.totals.Violations) < maxViolationsKept {
+			a.totals.Violations = append(a.totals.Violations, fmt.Sprintf("%.3f s: cold node %d was overloaded, %.1f s of work in %v at a warm-up factor of %.2f",
+				(now-epoch).Seconds(), n.id, sum, window, n.warmupFactor()))
 		}
-		n.end(false)
-		a.w.changed(n)
+		n.terminate(false)
+		a.w.announce(n)
 	}
 }
 
-func (a *audit) served(r *request) {
-	if !a.counts(r) {
+func (a *audit) recordServed(r *request) {
+	if !a.afterWarmup(r) {
 		return
 	}
-	a.r.Served++
-	took := a.w.sim.now - r.began
+	a.totals.Served++
+	took := a.w.sim.now - r.firstSentAt
 	_ = a.latency.RecordValue(took.Microseconds())
 	worth := a.worth(r)
-	if !r.in {
-		worth *= a.w.s.Tiers[r.f.tier].OverWorth
+	if !r.sentInQuota {
+		worth *= a.w.s.Tiers[r.firm.tier].OverWorth
 	}
 	if took > seconds(a.w.classes[r.class].Aim) {
-		a.r.ServedLate++
+		a.totals.AnsweredLate++
 		worth *= a.w.classes[r.class].Late
 	}
-	a.r.WorthServed += worth
+	a.totals.WorthServed += worth
 }
 
-func (a *audit) refused(r *request) {
-	if c := a.w.classes[r.class]; (c.Keyed || c.Unsafe) && r.maybe > 0 {
-		a.violation(r, "may have run and was refused as harmless to repeat")
+func (a *audit) recordRefused(r *request) {
+	if c := a.w.classes[r.class]; (c.Keyed || c.UnsafeToRepeat) && r.possibleRuns > 0 {
+		a.recordViolation(r, "request may have run and was refused as safe to repeat")
 	}
-	if !a.counts(r) {
+	if !a.afterWarmup(r) {
 		return
 	}
-	a.r.Refused++
-	a.refuse[r.f.tier]++
-	if r.first.asked {
-		a.tiers[r.f.tier].InsideRefused++
+	a.totals.Refused++
+	a.refusedByTier[r.firm.tier]++
+	if r.firstTry.askedInQuota {
+		a.tiers[r.firm.tier].InsideRefused++
 	}
-	if r.f.truth.room(a.w.sim.now) >= 0.5 {
-		a.r.RoomRefused++
-		a.tiers[r.f.tier].RoomRefused++
+	if r.firm.ledger.remainingShare(a.w.sim.now) >= 0.5 {
+		a.totals.RoomRefused++
+		a.tiers[r.firm.tier].RoomRefused++
 	}
 }
 
-func (a *audit) failed(r *request) {
-	if a.counts(r) {
-		a.r.Failed++
+func (a *audit) recordFailed(r *request) {
+	if a.afterWarmup(r) {
+		a.totals.Failed++
 	}
 }
 
-func (a *audit) lost(r *request) {
-	if a.counts(r) {
-		a.r.Lost++
+func (a *audit) recordLost(r *request) {
+	if a.afterWarmup(r) {
+		a.totals.Lost++
 	}
 }
 
 func (a *audit) result() Result {
-	r := a.r
+	r := a.totals
 	r.Scenario, r.Policy, r.Seed = a.w.s.Name, a.w.policy.Name, a.w.seed
 	r.Calls, r.BusiestCalls, r.Borne = 0, 0, 0
 	for _, c := range a.w.counters {
-		r.Calls, r.BusiestCalls, r.Borne = r.Calls+c.Calls, max(r.BusiestCalls, c.Calls), r.Borne+c.borne
+		r.Calls, r.BusiestCalls, r.Borne = r.Calls+c.Calls, max(r.BusiestCalls, c.Calls), r.Borne+c.served
 	}
-	r.Seconds = min((a.w.sim.now - begin).Seconds(), a.w.s.Seconds)
+	r.Seconds = min((a.w.sim.now - epoch).Seconds(), a.w.s.Seconds)
 	r.Median = float64(a.latency.ValueAtQuantile(50)) / 1e6
 	r.P99 = float64(a.latency.ValueAtQuantile(99)) / 1e6
-	for k := range a.refuse {
-		a.tiers[k].Tries, a.tiers[k].Refused = a.tries[k], a.refuse[k]
-		r.RefusedByTier = append(r.RefusedByTier, float64(a.refuse[k])/float64(max(a.tries[k], 1)))
+	for k := range a.refusedByTier {
+		a.tiers[k].Tries, a.tiers[k].Refused = a.triesByTier[k], a.refusedByTier[k]
+		r.RefusedByTier = append(r.RefusedByTier, float64(a.refusedByTier[k])/float64(max(a.triesByTier[k], 1)))
 	}
-	r.Events, r.Firms = a.w.sim.Events, a.w.s.Firms.Count+int(a.w.scanned)
+	r.Events, r.Firms = a.w.sim.Handled, a.w.s.Firms.Count+int(a.w.oneOffsSent)
 	for _, l := range a.w.limiters {
 		r.CPU += l.CPU
 	}
-	r.Changes.P99, r.Changes.Last = float64(a.force.ValueAtQuantile(99))/1e6, float64(a.force.Max())/1e6
+	r.Changes.P99, r.Changes.Last = float64(a.changeDelay.ValueAtQuantile(99))/1e6, float64(a.changeDelay.Max())/1e6
 	r.Tiers, r.Halls = slices.Clone(a.tiers), slices.Clone(a.halls)
 	slices.Sort(r.Violations)
 	return r
--- a/internal/model/counter.go
+++ b/internal/model/counter.go
@@ -9,108 +9,109 @@
 	"bramblefall/logic"
 )
 
-// counter is the quota counter: parts that each take calls in turn, so many a second, and turn calls away when the line
-// is long. What it is told late it still adds.
+// counter is a quota counter. Each of its shards serves calls one after the other at a fixed rate and rejects calls when
+// its queue is full. A call that is served after its caller's timeout still adds its amount.
 type counter struct {
-	w      *World
-	number int
-	rng    *rand.Rand
-	parts  []part
-	copies [2]map[uint64]count // the second only while it is split
-	slow   float64             // times as long
-	silent bool
-	down   bool // lost with its hall
-	dead   bool // its process is gone: calls meet nobody
-	split  bool
-	Calls  int
-	borne  int // answered
+	w           *World
+	number      int
+	rng         *rand.Rand
+	shards      []shard
+	replicas    [2]map[uint64]counterEntry // the second is used only while partitioned
+	slowdown    float64                    // factor on the time that a call takes
+	silent      bool
+	unreachable bool // its hall is lost: calls get no answer
+	crashed     bool // its process has ended: calls fail to connect
+	partitioned bool
+	Calls       int
+	served      int // calls served before the end of the scenario
 }
 
-type part struct {
-	free    time.Duration // when its line is empty
+type shard struct {
+	freeAt  time.Duration // when its queue will be empty
 	waiting int
 }
 
-type count struct {
-	total float64
-	until time.Duration
+type counterEntry struct {
+	total     float64
+	expiresAt time.Duration
 }
 
 func newCounter(w *World, number int) *counter {
-	return &counter{w: w, number: number, rng: source(w.seed, "counter", number), parts: make([]part, w.s.Counter.Parts),
-		copies: [2]map[uint64]count{{}, {}}, slow: 1}
+	return &counter{w: w, number: number, rng: newRand(w.seed, "counter", number), shards: make([]shard, w.s.Counter.Parts),
+		replicas: [2]map[uint64]counterEntry{{}, {}}, slowdown: 1}
 }
 
-// call makes a call for a limiter; answer is told at most once.
-func (c *counter) call(limiter int, name uint64, amount float64, lives time.Duration, answer func(logic.Status, float64)) {
+// call makes a call for a limiter. It calls answer at most once.
+func (c *counter) call(limiter int, name uint64, amount float64, ttl time.Duration, answer func(logic.Status, float64)) {
 	c.Calls++
-	hall, at := limiter%c.w.s.Halls, 0
-	if c.w.apart {
-		at = hall // the region's own copy
+	hall, counterHall := limiter%c.w.s.Halls, 0
+	if c.w.regionsCut {
+		counterHall = hall // the region's own replica
 	}
-	there := c.w.delay(hall, at)
-	c.w.sim.After(there, func() {
-		if c.down {
-			return // cut off: nothing is said
+	oneWay := c.w.delay(hall, counterHall)
+	c.w.sim.After(oneWay, func() {
+		if c.unreachable {
+			return // cut off: there is no answer
 		}
-		if c.dead {
-			c.w.sim.After(c.w.delay(at, hall), func() { answer(logic.ConnectFailed, 0) })
+		if c.crashed {
+			c.w.sim.After(c.w.delay(counterHall, hall), func() { answer(logic.ConnectFailed, 0) })
 			return
 		}
-		p := &c.parts[name%uint64(len(c.parts))]
-		free := c.w.s.Counter.Unlimited
-		if !free && p.waiting >= c.w.s.Counter.Waiting {
-			c.w.sim.After(c.w.delay(at, hall), func() { answer(logic.Full, 0) })
+		p := &c.shards[name%uint64(len(c.shards))]
+		unlimited := c.w.s.Counter.Unlimited
+		if !unlimited && p.waiting >= c.w.s.Counter.MaxPending {
+			c.w.sim.After(c.w.delay(counterHall, hall), func() { answer(logic.Full, 0) })
 			return
 		}
 		p.waiting++
-		took := max(seconds(1/c.w.s.Counter.PerSecond), 0)
-		turn := max(p.free, c.w.sim.now) + seconds(took.Seconds()*c.slow)
-		if free {
-			turn = c.w.sim.now
+		serviceTime := max(seconds(1/c.w.s.Counter.PerSecond), 0)
+		servedAt := max(p.freeAt, c.w.sim.now) + seconds(serviceTime.Seconds()*c.slowdown)
+		if unlimited {
+			servedAt = c.w.sim.now
 		}
-		p.free = turn
-		own := milliseconds(c.w.s.Counter.MS.draw(c.rng) * c.slow)
-		c.w.sim.At(turn+own, func() {
+		p.freeAt = servedAt
+		extraLatency := milliseconds(c.w.s.Counter.LatencyMS.draw(c.rng) * c.slowdown)
+		c.w.sim.At(servedAt+extraLatency, func() {
 			p.waiting--
-			if c.dead {
-				c.w.sim.After(c.w.delay(at, hall), func() { answer(logic.Reset, 0) })
+			if c.crashed {
+				c.w.sim.After(c.w.delay(counterHall, hall), func() { answer(logic.Reset, 0) })
 				return
 			}
-			if c.w.sim.now < begin+seconds(c.w.s.Seconds) {
-				c.borne++
+			if c.w.sim.now < epoch+seconds(c.w.s.Seconds) {
+				c.served++
 			}
-			total := c.add(limiter, name, amount, lives)
-			if !c.silent && !c.down {
-				c.w.sim.After(c.w.delay(at, hall), func() { answer(logic.OK, total) })
+			total := c.add(limiter, name, amount, ttl)
+			if !c.silent && !c.unreachable {
+				c.w.sim.After(c.w.delay(counterHall, hall), func() { answer(logic.OK, total) })
 			}
 		})
 	})
 }
 
-func (c *counter) add(limiter int, name uint64, amount float64, lives time.Duration) float64 {
-	names := c.copies[0]
-	if c.split && (c.w.apart && limiter%c.w.s.Halls%2 == 1 || !c.w.apart && limiter%2 == 1) {
-		names = c.copies[1]
+// add adds an amount to a name in the replica that a limiter reaches, and returns the total.
+func (c *counter) add(limiter int, name uint64, amount float64, ttl time.Duration) float64 {
+	entries := c.replicas[0]
+	if c.partitioned && (c.w.regionsCut && limiter%c.w.s.Halls%2 == 1 || !c.w.regionsCut && limiter%2 == 1) {
+		entries = c.replicas[1]
 	}
-	n := names[name]
-	if c.w.sim.now >= n.until {
-		n = count{until: c.w.sim.now + min(max(lives, time.Millisecond), time.Minute)}
+	entry := entries[name]
+	if c.w.sim.now >= entry.expiresAt {
+		entry = counterEntry{expiresAt: c.w.sim.now + min(max(ttl, time.Millisecond), time.Minute)}
 	}
-	n.total += amount
-	names[name] = n
-	if len(names) > 1<<16 && c.Calls%(1<<16) == 0 { // what is forgotten must not stay in the memory
-		for k, v := range names {
-			if c.w.sim.now >= v.until {
-				delete(names, k)
+	entry.total += amount
+	entries[name] = entry
+	if len(entries) > 1<<16 && c.Calls%(1<<16) == 0 { // expired entries would otherwise use memory without limit
+		for k, v := range entries {
+			if c.w.sim.now >= v.expiresAt {
+				delete(entries, k)
 			}
 		}
 	}
-	return seven(n.total)
+	return roundToSevenDigits(entry.total)
 }
 
-// seven rounds to the seven digits that a total is exact to.
-func seven(v float64) float64 {
+// roundToSevenDigits rounds to seven digits, to which the counter's totals are exact.
+func roundToSevenDigits(v float64) float64 {
 	if v == 0 {
 		return 0
 	}
@@ -118,48 +119,51 @@
 	return math.Round(v*scale) / scale
 }
 
-// flush forgets a part of the names, chosen by the name, so that it does not hang on the order of a map.
+// flush forgets a part of the names. They are chosen by a hash of the name, so that the result does not depend on the
+// iteration order of a map.
 func (c *counter) flush(share float64, salt uint64) {
-	for _, names := range c.copies {
-		for k := range names {
-			if float64(mix(k^salt)>>11)/(1<<53) < share {
-				delete(names, k)
+	for _, entries := range c.replicas {
+		for k := range entries {
+			if float64(mixBits(k^salt)>>11)/(1<<53) < share {
+				delete(entries, k)
 			}
 		}
 	}
 }
 
-func mix(z uint64) uint64 {
+// mixBits hashes a number. It is the finalizer of SplitMix64.
+func mixBits(z uint64) uint64 {
 	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
 	z = (z ^ z>>27) * 0x94d049bb133111eb
 	return z ^ z>>31
 }
 
-// dies ends its process; what comes back has no names.
-func (c *counter) dies() {
-	c.dead = true
-	clear(c.copies[0])
-	clear(c.copies[1])
+// loseProcess ends the counter's process. It restarts without any names.
+func (c *counter) loseProcess() {
+	c.crashed = true
+	clear(c.replicas[0])
+	clear(c.replicas[1])
 }
 
-// addresses is the list of so many counters.
-func addresses(n int) (all []string) {
+// allCounterAddresses returns the addresses of n counters. In a simulation an address is the counter's index.
+func allCounterAddresses(n int) (all []string) {
 	for k := range n {
-		all = append(all, fmt.Sprintf("%04d", k)) // in this order they are numbered, too
+		all = append(all, fmt.Sprintf("%04d", k)) // padded, so that the alphabetical order by which deciders number counters is this one
 	}
 	return all
 }
 
-// cut splits it into two copies that go on apart; heal makes the first the only one again.
-func (c *counter) cut() {
-	c.split = true
-	c.copies[1] = make(map[uint64]count, len(c.copies[0]))
-	for k, v := range c.copies[0] {
-		c.copies[1][k] = v
+// partition splits the counter into two replicas that diverge.
+func (c *counter) partition() {
+	c.partitioned = true
+	c.replicas[1] = make(map[uint64]counterEntry, len(c.replicas[0]))
+	for k, v := range c.replicas[0] {
+		c.replicas[1][k] = v
 	}
 }
 
+// heal makes the first replica the only one again. What the second one counted meanwhile is lost.
 func (c *counter) heal() {
-	c.split = false
-	c.copies[1] = map[uint64]count{}
+	c.partitioned = false
+	c.replicas[1] = map[uint64]counterEntry{}
 }
