--- a/cmd/bramblelab/capacity.go
+++ b/cmd/bramblelab/capacity.go
@@ -16,10 +16,10 @@
 	"bramblefall/internal/scale"
 )
 
-// errPage says that a page does not follow from its figures.
-var errPage = errors.New("things do not follow")
+// errPageIncorrect is the error of a check that found statements of the page which do not follow from its figures.
+var errPageIncorrect = errors.New("findings: the page does not follow from its figures")
 
-// capacityCommand checks the page of capacity, or rewrites what follows on it.
+// capacityCommand checks the capacity page against measured figures, or rewrites the parts of it that are derived from them.
 func capacityCommand() *cobra.Command {
 	page, write := filepath.Join("docs", "CAPACITY.md"), false
 	var from []string
@@ -37,7 +37,7 @@
 				from = capacity.Sources(string(text))
 			}
 			if len(from) == 0 {
-				return fmt.Errorf("%s names no files on a line \"Figures:\", and --from is not given", page)
+				return fmt.Errorf("%s names no files on a line \"Figures:\" and --from is not given", page)
 			}
 			figures, err := readFigures(from)
 			if err != nil {
@@ -55,20 +55,20 @@
 			}
 			fmt.Fprintln(c.OutOrStdout(), review.Main)
 			if n := len(review.Findings); n > 0 {
-				return fmt.Errorf("%d %w", n, errPage)
+				return fmt.Errorf("%d %w", n, errPageIncorrect)
 			}
 			return nil
 		}}
-	c.Flags().StringSliceVar(&from, "from", nil, "files of figures, such as the scale rig keeps; by default those that the page names")
-	c.Flags().StringVar(&page, "page", page, "the page")
-	c.Flags().BoolVar(&write, "write", false, "rewrite figures, verdicts and lists of the page, then check it")
+	c.Flags().StringSliceVar(&from, "from", nil, "files of figures as the scale command writes them; by default those that the page names")
+	c.Flags().StringVar(&page, "page", page, "path of the capacity page")
+	c.Flags().BoolVar(&write, "write", false, "rewrite the derived figures, verdicts and lists of the page before checking it")
 	c.AddCommand(measureCommand())
 	return c
 }
 
-// measureCommand measures one real limiter by itself, beside what the scale rig measures.
+// measureCommand measures one real limiter by itself, in addition to what the scale command measures.
 func measureCommand() *cobra.Command {
-	o := &common{}
+	o := &commonFlags{}
 	var out string
 	var parts []string
 	c := &cobra.Command{Use: "measure", Args: cobra.NoArgs, Short: "Measure one real limiter with long lists, many firms and a long plan book (about 6 minutes)",
@@ -80,7 +80,7 @@
 			defer os.RemoveAll(dir)
 			binary := o.binary
 			if binary == "" {
-				o.say(c, "building the limiter")
+				o.logf(c, "building the limiter")
 				if binary, err = lab.Build(c.Context(), dir); err != nil {
 					return err
 				}
@@ -89,7 +89,7 @@
 			if o.quick {
 				sizes = scale.QuickResident()
 			}
-			slopes, refused, err := scale.Resident(c.Context(), binary, sizes, parts, func(format string, args ...any) { o.say(c, format, args...) })
+			slopes, refused, err := scale.Resident(c.Context(), binary, sizes, parts, func(format string, args ...any) { o.logf(c, format, args...) })
 			f := scale.Figures{Version: 1, Quick: o.quick, Slopes: slopes, Quota: []scale.QuotaError{}, Moments: []scale.Moment{}, Added: []scale.AddedTime{}}
 			f.Cores, f.MemoryMB = scale.Machine()
 			if err != nil {
@@ -103,13 +103,14 @@
 			return nil
 		}}
 	o.began = time.Now()
-	c.Flags().StringVar(&out, "out", "resident.json", "the file for the figures")
-	c.Flags().StringSliceVar(&parts, "only", nil, "of the parts "+strings.Join(scale.ResidentParts, ", ")+" only these")
-	c.Flags().BoolVar(&o.quick, "quick", false, "small sizes, under a minute: a trial")
-	c.Flags().StringVar(&o.binary, "binary", "", "the limiter's program, its evaluator beside it; by default it is built from here")
+	c.Flags().StringVar(&out, "out", "resident.json", "write the figures to this file")
+	c.Flags().StringSliceVar(&parts, "only", nil, "measure only these parts; all are "+strings.Join(scale.ResidentParts, ", "))
+	c.Flags().BoolVar(&o.quick, "quick", false, "small sizes, under a minute: a trial run")
+	c.Flags().StringVar(&o.binary, "binary", "", "path of the limiter's program, with bramblefall-eval beside it; by default both are built from the current directory's module")
 	return c
 }
 
+// readFigures reads files of figures as scale.Figures.Keep and the measure command write them.
 func readFigures(files []string) (all []capacity.File, err error) {
 	for _, name := range files {
 		raw, err := os.ReadFile(name)
--- a/cmd/bramblelab/capacity_test.go
+++ b/cmd/bramblelab/capacity_test.go
@@ -14,8 +14,8 @@
 	"bramblefall/internal/scale"
 )
 
-// checked runs the command on a page of a few lines, which lacks most of what a page needs.
-func checked(t *testing.T, page string, args ...string) (out string, err error) {
+// runCapacity runs the capacity command on the given page and returns its output and error.
+func runCapacity(t *testing.T, page string, args ...string) (out string, err error) {
 	t.Helper()
 	c := capacityCommand()
 	var text bytes.Buffer
@@ -27,7 +27,8 @@
 	return text.String(), err
 }
 
-func TestACapacityPageIsWrittenAndAnIncompleteOneIsRefused(t *testing.T) {
+// The page has one row of one role, so the command must fill in its figures and still report that the other roles have none.
+func TestCapacityRewritesPageAndReportsWhatIsMissing(t *testing.T) {
 	dir := t.TempDir()
 	figures, page := filepath.Join(dir, "figures.json"), filepath.Join(dir, "CAPACITY.md")
 	raw, err := json.Marshal(scale.Figures{Version: 1, Slopes: []scale.Slope{{Role: "limiter", What: "memory", Unit: "bytes",
@@ -38,11 +39,11 @@
 		"| peak | memory | `at(\"limiter\", \"memory\", \"servers\", 10)` | ? MB | | ? MB `1e6` | | it |\n"
 	require.NoError(t, os.WriteFile(page, []byte(text), 0o600))
 
-	_, err = checked(t, page)
+	_, err = runCapacity(t, page)
 	assert.ErrorContains(t, err, "names no files")
 
-	out, err := checked(t, page, "--from", figures, "--write")
-	require.ErrorIs(t, err, errPage)
+	out, err := runCapacity(t, page, "--from", figures, "--write")
+	require.ErrorIs(t, err, errPageIncorrect)
 	assert.Contains(t, out, "the role counter has no row")
 	lines := strings.Split(strings.TrimSpace(out), "\n")
 	assert.Equal(t, "largest missing factor x21: limiter, peak, memory; 0 rows have, 1 lack, 0 have no slope", lines[len(lines)-1])
@@ -50,6 +51,6 @@
 	require.NoError(t, err)
 	assert.Contains(t, string(rewritten), "| 21 MB | measured, extrapolated x10 (servers) | 1 MB `1e6` | lacks x21 | it |")
 
-	_, err = checked(t, page, "--from", filepath.Join(dir, "none.json"))
+	_, err = runCapacity(t, page, "--from", filepath.Join(dir, "none.json"))
 	assert.ErrorIs(t, err, os.ErrNotExist)
 }
--- a/cmd/bramblelab/main.go
+++ b/cmd/bramblelab/main.go
@@ -1,5 +1,5 @@
-// Command bramblelab runs experiments on the limiter: in a model of the exchange in virtual time, and on real processes.
-// Results are kept as tables and charts.
+// Command bramblelab runs experiments on the limiter, either in a model of the whole system in virtual time or on real
+// processes, and writes the results as tables and charts.
 package main
 
 import (
@@ -23,13 +23,13 @@
 	"bramblefall/internal/model"
 )
 
-// real are the experiments on real processes.
-var real = map[string]func(context.Context, lab.Options) (lab.Result, error){
-	"plans": lab.Plans,
+// experiments maps the names that the run command takes to the experiments on real processes.
+var experiments = map[string]func(context.Context, lab.Options) (lab.Result, error){
+	"plans": lab.RunPlans,
 }
 
-// errBars says that a run's stated bounds do not hold.
-var errBars = errors.New("bars do not hold")
+// errBoundsFailed is the error of a run in which stated bounds do not hold or rules of the model broke.
+var errBoundsFailed = errors.New("bounds or rules do not hold")
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -42,47 +42,50 @@
 	}
 }
 
-// common are the flags that experiments in the model share.
-type common struct {
-	seed   uint64
-	seeds  int
-	quick  bool
-	out    string
-	policy []string
-	binary string
-	began  time.Time
+// commonFlags are the flags that several commands share.
+type commonFlags struct {
+	seed        uint64 // of the first run; each further run takes the next
+	seeds       int    // how many
+	quick       bool
+	out         string
+	policyNames []string
+	binary      string
+	began       time.Time // log lines give the seconds since then
 }
 
-func (o *common) flags(c *cobra.Command, policies bool) {
+// register adds the flags to c, --policy only if policies is set.
+func (o *commonFlags) register(c *cobra.Command, policies bool) {
 	o.began = time.Now()
-	c.Flags().Uint64Var(&o.seed, "seed", 1, "the first seed")
-	c.Flags().IntVar(&o.seeds, "seeds", 1, "how many seeds")
-	c.Flags().BoolVar(&o.quick, "quick", false, "the short form, under 45 s")
-	c.Flags().StringVar(&o.out, "out", "", "a directory for tables and charts")
+	c.Flags().Uint64Var(&o.seed, "seed", 1, "seed of the first run; further runs take the following numbers")
+	c.Flags().IntVar(&o.seeds, "seeds", 1, "how many seeds to run")
+	c.Flags().BoolVar(&o.quick, "quick", false, "a short run, under 45 s")
+	c.Flags().StringVar(&o.out, "out", "", "write tables and charts to this directory")
 	if policies {
-		c.Flags().StringSliceVar(&o.policy, "policy", []string{"bramblefall"}, "policies, or all")
+		c.Flags().StringSliceVar(&o.policyNames, "policy", []string{"bramblefall"}, "policies to run, or all")
 	}
 }
 
-func (o *common) say(c *cobra.Command, format string, args ...any) {
+// logf writes a progress line to standard error.
+func (o *commonFlags) logf(c *cobra.Command, format string, args ...any) {
 	fmt.Fprintf(c.ErrOrStderr(), "%6.1f s  %s\n", time.Since(o.began).Seconds(), fmt.Sprintf(format, args...))
 }
 
-func (o *common) policies() (list []model.Policy, err error) {
-	if slices.Contains(o.policy, "all") {
+func (o *commonFlags) selectedPolicies() (list []model.Policy, err error) {
+	if slices.Contains(o.policyNames, "all") {
 		return append(model.Textbook(), model.Own()), nil
 	}
-	for _, name := range o.policy {
+	for _, name := range o.policyNames {
 		p, ok := model.PolicyNamed(name)
 		if !ok {
-			return nil, fmt.Errorf("no policy %q", name)
+			return nil, fmt.Errorf("unknown policy %q, want all, bramblefall or {even-split,whole-quota,count-each,leases}+{random,least}", name)
 		}
 		list = append(list, p)
 	}
 	return list, nil
 }
 
-func (o *common) scenario(name string) (model.Scenario, error) {
+// loadScenario loads a scenario. A quick run is cut to its first 20 seconds and the faults that begin in them.
+func (o *commonFlags) loadScenario(name string) (model.Scenario, error) {
 	s, err := lab.LoadScenario(name)
 	if err == nil && o.quick {
 		s.Seconds = min(s.Seconds, 20)
@@ -91,8 +94,8 @@
 	return s, err
 }
 
-// tell prints tables and keeps them.
-func (o *common) tell(c *cobra.Command, tables ...*lab.Table) error {
+// printTables prints tables and, with --out, also writes them to files.
+func (o *commonFlags) printTables(c *cobra.Command, tables ...*lab.Table) error {
 	for _, t := range tables {
 		fmt.Fprintf(c.OutOrStdout(), "%s\n%s\n", t.Name, t.Markdown())
 		if o.out == "" {
@@ -108,28 +111,28 @@
 	return nil
 }
 
-func (o *common) progress(c *cobra.Command, of int) func(int, lab.Done) {
+func (o *commonFlags) progressLogger(c *cobra.Command, of int) func(int, lab.Done) {
 	return func(n int, d lab.Done) {
-		o.say(c, "%d of %d: %s, %s, seed %d, worth %.3f", n, of, d.Result.Scenario, d.Policy.Name, d.Seed, d.Result.Worth())
+		o.logf(c, "%d of %d: %s, %s, seed %d, worth %.3f", n, of, d.Result.Scenario, d.Policy.Name, d.Seed, d.Result.Worth())
 	}
 }
 
 func runCommand() *cobra.Command {
-	o := &common{}
+	o := &commonFlags{}
 	onReal, profile := false, ""
-	c := &cobra.Command{Use: "run NAME|FILE", Args: cobra.ExactArgs(1), ValidArgs: lab.Shipped(),
+	c := &cobra.Command{Use: "run NAME|FILE", Args: cobra.ExactArgs(1), ValidArgs: lab.ShippedScenarios(),
 		Short: "Run a scenario, or an experiment on real processes (plans); exit 0 only where its bounds hold",
-		Long:  "Run a scenario in the model, or an experiment on real processes. Shipped: " + strings.Join(append(lab.Shipped(), "plans"), ", ") + ". The last line is the main figure.",
+		Long:  "Run a scenario in the model, or an experiment on real processes. Shipped: " + strings.Join(append(lab.ShippedScenarios(), "plans"), ", ") + ". The last line is the main figure.",
 		RunE: func(c *cobra.Command, args []string) error {
-			if play, ok := real[args[0]]; ok {
-				r, err := play(c.Context(), lab.Options{Seed: o.seed, Quick: o.quick, Out: o.out,
-					Say: func(format string, args ...any) { o.say(c, format, args...) }})
-				if err := errors.Join(o.tell(c, r.Tables...), err); err != nil {
+			if experiment, ok := experiments[args[0]]; ok {
+				r, err := experiment(c.Context(), lab.Options{Seed: o.seed, Quick: o.quick, OutputDir: o.out,
+					Logf: func(format string, args ...any) { o.logf(c, format, args...) }})
+				if err := errors.Join(o.printTables(c, r.Tables...), err); err != nil {
 					return err
 				}
-				return verdict(c, r.Broken, r.Main)
+				return reportOutcome(c, r.FailedBounds, r.Summary)
 			}
-			s, err := o.scenario(args[0])
+			s, err := o.loadScenario(args[0])
 			if err != nil {
 				return err
 			}
@@ -147,82 +150,83 @@
 			if onReal {
 				return runReal(c, o, s)
 			}
-			policies, err := o.policies()
+			policies, err := o.selectedPolicies()
 			if err != nil {
 				return err
 			}
 			var jobs []lab.Job
 			for _, p := range policies {
 				for n := range o.seeds {
-					jobs = append(jobs, lab.Job{Scenario: s, Policy: p, Seed: o.seed + uint64(n), Timed: true})
+					jobs = append(jobs, lab.Job{Scenario: s, Policy: p, Seed: o.seed + uint64(n), MeasureCPU: true})
 				}
 			}
-			list := lab.Parallel(c.Context(), jobs, o.progress(c, len(jobs)))
-			if err := o.tell(c, lab.Results(s.Name, list)); err != nil {
+			list := lab.Parallel(c.Context(), jobs, o.progressLogger(c, len(jobs)))
+			if err := o.printTables(c, lab.ResultsTable(s.Name, list)); err != nil {
 				return err
 			}
-			var broken []string
+			var failedBounds []string
 			var worth []float64
 			for _, d := range list {
 				if d.Policy.Name == "bramblefall" {
 					for _, b := range d.Result.Check(s.Bounds) {
-						broken = append(broken, fmt.Sprintf("seed %d: %s", d.Seed, b))
+						failedBounds = append(failedBounds, fmt.Sprintf("seed %d: %s", d.Seed, b))
 					}
 					worth = append(worth, d.Result.Worth())
 				}
 			}
-			return verdict(c, broken, fmt.Sprintf("worth served of worth asked inside quotas %.4f", lab.Mean(worth).Mean))
+			return reportOutcome(c, failedBounds, fmt.Sprintf("worth served of worth asked inside quotas %.4f", lab.MeanInterval(worth).Mean))
 		}}
-	o.flags(c, true)
-	c.Flags().StringVar(&profile, "profile", "", "a file for the processor profile of the run")
-	c.Flags().StringVar(&o.binary, "binary", "", "with --real: the limiter's program, such as an older build; by default it is built from here")
-	c.Flags().BoolVar(&onReal, "real", false, "on real limiters and stand-ins, beside the model")
+	o.register(c, true)
+	c.Flags().StringVar(&profile, "profile", "", "write a CPU profile of the run to this file")
+	c.Flags().StringVar(&o.binary, "binary", "", "with --real: path of the limiter's program, such as an older build; by default it is built from the current directory's module")
+	c.Flags().BoolVar(&onReal, "real", false, "run on real limiters and stand-ins, and compare with the model")
 	return c
 }
 
-// runReal plays a scenario on real limiters and holds the model's result beside it.
-func runReal(c *cobra.Command, o *common, s model.Scenario) error {
-	r, err := lab.OnReal(c.Context(), s, o.seed, o.binary, func(format string, args ...any) { o.say(c, format, args...) })
+// runReal runs a scenario on real limiters and in the model, and prints a table that compares the results.
+func runReal(c *cobra.Command, o *commonFlags, scenario model.Scenario) error {
+	measured, err := lab.RunReal(c.Context(), scenario, o.seed, o.binary, func(format string, args ...any) { o.logf(c, format, args...) })
 	if err != nil {
 		return err
 	}
-	m := model.New(s, o.seed, model.Own(), false).Run()
-	if err := o.tell(c, lab.Agreement(s, m, r)); err != nil {
+	modelled := model.New(scenario, o.seed, model.Own(), false).Run()
+	if err := o.printTables(c, lab.AgreementTable(scenario, modelled, measured)); err != nil {
 		return err
 	}
-	var broken []string
-	if n := r.Ends[lab.Unanswered]; n > 0 {
-		broken = append(broken, fmt.Sprintf("%d requests without a final answer", n))
+	var failedBounds []string
+	if n := measured.Outcomes[lab.Unanswered]; n > 0 {
+		failedBounds = append(failedBounds, fmt.Sprintf("%d requests without a final answer", n))
 	}
-	return verdict(c, broken, fmt.Sprintf("worth served of worth asked inside quotas %.4f, in the model %.4f", r.Worth, m.Worth()))
+	return reportOutcome(c, failedBounds, fmt.Sprintf("worth served of worth asked inside quotas %.4f, in the model %.4f", measured.WorthShare, modelled.Worth()))
 }
 
-func verdict(c *cobra.Command, broken []string, main string) error {
-	for _, b := range broken {
-		fmt.Fprintln(c.OutOrStdout(), "bar broken:", b)
+// reportOutcome prints the bounds that do not hold and, as the last line, the main figure. It returns an error if there are any.
+func reportOutcome(c *cobra.Command, failedBounds []string, summary string) error {
+	for _, b := range failedBounds {
+		fmt.Fprintln(c.OutOrStdout(), "bound does not hold:", b)
 	}
-	fmt.Fprintln(c.OutOrStdout(), main)
-	if len(broken) > 0 {
-		return fmt.Errorf("%d %w", len(broken), errBars)
+	fmt.Fprintln(c.OutOrStdout(), summary)
+	if len(failedBounds) > 0 {
+		return fmt.Errorf("%d %w", len(failedBounds), errBoundsFailed)
 	}
 	return nil
 }
 
 func sweepCommand() *cobra.Command {
-	o := &common{}
+	o := &commonFlags{}
 	metric := "worth"
 	c := &cobra.Command{Use: "sweep NAME|FILE PARAMETER=FROM:TO:STEPS [PARAMETER=...]", Args: cobra.RangeArgs(2, 3),
 		Short: "Run a scenario over a range of one or two parameters, such as counter.per_second=50:800:6",
 		RunE: func(c *cobra.Command, args []string) error {
-			s, err := o.scenario(args[0])
+			s, err := o.loadScenario(args[0])
 			if err != nil {
 				return err
 			}
-			policies, err := o.policies()
+			policies, err := o.selectedPolicies()
 			if err != nil {
 				return err
 			}
-			points, name, err := grid(s, args[1:])
+			points, name, err := sweepPoints(s, args[1:])
 			if err != nil {
 				return err
 			}
@@ -231,59 +235,60 @@
 			for _, p := range policies {
 				for _, x := range points {
 					for n := range o.seeds {
-						jobs, at = append(jobs, lab.Job{Scenario: x.s, Policy: p, Seed: o.seed + uint64(n), Timed: true}), append(at, x.value)
+						jobs, at = append(jobs, lab.Job{Scenario: x.s, Policy: p, Seed: o.seed + uint64(n), MeasureCPU: true}), append(at, x.firstValue)
 					}
 				}
 			}
-			list := lab.Parallel(c.Context(), jobs, o.progress(c, len(jobs)))
-			if err := o.tell(c, lab.Results("sweep", list)); err != nil || o.out == "" {
+			list := lab.Parallel(c.Context(), jobs, o.progressLogger(c, len(jobs)))
+			if err := o.printTables(c, lab.ResultsTable("sweep", list)); err != nil || o.out == "" {
 				return err
 			}
 			k := -1
 			return lab.SweepChart(list, func(lab.Done) float64 { k++; return at[k] }, name, metric).Keep(o.out)
 		}}
-	o.flags(c, true)
-	c.Flags().StringVar(&metric, "metric", metric, "of the chart: worth, over, refused, room, calls, p99, cpu, ceiling or broken")
+	o.register(c, true)
+	c.Flags().StringVar(&metric, "metric", metric, "metric of the chart: worth, over, refused, room, calls, p99, cpu, ceiling or broken")
 	return c
 }
 
-type point struct {
-	s     model.Scenario
-	value float64 // of the first parameter
+// sweepPoint is a scenario with one combination of values of the swept parameters.
+type sweepPoint struct {
+	s          model.Scenario
+	firstValue float64 // value of the first parameter, the x axis of the chart
 }
 
-// grid makes the scenarios of a sweep.
-func grid(s model.Scenario, ranges []string) (points []point, name string, err error) {
-	points = []point{{s: s}}
-	for k, text := range ranges {
-		path, span, _ := strings.Cut(text, "=")
-		parts := strings.Split(span, ":")
+// sweepPoints returns the scenarios of a sweep over all combinations of values, and the name of the first parameter.
+func sweepPoints(s model.Scenario, ranges []string) (points []sweepPoint, name string, err error) {
+	points = []sweepPoint{{s: s}}
+	for k, rangeText := range ranges {
+		path, bounds, _ := strings.Cut(rangeText, "=")
+		parts := strings.Split(bounds, ":")
 		if len(parts) != 3 {
-			return nil, "", fmt.Errorf("%q is not like counter.per_second=50:800:6", text)
+			return nil, "", fmt.Errorf("%q is not PARAMETER=FROM:TO:STEPS, such as counter.per_second=50:800:6", rangeText)
 		}
-		var v [3]float64
-		for n, p := range parts {
-			if v[n], err = strconv.ParseFloat(p, 64); err != nil {
+		var numbers [3]float64
+		for n, part := range parts {
+			if numbers[n], err = strconv.ParseFloat(part, 64); err != nil {
 				return nil, "", err
 			}
 		}
-		steps := int(v[2])
+		steps := int(numbers[2])
 		if steps < 2 || steps > 100 {
-			return nil, "", fmt.Errorf("%q: 2 to 100 steps", text)
+			return nil, "", fmt.Errorf("%q: got %d steps, want 2 to 100", rangeText, steps)
 		}
-		var next []point
-		for _, x := range points {
+		var next []sweepPoint
+		for _, point := range points {
 			for n := range steps {
-				y := x
-				value := v[0] + (v[1]-v[0])*float64(n)/float64(steps-1)
-				if err := lab.SetParameter(&y.s, path, value); err != nil {
+				changed := point
+				value := numbers[0] + (numbers[1]-numbers[0])*float64(n)/float64(steps-1)
+				if err := lab.SetParameter(&changed.s, path, value); err != nil {
 					return nil, "", err
 				}
-				y.s.Name += fmt.Sprintf(" %s=%.4g", path, value)
+				changed.s.Name += fmt.Sprintf(" %s=%.4g", path, value)
 				if k == 0 {
-					y.value, name = value, path
+					changed.firstValue, name = value, path
 				}
-				next = append(next, y)
+				next = append(next, changed)
 			}
 		}
 		points = next
@@ -292,110 +297,110 @@
 }
 
 func compareCommand() *cobra.Command {
-	o := &common{}
+	o := &commonFlags{}
 	c := &cobra.Command{Use: "compare NAME|FILE POLICY|FILE POLICY|FILE", Args: cobra.ExactArgs(3),
 		Short: "Compare two policies on a scenario, or two scenarios, paired by seed, with 95% intervals",
 		RunE: func(c *cobra.Command, args []string) error {
 			var sides [2][]lab.Job
 			for k, name := range args[1:] {
-				s, err := o.scenario(args[0])
+				s, err := o.loadScenario(args[0])
 				if err != nil {
 					return err
 				}
 				p, ok := model.PolicyNamed(name)
 				if !ok {
 					p = model.Own()
-					if s, err = o.scenario(name); err != nil {
+					if s, err = o.loadScenario(name); err != nil {
 						return err
 					}
 				}
 				for n := range o.seeds {
-					sides[k] = append(sides[k], lab.Job{Scenario: s, Policy: p, Seed: o.seed + uint64(n), Timed: true})
+					sides[k] = append(sides[k], lab.Job{Scenario: s, Policy: p, Seed: o.seed + uint64(n), MeasureCPU: true})
 				}
 			}
-			list := lab.Parallel(c.Context(), append(sides[0], sides[1]...), o.progress(c, 2*o.seeds))
+			list := lab.Parallel(c.Context(), append(sides[0], sides[1]...), o.progressLogger(c, 2*o.seeds))
 			if len(list) < 2*o.seeds {
 				return c.Context().Err()
 			}
-			return o.tell(c, lab.Compare(list[:o.seeds], list[o.seeds:]))
+			return o.printTables(c, lab.CompareTable(list[:o.seeds], list[o.seeds:]))
 		}}
-	o.flags(c, false)
+	o.register(c, false)
 	_ = c.Flags().Set("seeds", "10")
 	return c
 }
 
 func searchCommand() *cobra.Command {
-	o := &common{}
+	o := &commonFlags{}
 	c := &cobra.Command{Use: "search NAME|FILE", Args: cobra.ExactArgs(1),
-		Short: "Look for the seeds and faults with the worst outcome, and shrink the faults; exit 1 on a broken rule",
+		Short: "Search for the seeds and random faults with the worst outcome, and reduce the faults; exit 1 on a broken rule",
 		RunE: func(c *cobra.Command, args []string) error {
-			s, err := o.scenario(args[0])
+			s, err := o.loadScenario(args[0])
 			if err != nil {
 				return err
 			}
-			policies, err := o.policies()
+			policies, err := o.selectedPolicies()
 			if err != nil {
 				return err
 			}
 			found := lab.Search(c.Context(), s, policies[0], o.seed, o.seeds, func(n int, d lab.Done) {
 				if n%20 == 0 || d.Result.Broken > 0 {
-					o.say(c, "%d of %d, seed %d: worth %.3f, %d broken rules", n, o.seeds, d.Seed, d.Result.Worth(), d.Result.Broken)
+					o.logf(c, "%d of %d, seed %d: worth %.3f, %d broken rules", n, o.seeds, d.Seed, d.Result.Worth(), d.Result.Broken)
 				}
 			})
 			broken := 0
 			t := &lab.Table{Name: "search", Head: []string{"seed", "worth", "faults", "broken"}}
 			for _, f := range found {
-				t.Add(f.Seed, f.Worth, fmt.Sprintf("%+v", f.Scenario.Faults), strings.Join(f.Broken, "; "))
-				if len(f.Broken) > 0 {
+				t.Add(f.Seed, f.Worth, fmt.Sprintf("%+v", f.Scenario.Faults), strings.Join(f.Violations, "; "))
+				if len(f.Violations) > 0 {
 					broken++
 				}
 			}
-			if err := o.tell(c, t); err != nil {
+			if err := o.printTables(c, t); err != nil {
 				return err
 			}
 			if o.out != "" {
-				if err := lab.KeepFound(o.out, found); err != nil {
+				if err := lab.WriteFindings(o.out, found); err != nil {
 					return err
 				}
 			}
 			fmt.Fprintf(c.OutOrStdout(), "%d of %d seeds break a rule\n", broken, o.seeds)
 			if broken > 0 {
-				return errBars
+				return errBoundsFailed
 			}
 			return nil
 		}}
-	o.flags(c, true)
+	o.register(c, true)
 	_ = c.Flags().Set("seeds", "200")
 	return c
 }
 
 func replayCommand() *cobra.Command {
-	o := &common{}
-	c := &cobra.Command{Use: "replay FILE", Args: cobra.ExactArgs(1), Short: "Play again what a search found",
+	o := &commonFlags{}
+	c := &cobra.Command{Use: "replay FILE", Args: cobra.ExactArgs(1), Short: "Run again a finding that search wrote",
 		RunE: func(c *cobra.Command, args []string) error {
 			raw, err := os.ReadFile(args[0])
 			if err != nil {
 				return err
 			}
-			var f lab.Found
+			var f lab.Finding
 			if err := json.Unmarshal(raw, &f); err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
 			list := lab.Parallel(c.Context(), []lab.Job{{Scenario: f.Scenario, Policy: model.Own(), Seed: f.Seed}}, nil)
-			if err := o.tell(c, lab.Results("replay", list)); err != nil {
+			if err := o.printTables(c, lab.ResultsTable("replay", list)); err != nil {
 				return err
 			}
-			return verdict(c, list[0].Result.Violations, fmt.Sprintf("worth %.4f", list[0].Result.Worth()))
+			return reportOutcome(c, list[0].Result.Violations, fmt.Sprintf("worth %.4f", list[0].Result.Worth()))
 		}}
-	o.flags(c, false)
+	o.register(c, false)
 	return c
 }
 
 func chartCommand() *cobra.Command {
 	title := ""
-	c := &cobra.Command{Use: "chart FILE.csv COLUMN", Args: cobra.ExactArgs(2), Short: "Draw one column of a table as bars, beside it",
-		RunE: func(c *cobra.Command, args []string) error { return lab.ChartColumn(args[0], args[1], title) }}
-	c.Flags().StringVar(&title, "title", "", "over the chart")
+	c := &cobra.Command{Use: "chart FILE.csv COLUMN", Args: cobra.ExactArgs(2), Short: "Draw a bar chart of one column of a table, beside the table",
+		RunE: func(c *cobra.Command, args []string) error { return lab.DrawColumn(args[0], args[1], title) }}
+	c.Flags().StringVar(&title, "title", "", "title of the chart")
 	return c
 }
 
--- a/cmd/bramblelab/plans_test.go
+++ b/cmd/bramblelab/plans_test.go
@@ -11,19 +11,19 @@
 	"bramblefall/internal/lab"
 )
 
-// Three real limiters, 200 firms, plans that change under them, one limiter told late, a reservation drawn through a
-// killed limiter and a wiped counter, firms half on gRPC: nothing is lost, no ceiling is passed, no reservation overdrawn.
-// The run's bars on time are left to `bramblelab run plans`.
+// Guards against lost requests, exceeded ceilings and overdrawn reservations. It runs three real limiters and 200 firms, an
+// eighth of them half on gRPC, while plans change, a limiter learns of a change late, a limiter is killed and the counter
+// loses its state. Bounds that depend on the machine's speed are left to `bramblelab run plans`.
 func TestPlansChangeUnderRealLimiters(t *testing.T) {
 	for _, sources := range []string{"../../go.*", "../../logic/*.go", "../../internal/*/*.go", "../bramblefall*/*.go"} {
 		files, _ := filepath.Glob(sources)
-		for _, f := range files { // the program is built out of go test's sight: what is looked at counts in its cache
+		for _, f := range files { // go test does not see that the limiter is built from these files; those that the test stats become part of its cache key
 			_, _ = os.Stat(f)
 		}
 	}
-	r, err := lab.Plans(context.Background(), lab.Options{Seed: 5, Quick: true, Say: t.Logf})
+	r, err := lab.RunPlans(context.Background(), lab.Options{Seed: 5, Quick: true, Logf: t.Logf})
 	require.NoError(t, err)
-	require.Empty(t, r.Rules)
+	require.Empty(t, r.FailedRules)
 	require.Len(t, r.Tables, 4)
-	t.Log(r.Main, r.Broken)
+	t.Log(r.Summary, r.FailedBounds)
 }
--- a/cmd/bramblelab/quota.go
+++ b/cmd/bramblelab/quota.go
@@ -13,12 +13,13 @@
 	"bramblefall/internal/scale"
 )
 
+// quotaCommand measures in the model how closely limiters keep to quotas, and writes tables and quota.json.
 func quotaCommand() *cobra.Command {
-	o := &common{}
+	o := &commonFlags{}
 	c := &cobra.Command{Use: "quota", Args: cobra.NoArgs,
-		Short: "Measure in the model how far quotas are missed, by limiters and the counter's speed, and moments of a fleet",
+		Short: "Measure in the model how far limiters miss quotas, by their number and the counter's speed, and moments of a fleet: regions cut off for an hour, a day of changes",
 		RunE: func(c *cobra.Command, _ []string) error {
-			say := func(text string) { o.say(c, "%s", text) }
+			say := func(text string) { o.logf(c, "%s", text) }
 			f := scale.Figures{Version: 1, Seed: o.seed, Quick: o.quick, Cores: runtime.GOMAXPROCS(0)}
 			var err error
 			if f.Quota, err = scale.Quota(c.Context(), o.seed, o.quick, say); err == nil {
@@ -28,14 +29,14 @@
 				f.Partial = err.Error()
 			}
 			tables := []*lab.Table{scale.QuotaTable(f.Quota, false), scale.QuotaTable(f.Quota, true), scale.MomentTable(f.Moments)}
-			return errors.Join(err, o.tell(c, tables...), keepFigures(o.out, f))
+			return errors.Join(err, o.printTables(c, tables...), writeFigures(o.out, f))
 		}}
-	o.flags(c, false)
+	o.register(c, false)
 	return c
 }
 
-// keepFigures writes the figures into dir; "": nowhere.
-func keepFigures(dir string, f scale.Figures) error {
+// writeFigures writes the figures to quota.json in dir. It does nothing if dir is empty.
+func writeFigures(dir string, f scale.Figures) error {
 	if dir == "" {
 		return nil
 	}
--- a/cmd/bramblelab/watch.go
+++ b/cmd/bramblelab/watch.go
@@ -11,42 +11,45 @@
 	"bramblefall/internal/model"
 )
 
-// watchCommand plays a scenario in the terminal, slice by slice of virtual time.
+// watchCommand runs a scenario in the model and shows its progress in the terminal.
 func watchCommand() *cobra.Command {
-	o := &common{}
+	o := &commonFlags{}
 	speed := 10.0
-	c := &cobra.Command{Use: "watch NAME|FILE", Args: cobra.ExactArgs(1), Short: "Watch a scenario in the terminal; q ends, space stops and goes on",
+	c := &cobra.Command{Use: "watch NAME|FILE", Args: cobra.ExactArgs(1), Short: "Watch a scenario in the terminal; q quits, space pauses and resumes",
 		RunE: func(c *cobra.Command, args []string) error {
-			s, err := o.scenario(args[0])
+			s, err := o.loadScenario(args[0])
 			if err != nil {
 				return err
 			}
-			v := &view{w: model.New(s, o.seed, model.Own(), true), s: s, speed: speed}
+			v := &view{world: model.New(s, o.seed, model.Own(), true), scenario: s, secondsPerSecond: speed}
 			_, err = tea.NewProgram(v, tea.WithContext(c.Context())).Run()
 			return err
 		}}
-	o.flags(c, false)
-	c.Flags().Float64Var(&speed, "speed", speed, "virtual seconds for each real one")
+	o.register(c, false)
+	c.Flags().Float64Var(&speed, "speed", speed, "virtual seconds per real second")
 	return c
 }
 
+// view is the state of the terminal program, in the terms of bubbletea its model.
 type view struct {
-	w     *model.World
-	s     model.Scenario
-	speed float64
-	at    float64 // virtual seconds played
-	still bool
-	last  model.Result
-	lines []string
+	world            *model.World
+	scenario         model.Scenario
+	secondsPerSecond float64
+	playedSeconds    float64 // virtual seconds that the model has run so far
+	paused           bool
+	last             model.Result // as of playedSeconds
+	lines            []string     // one for each step, the latest 16
 }
 
-type frame struct{}
+// tick is the message at which the scenario advances.
+type tick struct{}
 
-const frameEvery = 200 * time.Millisecond
+// tickInterval is the real time between two ticks.
+const tickInterval = 200 * time.Millisecond
 
-func next() tea.Cmd { return tea.Tick(frameEvery, func(time.Time) tea.Msg { return frame{} }) }
+func nextTick() tea.Cmd { return tea.Tick(tickInterval, func(time.Time) tea.Msg { return tick{} }) }
 
-func (v *view) Init() tea.Cmd { return next() }
+func (v *view) Init() tea.Cmd { return nextTick() }
 
 func (v *view) Update(msg tea.Msg) (tea.Model, tea.Cmd) {
 	switch m := msg.(type) {
@@ -55,22 +58,23 @@
 		case "q", "ctrl+c", "esc":
 			return v, tea.Quit
 		case "space", " ":
-			v.still = !v.still
+			v.paused = !v.paused
 		}
-	case frame:
-		if !v.still && v.at < v.s.Seconds {
-			v.at = min(v.at+v.speed*frameEvery.Seconds(), v.s.Seconds)
-			v.step()
+	case tick:
+		if !v.paused && v.playedSeconds < v.scenario.Seconds {
+			v.playedSeconds = min(v.playedSeconds+v.secondsPerSecond*tickInterval.Seconds(), v.scenario.Seconds)
+			v.advance()
 		}
-		return v, next()
+		return v, nextTick()
 	}
 	return v, nil
 }
 
-func (v *view) step() {
-	r := v.w.Play(v.at)
+// advance runs the model on to playedSeconds and adds a line on what has happened since the last step.
+func (v *view) advance() {
+	r := v.world.Play(v.playedSeconds)
 	served, refused, asked := r.Served-v.last.Served, r.Refused-v.last.Refused, r.Requests-v.last.Requests
-	v.lines = append(v.lines, fmt.Sprintf("%6.1f s  asked %5d  served %5d  refused %5d  %s", v.at, asked, served, refused,
+	v.lines = append(v.lines, fmt.Sprintf("%6.1f s  asked %5d  served %5d  refused %5d  %s", v.playedSeconds, asked, served, refused,
 		strings.Repeat("#", min(40, served/max(1, asked/20+1)))))
 	v.lines = v.lines[max(0, len(v.lines)-16):]
 	v.last = r
@@ -79,25 +83,27 @@
 func (v *view) View() tea.View {
 	r := v.last
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s: %d limiters, %d nodes, %d firms\n\n%s\n\n", v.s.Name, v.s.Limiters, v.s.Nodes, v.s.Firms.Count, strings.Join(v.lines, "\n"))
+	fmt.Fprintf(&b, "%s: %d limiters, %d nodes, %d firms\n\n%s\n\n", v.scenario.Name, v.scenario.Limiters, v.scenario.Nodes, v.scenario.Firms.Count, strings.Join(v.lines, "\n"))
 	fmt.Fprintf(&b, "worth %.3f   beyond quotas %.2f%%   counter calls each %.2f   p99 %.2f s   broken rules %d\n", r.Worth(), 100*r.OverQuota(),
 		r.CallsEach(), r.P99, r.Broken)
-	for _, n := range v.w.Nodes() {
-		fmt.Fprintf(&b, "%s", mark(n))
+	for _, n := range v.world.Nodes() {
+		fmt.Fprintf(&b, "%s", nodeSymbol(n))
 	}
-	b.WriteString("\n\nnodes by work over cores: . idle, o busy, O full, - draining, x down      q ends, space stops\n")
+	b.WriteString("\n\nnodes by work over cores: . idle, o busy, O full, - draining, x down      q quits, space pauses\n")
 	return tea.NewView(b.String())
 }
 
-func mark(n model.NodeView) string {
+// nodeSymbol returns the character that stands for a node's state. A node is busy from 0.7 requests in work or queued per core, and
+// full from 1.5.
+func nodeSymbol(node model.NodeView) string {
 	switch {
-	case !n.Up:
+	case !node.Up:
 		return "x"
-	case n.Draining:
+	case node.Draining:
 		return "-"
-	case n.Busy >= 1.5:
+	case node.Busy >= 1.5:
 		return "O"
-	case n.Busy >= 0.7:
+	case node.Busy >= 0.7:
 		return "o"
 	}
 	return "."
--- a/internal/lab/experiments.go
+++ b/internal/lab/experiments.go
@@ -20,25 +20,27 @@
 
 // Job is one run of the model.
 type Job struct {
-	Scenario model.Scenario
-	Policy   model.Policy
-	Seed     uint64
-	Timed    bool
+	Scenario   model.Scenario
+	Policy     model.Policy
+	Seed       uint64
+	MeasureCPU bool // measure the CPU time of the limiters' decisions, the only figure that differs between runs with the same seed
 }
 
-// Done is a finished job.
+// Done is a finished job with its result.
 type Done struct {
 	Job
 	Result model.Result
 	Wall   time.Duration
 }
 
-// Parallel plays jobs on all cores and tells of each that is done, in the jobs' order.
-func Parallel(ctx context.Context, jobs []Job, tell func(n int, d Done)) []Done {
-	out := make([]Done, len(jobs))
-	ready := make([]chan struct{}, len(jobs))
-	for k := range ready {
-		ready[k] = make(chan struct{})
+// Parallel runs jobs on all cores and returns their results in the order of the jobs. It calls report, if not nil, for each
+// finished job in the same order, n counting from 1. Once the context has ended it reports no more and returns only what it
+// has reported.
+func Parallel(ctx context.Context, jobs []Job, report func(n int, d Done)) []Done {
+	results := make([]Done, len(jobs))
+	finished := make([]chan struct{}, len(jobs))
+	for i := range finished {
+		finished[i] = make(chan struct{})
 	}
 	next := make(chan int)
 	var wg sync.WaitGroup
@@ -46,85 +48,102 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			for k := range next {
-				began := time.Now()
-				j := jobs[k]
-				out[k] = Done{j, model.New(j.Scenario, j.Seed, j.Policy, j.Timed).Run(), time.Since(began)}
-				close(ready[k])
+			for i := range next {
+				start := time.Now()
+				job := jobs[i]
+				results[i] = Done{job, model.New(job.Scenario, job.Seed, job.Policy, job.MeasureCPU).Run(), time.Since(start)}
+				close(finished[i])
 			}
 		}()
 	}
 	go func() {
 		defer close(next)
-		for k := range jobs {
+		for i := range jobs {
 			select {
-			case next <- k:
+			case next <- i:
 			case <-ctx.Done():
 				return
 			}
 		}
 	}()
-	for k := range jobs {
+	for i := range jobs {
 		select {
-		case <-ready[k]:
+		case <-finished[i]:
 		case <-ctx.Done():
 		}
-		if ctx.Err() != nil { // looked at once more: select chooses by chance where both are ready
+		if ctx.Err() != nil { // checked again: select picks at random when both are ready
 			wg.Wait()
-			return out[:k]
+			return results[:i]
 		}
-		if tell != nil {
-			tell(k+1, out[k])
+		if report != nil {
+			report(i+1, results[i])
 		}
 	}
 	wg.Wait()
-	return out
+	return results
 }
 
-var resultHead = []string{"scenario", "policy", "seed", "requests", "worth served", "beyond quota %", "refused %", "refused with room %",
+// resultColumns are the column headings of ResultsTable. The worth served is a share of the worth asked inside quotas, units
+// beyond quotas are a share of the units passed on, and refusals are a share of the tries. "calls each" are calls to the
+// counter per request, "CPU us each" is per try, "calls borne a second" are those that the counters answered, and "ceiling
+// over" are units.
+var resultColumns = []string{"scenario", "policy", "seed", "requests", "worth served", "beyond quota %", "refused %", "refused with room %",
 	"calls each", "median s", "p99 s", "ceiling over", "broken rules", "CPU us each", "wall s", "calls borne a second", "at the busiest counter"}
 
-func resultRow(t *Table, d Done) {
+func addResultRow(t *Table, d Done) {
 	r := d.Result
-	n := float64(max(r.Tries, 1))
-	t.Add(r.Scenario, r.Policy, r.Seed, r.Requests, r.Worth(), 100*r.OverQuota(), 100*r.RefusedShare(), 100*float64(r.RoomRefused)/n,
-		r.CallsEach(), r.Median, r.P99, r.CeilingOver, r.Broken, float64(r.CPU.Nanoseconds())/1000/n, d.Wall.Seconds(),
+	tries := float64(max(r.Tries, 1))
+	t.Add(r.Scenario, r.Policy, r.Seed, r.Requests, r.Worth(), 100*r.OverQuota(), 100*r.RefusedShare(), 100*float64(r.RoomRefused)/tries,
+		r.CallsEach(), r.Median, r.P99, r.CeilingOver, r.Broken, float64(r.CPU.Nanoseconds())/1000/tries, d.Wall.Seconds(),
 		Metrics["borne"](r), Metrics["busiest"](r))
 }
 
-// Results is a table of finished jobs.
-func Results(name string, list []Done) *Table {
-	t := &Table{Name: name, Head: resultHead}
+// ResultsTable returns a table with a row for each finished job.
+func ResultsTable(name string, list []Done) *Table {
+	t := &Table{Name: name, Head: resultColumns}
 	for _, d := range list {
-		resultRow(t, d)
+		addResultRow(t, d)
 	}
 	return t
 }
 
-// Metrics are the figures of a result that experiments compare.
+// Metrics maps the names that the flag --metric takes to the figures of a result.
 var Metrics = map[string]func(model.Result) float64{
-	"worth":     model.Result.Worth,
-	"over":      func(r model.Result) float64 { return 100 * r.OverQuota() },
-	"refused":   func(r model.Result) float64 { return 100 * r.RefusedShare() },
-	"room":      func(r model.Result) float64 { return 100 * float64(r.RoomRefused) / float64(max(r.Tries, 1)) },
-	"calls":     model.Result.CallsEach,
-	"p99":       func(r model.Result) float64 { return r.P99 },
-	"cpu":       func(r model.Result) float64 { return float64(r.CPU.Nanoseconds()) / 1000 / float64(max(r.Tries, 1)) },
-	"ceiling":   func(r model.Result) float64 { return r.CeilingOver },
-	"broken":    func(r model.Result) float64 { return float64(r.Broken) },
-	"borne":     func(r model.Result) float64 { return float64(r.Borne) / max(r.Seconds, 1) },
-	"busiest":   func(r model.Result) float64 { return float64(r.BusiestCalls) / max(r.Seconds, 1) },
+	// Worth served over the worth asked inside quotas.
+	"worth": model.Result.Worth,
+	// Units passed on beyond quotas, as a percentage of all units passed on.
+	"over": func(r model.Result) float64 { return 100 * r.OverQuota() },
+	// Refused tries, as a percentage of all tries.
+	"refused": func(r model.Result) float64 { return 100 * r.RefusedShare() },
+	// Tries refused while at least half of the quota was left, as a percentage of all tries.
+	"room": func(r model.Result) float64 { return 100 * float64(r.RoomRefused) / float64(max(r.Tries, 1)) },
+	// Calls to the counter per request.
+	"calls": model.Result.CallsEach,
+	// Latency in seconds of what was served.
+	"p99": func(r model.Result) float64 { return r.P99 },
+	// Microseconds of CPU time of the limiters' decisions per try.
+	"cpu": func(r model.Result) float64 { return float64(r.CPU.Nanoseconds()) / 1000 / float64(max(r.Tries, 1)) },
+	// The most units by which a ceiling was exceeded.
+	"ceiling": func(r model.Result) float64 { return r.CeilingOver },
+	// Broken rules.
+	"broken": func(r model.Result) float64 { return float64(r.Broken) },
+	// Calls a second that the counters answered.
+	"borne": func(r model.Result) float64 { return float64(r.Borne) / max(r.Seconds, 1) },
+	// Calls a second at the busiest counter.
+	"busiest": func(r model.Result) float64 { return float64(r.BusiestCalls) / max(r.Seconds, 1) },
+	// Broken rules that are described in the result.
 	"violation": func(r model.Result) float64 { return float64(len(r.Violations)) },
 }
 
-// Interval is a mean with its 95% confidence interval, by Student's t.
-type Interval struct{ Mean, Half float64 }
+// ConfidenceInterval is a mean and half the width of its 95% confidence interval by Student's t distribution.
+type ConfidenceInterval struct{ Mean, HalfWidth float64 }
 
-// Mean is the interval of some values.
-func Mean(values []float64) Interval {
+// MeanInterval returns the mean of values and its confidence interval, which is infinite for a single value. Without values
+// both are NaN.
+func MeanInterval(values []float64) ConfidenceInterval {
 	n := float64(len(values))
 	if n == 0 {
-		return Interval{math.NaN(), math.NaN()}
+		return ConfidenceInterval{math.NaN(), math.NaN()}
 	}
 	sum := 0.0
 	for _, v := range values {
@@ -135,50 +154,53 @@
 		squares += (v - mean) * (v - mean)
 	}
 	if n < 2 {
-		return Interval{mean, math.Inf(1)}
+		return ConfidenceInterval{mean, math.Inf(1)}
 	}
-	return Interval{mean, student(len(values)-1) * math.Sqrt(squares/(n-1)/n)}
+	return ConfidenceInterval{mean, studentT975(len(values)-1) * math.Sqrt(squares/(n-1)/n)}
 }
 
-// student is the 97.5% quantile of Student's t.
-func student(df int) float64 {
+// studentT975 returns the 97.5% quantile of Student's t distribution. Beyond the table, up to 20 degrees of freedom, it
+// approximates it by the normal distribution's quantile and a term in 1/degreesOfFreedom.
+func studentT975(degreesOfFreedom int) float64 {
 	table := []float64{12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145, 2.131, 2.120, 2.110, 2.101, 2.093, 2.086}
-	if df <= len(table) {
-		return table[df-1]
+	if degreesOfFreedom <= len(table) {
+		return table[degreesOfFreedom-1]
 	}
-	return 1.96 + 2.4/float64(df)
+	return 1.96 + 2.4/float64(degreesOfFreedom)
 }
 
-// Compare pairs two sets of results by seed: the mean difference of each metric, second less first.
-func Compare(a, b []Done) *Table {
-	t := &Table{Name: "compare", Head: []string{"metric", "first", "second", "difference", "95% interval", "tells"}}
+// CompareTable compares two lists of results of the same seeds in the same order. Its row for a metric gives the mean of the
+// paired differences, second less first, and whether zero lies outside their 95% confidence interval.
+func CompareTable(first, second []Done) *Table {
+	table := &Table{Name: "compare", Head: []string{"metric", "first", "second", "difference", "95% interval", "tells"}}
 	for _, name := range []string{"worth", "over", "refused", "room", "calls", "p99", "ceiling", "broken", "cpu"} {
-		var x, y, d []float64
-		for k := range min(len(a), len(b)) {
-			x, y = append(x, Metrics[name](a[k].Result)), append(y, Metrics[name](b[k].Result))
-			d = append(d, y[k]-x[k])
+		var firstValues, secondValues, differences []float64
+		for i := range min(len(first), len(second)) {
+			firstValues, secondValues = append(firstValues, Metrics[name](first[i].Result)), append(secondValues, Metrics[name](second[i].Result))
+			differences = append(differences, secondValues[i]-firstValues[i])
 		}
-		m := Mean(d)
-		tells := "no difference seen"
-		if math.Abs(m.Mean) > m.Half {
-			tells = "differs"
+		difference := MeanInterval(differences)
+		conclusion := "no difference seen"
+		if math.Abs(difference.Mean) > difference.HalfWidth {
+			conclusion = "differs"
 		}
-		t.Add(name, Mean(x).Mean, Mean(y).Mean, m.Mean, fmt.Sprintf("+-%.3g", m.Half), tells)
+		table.Add(name, MeanInterval(firstValues).Mean, MeanInterval(secondValues).Mean, difference.Mean, fmt.Sprintf("+-%.3g", difference.HalfWidth), conclusion)
 	}
-	return t
+	return table
 }
 
-// SetParameter sets a number of a scenario by its path in the file's words, such as counter.per_second.
+// SetParameter sets a number of a scenario, named by its path as in a scenario file, such as counter.per_second. Both ends of a
+// range are set to the value.
 func SetParameter(s *model.Scenario, path string, value float64) error {
-	v := reflect.ValueOf(s).Elem()
+	field := reflect.ValueOf(s).Elem()
 	for _, name := range strings.Split(path, ".") {
-		if v.Kind() != reflect.Struct {
+		if field.Kind() != reflect.Struct {
 			return fmt.Errorf("%s: no such parameter", path)
 		}
 		found := false
-		for k := range v.NumField() {
-			if v.Type().Field(k).Tag.Get("json") == name {
-				v, found = v.Field(k), true
+		for i := range field.NumField() {
+			if field.Type().Field(i).Tag.Get("json") == name {
+				field, found = field.Field(i), true
 				break
 			}
 		}
@@ -186,22 +208,23 @@
 			return fmt.Errorf("%s: no such parameter", path)
 		}
 	}
-	switch v.Kind() {
+	switch field.Kind() {
 	case reflect.Float64:
-		v.SetFloat(value)
+		field.SetFloat(value)
 	case reflect.Int:
-		v.SetInt(int64(value))
+		field.SetInt(int64(value))
 	case reflect.Array:
-		v.Index(0).SetFloat(value)
-		v.Index(1).SetFloat(value)
+		field.Index(0).SetFloat(value)
+		field.Index(1).SetFloat(value)
 	default:
 		return fmt.Errorf("%s: not a number", path)
 	}
 	return nil
 }
 
-// SweepChart draws a metric over a swept parameter, a line for each policy, its points the means over seeds.
-func SweepChart(list []Done, at func(Done) float64, parameter, metric string) Chart {
+// SweepChart returns a chart of a metric over a swept parameter: a line for each policy, whose points are the means over the
+// seeds. parameterValue is called once for each result, in order.
+func SweepChart(list []Done, parameterValue func(Done) float64, parameter, metric string) Chart {
 	type key struct {
 		policy string
 		x      float64
@@ -209,73 +232,75 @@
 	values := map[key][]float64{}
 	var order []key
 	for _, d := range list {
-		k := key{d.Policy.Name, at(d)}
+		k := key{d.Policy.Name, parameterValue(d)}
 		if values[k] == nil {
 			order = append(order, k)
 		}
 		values[k] = append(values[k], Metrics[metric](d.Result))
 	}
-	c := Chart{Name: "sweep-" + metric, Title: metric + " over " + parameter, X: parameter, Y: metric, Lines: map[string]plotter.XYs{}}
+	chart := Chart{Name: "sweep-" + metric, Title: metric + " over " + parameter, X: parameter, Y: metric, Lines: map[string]plotter.XYs{}}
 	for _, k := range order {
-		c.Lines[k.policy] = append(c.Lines[k.policy], plotter.XY{X: k.x, Y: Mean(values[k]).Mean})
+		chart.Lines[k.policy] = append(chart.Lines[k.policy], plotter.XY{X: k.x, Y: MeanInterval(values[k]).Mean})
 	}
-	return c
+	return chart
 }
 
-// Found is the worst that a search came to.
-type Found struct {
-	Scenario model.Scenario `json:"scenario"`
-	Seed     uint64         `json:"seed"`
-	Worth    float64        `json:"worth"`
-	Broken   []string       `json:"broken"`
+// Finding is one of the worst runs of a search, with the faults that are needed to reproduce it.
+type Finding struct {
+	Scenario   model.Scenario `json:"scenario"`
+	Seed       uint64         `json:"seed"`
+	Worth      float64        `json:"worth"`
+	Violations []string       `json:"broken"`
 }
 
-// Search plays a scenario with random faults over many seeds. It keeps every broken rule and the least worth served, and
-// shrinks the faults to the fewest that still show it.
-func Search(ctx context.Context, s model.Scenario, p model.Policy, first uint64, seeds int, tell func(n int, d Done)) []Found {
+// Search runs a scenario with random faults for a number of seeds. It returns each run that broke a rule, and last the run that
+// served the least worth. The faults of each are reduced to a minimal set that still breaks a rule or, for the last, serves at
+// most 0.02 more worth than the worst run.
+func Search(ctx context.Context, s model.Scenario, p model.Policy, firstSeed uint64, seeds int, report func(n int, d Done)) []Finding {
 	var jobs []Job
 	for n := range seeds {
-		seed := first + uint64(n)
+		seed := firstSeed + uint64(n)
 		next := s
 		next.Faults = model.DrawFaults(s, seed)
 		jobs = append(jobs, Job{next, p, seed, false})
 	}
-	list := Parallel(ctx, jobs, tell)
-	var found []Found
-	worst := -1
+	list := Parallel(ctx, jobs, report)
+	var found []Finding
+	worstIndex := -1
 	for k, d := range list {
 		if d.Result.Broken > 0 {
-			found = append(found, shrink(d, func(r model.Result) bool { return r.Broken > 0 }))
+			found = append(found, shrinkFaults(d, func(r model.Result) bool { return r.Broken > 0 }))
 		}
-		if worst < 0 || d.Result.Worth() < list[worst].Result.Worth() {
-			worst = k
+		if worstIndex < 0 || d.Result.Worth() < list[worstIndex].Result.Worth() {
+			worstIndex = k
 		}
 	}
-	if worst >= 0 {
-		limit := list[worst].Result.Worth() + 0.02
-		found = append(found, shrink(list[worst], func(r model.Result) bool { return r.Worth() <= limit }))
+	if worstIndex >= 0 {
+		worthLimit := list[worstIndex].Result.Worth() + 0.02
+		found = append(found, shrinkFaults(list[worstIndex], func(r model.Result) bool { return r.Worth() <= worthLimit }))
 	}
 	return found
 }
 
-func shrink(d Done, shows func(model.Result) bool) Found {
+// shrinkFaults removes faults one at a time as long as a run without them still satisfies reproduces.
+func shrinkFaults(d Done, reproduces func(model.Result) bool) Finding {
 	s, result := d.Scenario, d.Result
-	for cut := true; cut; {
-		cut = false
-		for k := range s.Faults {
+	for removed := true; removed; {
+		removed = false
+		for i := range s.Faults {
 			fewer := s
-			fewer.Faults = append(append([]model.Fault(nil), s.Faults[:k]...), s.Faults[k+1:]...)
-			if r := model.New(fewer, d.Seed, d.Policy, false).Run(); shows(r) {
-				s, result, cut = fewer, r, true
+			fewer.Faults = append(append([]model.Fault(nil), s.Faults[:i]...), s.Faults[i+1:]...)
+			if r := model.New(fewer, d.Seed, d.Policy, false).Run(); reproduces(r) {
+				s, result, removed = fewer, r, true
 				break
 			}
 		}
 	}
-	return Found{s, d.Seed, result.Worth(), result.Violations}
+	return Finding{s, d.Seed, result.Worth(), result.Violations}
 }
 
-// KeepFound writes what a search found, to be played again.
-func KeepFound(dir string, list []Found) error {
+// WriteFindings writes each finding to a file found-N.json in dir, for the replay command.
+func WriteFindings(dir string, list []Finding) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -17,21 +17,22 @@
 	"bramblefall/logic"
 )
 
-type object = map[string]any
+type jsonObject = map[string]any
 
-// Fleet is real limiters in a world of stand-ins.
+// Fleet is a set of real limiter processes with stand-ins for nodes, the counter and discovery.
 type Fleet struct {
-	World    *standin.World
-	Limiters []*standin.Limiter // nil: down
-	Load     *Load
-	dir      string
-	binary   string
-	plain    bool // without an operators' file
-	tiers    []logic.Plan
-	gone     []time.Duration // CPU of processes that have ended
+	World          *standin.World
+	Limiters       []*standin.Limiter // nil while a limiter is down
+	Load           *Load
+	dir            string // each limiter has a sub-directory, named by its index
+	binary         string
+	noOperatorFile bool
+	tiers          []logic.Plan
+	endedCPU       []time.Duration // by limiter: CPU time of its processes that have ended
 }
 
-// Build compiles the limiter from the module that the lab is started in.
+// Build compiles the limiter and its evaluator into dir, from the module in the current directory, and returns the path of
+// the limiter's program.
 func Build(ctx context.Context, dir string) (string, error) {
 	path := filepath.Join(dir, "bramblefall")
 	out, err := exec.CommandContext(ctx, "go", "build", "-o", dir+"/", "bramblefall/cmd/bramblefall", "bramblefall/cmd/bramblefall-eval").CombinedOutput()
@@ -41,16 +42,17 @@
 	return path, nil
 }
 
-// NewFleet starts so many limiters, with nodes that answer after a moment, a counter and discovery.
-func NewFleet(binary, dir string, plain bool, limiters, nodes int, tiers []logic.Plan, handle func(*standin.Node, [][]byte) ([]byte, bool, time.Duration)) (*Fleet, error) {
-	f := &Fleet{World: standin.NewWorld(fault.Plan{}), Load: NewLoad(limiters), dir: dir, binary: binary, plain: plain, tiers: tiers,
-		Limiters: make([]*standin.Limiter, limiters), gone: make([]time.Duration, limiters)}
+// NewFleet starts the given numbers of limiters and stand-in nodes, a counter and discovery. handle answers the nodes'
+// commands. With noOperatorFile the limiters get no operator.star, hence no gRPC service and no admin socket.
+func NewFleet(binary, dir string, noOperatorFile bool, limiters, nodes int, tiers []logic.Plan, handle func(*standin.Node, [][]byte) ([]byte, bool, time.Duration)) (*Fleet, error) {
+	f := &Fleet{World: standin.NewWorld(fault.Plan{}), Load: NewLoad(limiters), dir: dir, binary: binary, noOperatorFile: noOperatorFile, tiers: tiers,
+		Limiters: make([]*standin.Limiter, limiters), endedCPU: make([]time.Duration, limiters)}
 	for k := range nodes {
-		n, err := f.World.AddNode(fmt.Sprintf("s-%d", k), []string{"hall-a", "hall-b"}[k%2])
+		node, err := f.World.AddNode(fmt.Sprintf("s-%d", k), []string{"hall-a", "hall-b"}[k%2])
 		if err != nil {
 			return nil, err
 		}
-		n.Handle = handle
+		node.Handle = handle
 	}
 	if _, err := f.World.AddCounter(); err != nil {
 		return nil, err
@@ -59,7 +61,7 @@
 		return nil, err
 	}
 	for k := range limiters {
-		if err := f.Start(k); err != nil {
+		if err := f.StartLimiter(k); err != nil {
 			f.Close()
 			return nil, err
 		}
@@ -67,61 +69,61 @@
 	return f, nil
 }
 
-// Socket is the path of a limiter's admin socket.
-func (f *Fleet) Socket(k int) string { return filepath.Join(f.dir, strconv.Itoa(k), "admin.sock") }
+// AdminSocket returns the path of a limiter's admin socket.
+func (f *Fleet) AdminSocket(k int) string { return filepath.Join(f.dir, strconv.Itoa(k), "admin.sock") }
 
-// Start starts a limiter, which begins from nothing.
-func (f *Fleet) Start(k int) error {
+// StartLimiter starts a limiter's process and points the load at its addresses.
+func (f *Fleet) StartLimiter(k int) error {
 	dir := filepath.Join(f.dir, strconv.Itoa(k))
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
 	var args []string
 	file := filepath.Join(dir, "operator.star")
-	listen, err := loopback.AnyPort() // a new one: clients that still ask the last process's address reach nobody
+	listen, err := loopback.AnyPort() // a new port: clients that still use the previous process's address must reach no process
 	if err != nil {
 		return err
 	}
 	script := fmt.Sprintf(`bramblefall(ratelimit = ratelimit(listen = %q), admin = admin(socket = "admin.sock"), limits = limits(late = 10))`+"\n", listen)
-	if !f.plain {
+	if !f.noOperatorFile {
 		if err := os.WriteFile(file, []byte(script), 0o600); err != nil {
 			return err
 		}
 		args = []string{"-operator", file}
 	}
-	l, err := standin.Start(f.binary, dir, object{"name": "n" + strconv.Itoa(k), "listen": listen, "seed": fmt.Sprintf("%x", 4711+k),
-		"limits": object{"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": Settings(len(f.Limiters), k, f.tiers),
+	l, err := standin.Start(f.binary, dir, jsonObject{"name": "n" + strconv.Itoa(k), "listen": listen, "seed": fmt.Sprintf("%x", 4711+k),
+		"limits": jsonObject{"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": Settings(len(f.Limiters), k, f.tiers),
 		"known": f.World.Discovery.List(), "counter": f.World.Counter.Addr, "discovery": f.World.Discovery.Addr}, args...)
 	if err != nil {
 		return err
 	}
 	f.Limiters[k] = l
-	f.Load.Point(k, l.Addr, l.GRPCAddr)
+	f.Load.SetAddresses(k, l.Addr, l.GRPCAddr)
 	return nil
 }
 
-// Kill ends a limiter at once.
-func (f *Fleet) Kill(k int) {
+// KillLimiter kills a limiter's process, if it runs.
+func (f *Fleet) KillLimiter(k int) {
 	if l := f.Limiters[k]; l != nil {
-		f.gone[k] += l.CPU()
+		f.endedCPU[k] += l.CPU()
 		f.Limiters[k] = nil
-		f.Load.Point(k, "", "")
+		f.Load.SetAddresses(k, "", "")
 		l.Kill()
 	}
 }
 
-// CPU is what all limiters have used.
-func (f *Fleet) CPU() (sum time.Duration) {
+// CPUTime returns the CPU time that all limiters have used, including processes that have ended.
+func (f *Fleet) CPUTime() (sum time.Duration) {
 	for k, l := range f.Limiters {
-		if sum += f.gone[k]; l != nil {
+		if sum += f.endedCPU[k]; l != nil {
 			sum += l.CPU()
 		}
 	}
 	return sum
 }
 
-// Crash tells of a limiter that crashed.
-func (f *Fleet) Crash() error {
+// CheckCrashes returns an error if the log of a running limiter shows a crash or if the stand-ins' audit has findings.
+func (f *Fleet) CheckCrashes() error {
 	for k, l := range f.Limiters {
 		if l != nil && l.Crashed() != "" {
 			return fmt.Errorf("limiter %d crashed: %s", k, l.Crashed())
@@ -133,32 +135,32 @@
 	return nil
 }
 
-// Close ends everything.
+// Close kills the limiters and stops the stand-ins.
 func (f *Fleet) Close() {
 	for k := range f.Limiters {
-		f.Kill(k)
+		f.KillLimiter(k)
 	}
 	f.World.Close()
 }
 
-// Settings are those of a small deployment of so many limiters.
-func Settings(limiters, rank int, tiers []logic.Plan) object {
-	var tariffs []object
+// Settings returns the settings of one limiter, the one at index rank, in a small deployment of the given size.
+func Settings(limiters, rank int, tiers []logic.Plan) jsonObject {
+	var tariffs []jsonObject
 	for _, p := range tiers {
-		tariffs = append(tariffs, object{"name": p.Name, "perSecond": p.Rate, "depth": p.Burst, "concurrency": p.Open,
+		tariffs = append(tariffs, jsonObject{"name": p.Name, "perSecond": p.Rate, "depth": p.Burst, "concurrency": p.Open,
 			"worthFactor": p.Price, "extraWorth": p.OverWorth, "overCost": p.OverCost, "hardRate": p.CeilingRate,
 			"hardBurst": p.CeilingBurst, "hardSlack": p.CeilingSlack})
 	}
-	return object{
+	return jsonObject{
 		"balancers": limiters, "rank": rank, "zone": rank % 2, "zones": []string{"hall-a", "hall-b"}, "skus": []string{"std-3core"},
 		"discovery": "automatic", "resolution": 0.002,
-		"caps": object{"cancelling": true, "connIdle": 15.0, "connectTimeout": 0.25, "maxAttempts": 6, "maxOpen": 20000,
+		"caps": jsonObject{"cancelling": true, "connIdle": 15.0, "connectTimeout": 0.25, "maxAttempts": 6, "maxOpen": 20000,
 			"maxRetryAfter": 1.0, "peers": false, "probes": true, "retryAfter": true},
-		"extra":  object{"hasCounter": true, "countLimit": 0.03, "settles": false, "meter": 0.0, "unitsTop": 1},
-		"report": object{"fields": []string{"backlog", "utilization", "outstanding"}, "how": "pull"},
-		"rules": object{"askWithin": 10.0, "startCapacity": 0.24, "cold": 18.0, "fall": 3.0, "fallMultiple": 3.0,
+		"extra":  jsonObject{"hasCounter": true, "countLimit": 0.03, "settles": false, "meter": 0.0, "unitsTop": 1},
+		"report": jsonObject{"fields": []string{"backlog", "utilization", "outstanding"}, "how": "pull"},
+		"rules": jsonObject{"askWithin": 10.0, "startCapacity": 0.24, "cold": 18.0, "fall": 3.0, "fallMultiple": 3.0,
 			"drainGrace": 0.5},
-		"classes": []object{{"name": "balance-read", "semantics": "free", "aim": 1.5, "deadline": 4.0, "worth": 2.0,
+		"classes": []jsonObject{{"name": "balance-read", "semantics": "free", "aim": 1.5, "deadline": 4.0, "worth": 2.0,
 			"lateValue": 0.2, "streamed": false}, {"name": "transfer-post", "semantics": "guarded", "keyScope": "zone",
 			"keyTtl": 12.0, "aim": 1.5, "deadline": 6.0, "worth": 5.0, "lateValue": 0.0, "streamed": false}},
 		"tariffs": tariffs,
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -15,8 +15,8 @@
 	"bramblefall/logic"
 )
 
-func TestWhatIsWrongWithAScenarioIsToldWithLineAndField(t *testing.T) {
-	for text, says := range map[string]string{
+func TestScenarioErrorsNameLineAndField(t *testing.T) {
+	for source, want := range map[string]string{
 		"scenario(name = 'x',\n  node = node(coers = 3))":             "x.star:2: node.coers: there is no such field",
 		"scenario(\n  faults = [\n    fault(kind = 'fire', at = 3)])": "x.star:3: faults[0].kind: \"fire\" is none of",
 		"scenario(seconds = -1)":                                      "x.star:1: seconds: -1 is not a number over 0",
@@ -26,17 +26,18 @@
 		"scenario(scale = scale(limiters = 3, nodes = 10))":           "scale: limiters, nodes and firms are needed",
 		"def f():\n  for i in range(1 << 40): pass\nf()":              "x.star:2: takes more than",
 	} {
-		_, err := ReadScenario("x.star", []byte(text))
-		require.ErrorContains(t, err, says)
+		_, err := ReadScenario("x.star", []byte(source))
+		require.ErrorContains(t, err, want)
 	}
 	_, err := LoadScenario("no-such")
 	require.ErrorContains(t, err, "shipped are")
 }
 
-// The shipped scenarios can be read, keep the rules in a short form, and those that are small hold their bounds.
+// Every shipped scenario can be read. Those with up to 30 limiters break no rule, with more than three limiters in a run cut to
+// four seconds; those with up to three hold their bounds at full length.
 func TestShippedScenarios(t *testing.T) {
-	require.Contains(t, Shipped(), "hall-lost")
-	for _, name := range Shipped() {
+	require.Contains(t, ShippedScenarios(), "hall-lost")
+	for _, name := range ShippedScenarios() {
 		s, err := LoadScenario(name)
 		require.NoError(t, err, name)
 		if s.Limiters > 30 {
@@ -53,49 +54,49 @@
 	}
 }
 
-func TestSearchFindsAndShrinksTheFaultThatBreaksARule(t *testing.T) {
+func TestSearchReducesFaultsToMinimalSet(t *testing.T) {
 	s, err := LoadScenario("calm")
 	require.NoError(t, err)
 	s.Seconds, s.Nodes, s.Firms.Count = 15, 6, 40
-	whole, ok := model.PolicyNamed("whole-quota+random")
+	policy, ok := model.PolicyNamed("whole-quota+random")
 	require.True(t, ok)
-	found := Search(context.Background(), s, whole, 1, 12, nil)
-	broken := 0
+	found := Search(context.Background(), s, policy, 1, 12, nil)
+	withViolations := 0
 	dir := t.TempDir()
-	require.NoError(t, KeepFound(dir, found))
-	for _, f := range found {
-		if len(f.Broken) > 0 {
-			broken++
-			for k := range f.Scenario.Faults { // none of those left can be spared
-				fewer := f.Scenario
-				fewer.Faults = slices.Delete(slices.Clone(fewer.Faults), k, k+1)
-				require.Zero(t, model.New(fewer, f.Seed, whole, false).Run().Broken)
+	require.NoError(t, WriteFindings(dir, found))
+	for _, finding := range found {
+		if len(finding.Violations) > 0 {
+			withViolations++
+			for i := range finding.Scenario.Faults { // without any one of the remaining faults no rule breaks
+				fewer := finding.Scenario
+				fewer.Faults = slices.Delete(slices.Clone(fewer.Faults), i, i+1)
+				require.Zero(t, model.New(fewer, finding.Seed, policy, false).Run().Broken)
 			}
 		}
 	}
-	require.Positive(t, broken)
+	require.Positive(t, withViolations)
 	list, err := filepath.Glob(filepath.Join(dir, "found-*.json"))
 	require.NoError(t, err)
 	require.Len(t, list, len(found))
 }
 
-func TestCompareTellsADifferenceAndNoDifference(t *testing.T) {
-	side := func(worth float64) (list []Done) {
-		for k := range 10 {
-			list = append(list, Done{Job{Seed: uint64(k)}, model.Result{WorthAsked: 100, WorthServed: worth + float64(k%3)}, 0})
+func TestCompareTableDetectsDifference(t *testing.T) {
+	results := func(worth float64) (list []Done) {
+		for i := range 10 {
+			list = append(list, Done{Job{Seed: uint64(i)}, model.Result{WorthAsked: 100, WorthServed: worth + float64(i%3)}, 0})
 		}
 		return list
 	}
 	rows := map[string]string{}
-	for _, r := range Compare(side(80), side(90)).Rows {
+	for _, r := range CompareTable(results(80), results(90)).Rows {
 		rows[r[0]] = r[5]
 	}
 	require.Equal(t, "differs", rows["worth"])
 	require.Equal(t, "no difference seen", rows["calls"])
-	require.InDelta(t, 2.262*math.Sqrt(2.5)/math.Sqrt(5), Mean([]float64{1, 2, 3, 4, 5}).Half*2.262/2.776, 1e-3)
+	require.InDelta(t, 2.262*math.Sqrt(2.5)/math.Sqrt(5), MeanInterval([]float64{1, 2, 3, 4, 5}).HalfWidth*2.262/2.776, 1e-3)
 }
 
-func TestParametersAreSetByTheirPath(t *testing.T) {
+func TestSetParameterByPath(t *testing.T) {
 	s := model.Base()
 	require.NoError(t, SetParameter(&s, "counter.per_second", 50))
 	require.NoError(t, SetParameter(&s, "nodes", 7))
@@ -107,12 +108,12 @@
 	require.Error(t, SetParameter(&s, "counter", 1))
 }
 
-func TestTablesAndChartsMakeAPage(t *testing.T) {
+func TestPageContainsTablesAndCharts(t *testing.T) {
 	dir := t.TempDir()
-	tab := &Table{Name: "a", Head: []string{"x", "y <b>"}}
-	tab.Add(1, 2.5)
-	require.NoError(t, tab.Keep(dir))
-	require.NoError(t, Bars{Name: "b", Title: "t", Labels: []string{"one", "two"}, Values: []float64{1, 2}}.Keep(dir))
+	table := &Table{Name: "a", Head: []string{"x", "y <b>"}}
+	table.Add(1, 2.5)
+	require.NoError(t, table.Keep(dir))
+	require.NoError(t, BarChart{Name: "b", Title: "t", Labels: []string{"one", "two"}, Values: []float64{1, 2}}.WriteSVG(dir))
 	path, err := Page(dir)
 	require.NoError(t, err)
 	raw, err := os.ReadFile(path)
@@ -124,51 +125,53 @@
 	require.Error(t, err)
 }
 
-// The judge of a run counts what a firm was sent beyond the largest figures in force, and nothing else.
-func TestTruthJudgesByTheLargestFiguresInForce(t *testing.T) {
+// Evaluate must count exactly the units beyond the largest figures that any limiter had in force, since limiters learn of a
+// change at different times.
+func TestEvaluateUsesLargestFiguresInForce(t *testing.T) {
 	began := time.Unix(1000, 0)
 	plan := func(rate float64) []logic.Plan {
 		return []logic.Plan{{Name: "full", Rate: rate, Burst: 4, CeilingRate: 2 * rate, CeilingBurst: 6, CeilingSlack: 1}}
 	}
-	early, late := []Period{{began.Add(-time.Hour), plan(10)}, {began.Add(time.Second), plan(1)}},
-		[]Period{{began.Add(-time.Hour), plan(10)}, {began.Add(3 * time.Second), plan(1)}}
-	truth := NewTruth(1)
-	send := func(from float64, n int, every float64) {
-		for k := range n {
-			truth.sends[0] = append(truth.sends[0], Send{At: began.Add(time.Duration((from + float64(k)*every) * float64(time.Second)))})
+	early, late := []PlanPeriod{{began.Add(-time.Hour), plan(10)}, {began.Add(time.Second), plan(1)}},
+		[]PlanPeriod{{began.Add(-time.Hour), plan(10)}, {began.Add(3 * time.Second), plan(1)}}
+	sendLog := NewSendLog(1)
+	send := func(fromSeconds float64, n int, intervalSeconds float64) {
+		for i := range n {
+			sendLog.sendsByFirm[0] = append(sendLog.sendsByFirm[0], SentRequest{At: began.Add(time.Duration((fromSeconds + float64(i)*intervalSeconds) * float64(time.Second)))})
 		}
 	}
-	send(0, 30, 0.1) // ten a second for three seconds: inside while one limiter holds the old figures
-	figures := Figures{Limiters: [][]Period{early, late}}
-	v := truth.Judge(0, "full", figures, began, 0, 0, [][2]time.Time{{began, began.Add(time.Second)}})
-	require.Equal(t, 30.0, v.Sent)
-	require.LessOrEqual(t, v.Beyond, 1.0)
-	require.Equal(t, 10.0, v.SentIn[0])
-	send(3.5, 30, 0.1) // and beyond when both hold the new
-	v = truth.Judge(0, "full", figures, began, 0, 0, nil)
-	require.Greater(t, v.Beyond, 20.0)
-	require.Greater(t, v.Over, 10.0)
-	require.Less(t, truth.Judge(0, "full", figures, began, 0, 20, nil).Beyond, v.Beyond-15, "reserved units are inside")
+	send(0, 30, 0.1) // ten a second for three seconds: inside the quota while one limiter has the old figures
+	timeline := PlanTimeline{ByLimiter: [][]PlanPeriod{early, late}}
+	use := sendLog.Evaluate(0, "full", timeline, began, 0, 0, [][2]time.Time{{began, began.Add(time.Second)}})
+	require.Equal(t, 30.0, use.Sent)
+	require.LessOrEqual(t, use.BeyondQuota, 1.0)
+	require.Equal(t, 10.0, use.SentInWindow[0])
+	send(3.5, 30, 0.1) // beyond the quota once both limiters have the new figures
+	use = sendLog.Evaluate(0, "full", timeline, began, 0, 0, nil)
+	require.Greater(t, use.BeyondQuota, 20.0)
+	require.Greater(t, use.OverCeiling, 10.0)
+	require.Less(t, sendLog.Evaluate(0, "full", timeline, began, 0, 20, nil).BeyondQuota, use.BeyondQuota-15, "reserved units count as inside the quota")
 }
 
-// What is told of jobs ends with the context, also where all of them are done by then.
-func TestNoJobIsToldOfAfterTheEnd(t *testing.T) {
+// Parallel must report no job after the context has ended, even if all jobs have finished by then and select could pick either
+// channel.
+func TestParallelReportsNothingAfterContextEnd(t *testing.T) {
 	s, err := LoadScenario("calm")
 	require.NoError(t, err)
 	s.Seconds, s.Warm, s.Nodes, s.Firms.Count = 2, 1, 3, 10
 	jobs := make([]Job, 8)
-	for k := range jobs {
-		jobs[k] = Job{Scenario: s, Policy: model.Own(), Seed: uint64(k)}
+	for i := range jobs {
+		jobs[i] = Job{Scenario: s, Policy: model.Own(), Seed: uint64(i)}
 	}
 	for range 20 {
 		ctx, cancel := context.WithCancel(t.Context())
-		told := 0
+		reported := 0
 		done := Parallel(ctx, jobs, func(int, Done) {
-			time.Sleep(20 * time.Millisecond) // the others are done meanwhile
-			told++
+			time.Sleep(20 * time.Millisecond) // so that the other jobs finish meanwhile
+			reported++
 			cancel()
 		})
-		require.Equal(t, 1, told)
+		require.Equal(t, 1, reported)
 		require.Len(t, done, 1)
 	}
 }
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -1,5 +1,5 @@
-// Package lab runs experiments on real limiters and the project's stand-ins, over loopback, and keeps the results as
-// tables and charts. The limiter links none of it.
+// Package lab runs experiments, in the model in virtual time and on real limiters with stand-ins for nodes, the counter and
+// discovery over loopback, and writes the results as tables and charts. The limiter does not link this package.
 package lab
 
 import (
@@ -20,106 +20,107 @@
 	"bramblefall/internal/resp"
 )
 
-// Kind is how a request ended for its client.
-type Kind uint8
+// Outcome is how a try ended for its client.
+type Outcome uint8
 
-// The ends. Unanswered: neither an answer nor an end of the connection came in time.
+// The outcomes of a try, in the order in which tables list them.
 const (
-	Served Kind = iota
-	Admitted
-	Refused
-	Failed
-	Cut // the limiter's process ended with it
-	Unanswered
+	Served         Outcome = iota // a node's answer, over RESP2
+	Admitted                      // admitted over gRPC
+	Refused                       // rejected by the limiter
+	Failed                        // any other reply, or an error of the gRPC call
+	ConnectionLost                // no connection could be had, or it ended before the answer, as when the limiter's process dies
+	Unanswered                    // over RESP2: neither an answer nor the end of the connection came within a second after the timeout
 )
 
-// Try is a client's.
+// Try is one attempt of a client to have a request served.
 type Try struct {
-	Firm, Class int
+	Firm, Class int // indices into Load.Firms and Load.Classes
 	ID          uint64
-	Due         time.Time // when the first try was to be sent: latency counts from there
-	First       uint64    // id of the client's first try
+	Due         time.Time // when the request's first try was scheduled to be sent; latency and the deadline count from here
+	FirstTryID  uint64    // id of the request's first try
 }
 
-// End is what became of a try.
-type End struct {
+// TryResult is a try with its outcome.
+type TryResult struct {
 	Try
-	Kind    Kind
-	At      time.Time
-	After   time.Duration // of a refusal
-	Sent    time.Time
-	Limiter int
-	Call    bool // over gRPC
+	Outcome    Outcome
+	EndedAt    time.Time
+	RetryAfter time.Duration // the delay that a rejection asked for; 0 if it named none
+	SentAt     time.Time
+	Limiter    int // index
+	OverGRPC   bool
 }
 
-// Firm is a member firm as the load has it.
+// Firm is a client of the service as the load generator simulates it.
 type Firm struct {
-	ID     uint64
-	Tier   string
-	Demand float64 // requests a second
-	Spread int
-	First  int
-	Skew   float64 // share of its requests that come through the first of its set
-	Mixed  bool    // half of its requests are gRPC calls
+	ID                uint64
+	Tier              string
+	RequestsPerSecond float64 // mean arrival rate of requests, not counting retries
+	Spread            int     // how many consecutive limiters the firm's requests come through
+	FirstLimiter      int     // index of the first of them; indices wrap round at the last limiter
+	PreferredShare    float64 // share of tries that are sent to the preferred limiter; the others are spread evenly over all of them
+	HalfOverGRPC      bool    // half of the requests are gRPC calls, not RESP2 commands
 
-	place int // in its set of the limiter that most come through
+	preferredOffset int // the preferred limiter's position among the firm's limiters
 }
 
-// Class is a class of requests as clients send it.
+// Class is a class of requests as clients send them.
 type Class struct {
 	Name     string
-	Share    float64
-	Keyed    bool
+	Share    float64 // of all requests
+	Keyed    bool    // sent with Q.DO and an idempotency key; retried only after a rejection
 	Deadline time.Duration
 }
 
-// Clients is how they try again.
-type Clients struct {
-	Retries      int
-	Wait, GiveUp [2]float64 // seconds; share of the deadline
-	Honour       float64
+// RetryPolicy is how clients retry. Ranges are drawn from evenly.
+type RetryPolicy struct {
+	MaxRetries            int        // retries of a request, its first try not counted
+	DelaySeconds          [2]float64 // range of the delay before a retry
+	TryTimeoutShare       [2]float64 // range of a retry's timeout, as a share of the request's deadline; 0 at the upper end: the time that is left
+	HonourRetryAfterShare float64    // share of rejections after which the client waits as long as the limiter asked for
 }
 
-// Load sends firms' requests to limiters, open loop: arrivals wait for no answer.
+// Load generates the firms' requests to limiters as an open loop: arrivals do not wait for answers.
 type Load struct {
-	Firms   []*Firm
-	Classes []Class
-	Clients Clients
-	Sends   func(Try) // one call at a time, before a request's first try leaves; nil: nobody asks
-	Ended   func(End) // one call at a time
-	Latency *hdrhistogram.Histogram
+	Firms         []*Firm
+	Classes       []Class
+	RetryPolicy   RetryPolicy
+	BeforeRequest func(Try)               // called before a request's first try is sent, never concurrently; may be nil
+	AfterTry      func(TryResult)         // called after each try, never concurrently
+	Latency       *hdrhistogram.Histogram // microseconds from Try.Due to the answer, of what was served or admitted
 
-	limiters []*target
-	mu       sync.Mutex
-	wg       sync.WaitGroup
-	next     uint64
+	targets   []*limiterTarget
+	mu        sync.Mutex
+	wg        sync.WaitGroup
+	lastTryID uint64
 }
 
-// target is a limiter as clients see it; its addresses change when it is started again.
-type target struct {
-	mu   sync.Mutex
-	addr string
-	idle []*wire
-	grpc *grpc.ClientConn
+// limiterTarget holds a limiter's current addresses and its idle connections. The addresses change when the limiter restarts.
+type limiterTarget struct {
+	mu       sync.Mutex
+	addr     string
+	idle     []*respConn
+	grpcConn *grpc.ClientConn
 }
 
-type wire struct {
+type respConn struct {
 	conn   net.Conn
 	parser resp.Parser
 }
 
-// NewLoad makes a load on so many limiters.
+// NewLoad returns a load generator for the given number of limiters, without firms and without addresses.
 func NewLoad(limiters int) *Load {
-	l := &Load{Latency: hdrhistogram.New(1, 60_000_000, 3)}
+	l := &Load{Latency: hdrhistogram.New(1, 60_000_000, 3)} // 1 us to 60 s, three significant digits
 	for range limiters {
-		l.limiters = append(l.limiters, &target{})
+		l.targets = append(l.targets, &limiterTarget{})
 	}
 	return l
 }
 
-// Point says where a limiter listens now; "" while it is down.
-func (l *Load) Point(k int, addr, grpcAddr string) {
-	t := l.limiters[k]
+// SetAddresses sets where a limiter listens now, "" while it is down, and closes the connections to its previous addresses.
+func (l *Load) SetAddresses(k int, addr, grpcAddr string) {
+	t := l.targets[k]
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.addr = addr
@@ -127,32 +128,33 @@
 		_ = w.conn.Close()
 	}
 	t.idle = nil
-	if t.grpc != nil {
-		_ = t.grpc.Close()
-		t.grpc = nil
+	if t.grpcConn != nil {
+		_ = t.grpcConn.Close()
+		t.grpcConn = nil
 	}
 	if grpcAddr != "" {
-		t.grpc, _ = grpc.NewClient("passthrough:///"+grpcAddr, grpc.WithTransportCredentials(insecure.NewCredentials()))
+		t.grpcConn, _ = grpc.NewClient("passthrough:///"+grpcAddr, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	}
 }
 
-// Run sends until the context ends, then waits for what is out.
+// Run sends requests until the context ends, then waits for those that are still in flight.
 func (l *Load) Run(ctx context.Context, seed uint64) {
 	for k, f := range l.Firms {
 		l.wg.Add(1)
 		go func() {
 			defer l.wg.Done()
-			l.firm(ctx, k, f, rand.New(rand.NewPCG(seed, uint64(k))))
+			l.generateRequests(ctx, k, f, rand.New(rand.NewPCG(seed, uint64(k))))
 		}()
 	}
 	l.wg.Wait()
 }
 
-func (l *Load) firm(ctx context.Context, k int, f *Firm, rng *rand.Rand) {
+// generateRequests starts one firm's requests at the arrival times of a Poisson process until the context ends.
+func (l *Load) generateRequests(ctx context.Context, k int, f *Firm, rng *rand.Rand) {
 	due := time.Now()
 	for {
 		l.mu.Lock()
-		rate := max(f.Demand, 0.01)
+		rate := max(f.RequestsPerSecond, 0.01) // the rate may be 0, by which the next line must not divide
 		l.mu.Unlock()
 		due = due.Add(time.Duration(rng.ExpFloat64() / rate * float64(time.Second)))
 		select {
@@ -165,75 +167,77 @@
 			x -= l.Classes[class].Share
 			class++
 		}
-		call, seed := f.Mixed && rng.Float64() < 0.5, rng.Uint64()
+		overGRPC, seed := f.HalfOverGRPC && rng.Float64() < 0.5, rng.Uint64()
 		l.wg.Add(1)
 		go func(due time.Time) {
 			defer l.wg.Done()
-			l.client(f, Try{Firm: k, Class: class, Due: due}, call, rand.New(rand.NewPCG(seed, 1)))
+			l.sendWithRetries(f, Try{Firm: k, Class: class, Due: due}, overGRPC, rand.New(rand.NewPCG(seed, 1)))
 		}(due)
 	}
 }
 
-// client sends a request, and tries again as its kind does.
-func (l *Load) client(f *Firm, try Try, call bool, rng *rand.Rand) {
-	c := l.Classes[try.Class]
-	for n := 0; ; n++ {
+// sendWithRetries sends a request and retries it as the retry policy and its class say.
+func (l *Load) sendWithRetries(f *Firm, try Try, overGRPC bool, rng *rand.Rand) {
+	class := l.Classes[try.Class]
+	for retry := 0; ; retry++ {
 		l.mu.Lock()
-		l.next++
-		try.ID = l.next
-		to := f.First + f.place
-		if rng.Float64() >= f.Skew {
-			to = f.First + rng.IntN(max(f.Spread, 1))
+		l.lastTryID++
+		try.ID = l.lastTryID
+		limiter := f.FirstLimiter + f.preferredOffset
+		if rng.Float64() >= f.PreferredShare {
+			limiter = f.FirstLimiter + rng.IntN(max(f.Spread, 1))
 		}
-		if n == 0 {
-			if try.First = try.ID; l.Sends != nil {
-				l.Sends(try)
+		if retry == 0 {
+			if try.FirstTryID = try.ID; l.BeforeRequest != nil {
+				l.BeforeRequest(try)
 			}
 		}
 		l.mu.Unlock()
-		e := End{Try: try, Sent: time.Now(), Limiter: to % len(l.limiters), Call: call}
-		left := time.Until(try.Due.Add(c.Deadline))
-		wait := left
-		if n > 0 && l.Clients.GiveUp[1] > 0 {
-			wait = min(left, time.Duration((l.Clients.GiveUp[0]+(l.Clients.GiveUp[1]-l.Clients.GiveUp[0])*rng.Float64())*float64(c.Deadline)))
+		result := TryResult{Try: try, SentAt: time.Now(), Limiter: limiter % len(l.targets), OverGRPC: overGRPC}
+		remaining := time.Until(try.Due.Add(class.Deadline))
+		timeout := remaining
+		if retry > 0 && l.RetryPolicy.TryTimeoutShare[1] > 0 {
+			timeout = min(remaining, time.Duration((l.RetryPolicy.TryTimeoutShare[0]+(l.RetryPolicy.TryTimeoutShare[1]-l.RetryPolicy.TryTimeoutShare[0])*rng.Float64())*float64(class.Deadline)))
 		}
-		t := l.limiters[e.Limiter]
-		if call {
-			e.Kind, e.After = l.call(t, f, c, wait)
+		target := l.targets[result.Limiter]
+		if overGRPC {
+			result.Outcome, result.RetryAfter = l.tryGRPC(target, f, class, timeout)
 		} else {
-			e.Kind, e.After = l.ask(t, f, c, try.ID, n > 0, wait)
+			result.Outcome, result.RetryAfter = l.tryRESP(target, f, class, try.ID, retry > 0, timeout)
 		}
-		e.At = time.Now()
+		result.EndedAt = time.Now()
 		l.mu.Lock()
-		if e.Kind == Served || e.Kind == Admitted {
-			_ = l.Latency.RecordValue(e.At.Sub(try.Due).Microseconds())
+		if result.Outcome == Served || result.Outcome == Admitted {
+			_ = l.Latency.RecordValue(result.EndedAt.Sub(try.Due).Microseconds())
 		}
-		l.Ended(e)
+		l.AfterTry(result)
 		l.mu.Unlock()
-		pause := time.Duration((l.Clients.Wait[0] + (l.Clients.Wait[1]-l.Clients.Wait[0])*rng.Float64()) * float64(time.Second))
-		if e.Kind == Refused && e.After > 0 && rng.Float64() < l.Clients.Honour {
-			pause = e.After
+		delay := time.Duration((l.RetryPolicy.DelaySeconds[0] + (l.RetryPolicy.DelaySeconds[1]-l.RetryPolicy.DelaySeconds[0])*rng.Float64()) * float64(time.Second))
+		if result.Outcome == Refused && result.RetryAfter > 0 && rng.Float64() < l.RetryPolicy.HonourRetryAfterShare {
+			delay = result.RetryAfter
 		}
-		again := e.Kind == Refused || (e.Kind == Failed || e.Kind == Cut) && !c.Keyed
-		if !again || n >= l.Clients.Retries || e.At.Add(pause).After(try.Due.Add(c.Deadline)) {
+		retryable := result.Outcome == Refused || (result.Outcome == Failed || result.Outcome == ConnectionLost) && !class.Keyed
+		if !retryable || retry >= l.RetryPolicy.MaxRetries || result.EndedAt.Add(delay).After(try.Due.Add(class.Deadline)) {
 			return
 		}
-		time.Sleep(pause)
+		time.Sleep(delay)
 	}
 }
 
-// Change changes firms while the load runs.
-func (l *Load) Change(do func()) {
+// UpdateFirms calls update with the lock held under which the load reads the firms' rates and preferred limiters, so that
+// these can be changed while it runs.
+func (l *Load) UpdateFirms(update func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	do()
+	update()
 }
 
-// take gives an idle connection, or a new one; used tells which.
-func (t *target) take(fresh bool) (w *wire, used, ok bool) {
+// acquire returns an idle connection, or dials a new one if there is none or if forceNew is set. reused tells which it is; ok is
+// false if no connection can be had.
+func (t *limiterTarget) acquire(forceNew bool) (w *respConn, reused, ok bool) {
 	t.mu.Lock()
 	addr := t.addr
-	if n := len(t.idle); n > 0 && !fresh {
+	if n := len(t.idle); n > 0 && !forceNew {
 		w = t.idle[n-1]
 		t.idle = t.idle[:n-1]
 		t.mu.Unlock()
@@ -247,68 +251,69 @@
 	if err != nil {
 		return nil, false, false
 	}
-	return &wire{conn: conn}, false, true
+	return &respConn{conn: conn}, false, true
 }
 
-// ask sends one request over RESP2. A limiter may close a connection between requests: where that crosses a request, it
-// is sent once more, on a new connection.
-func (l *Load) ask(t *target, f *Firm, c Class, id uint64, again bool, wait time.Duration) (Kind, time.Duration) {
-	terms := fmt.Sprintf("c=%s,t=%s,d=%d,units=1,spread=%d,first=%d", c.Name, f.Tier, max(wait.Milliseconds(), 1), f.Spread, f.First)
-	if again {
-		terms += ",r=1"
+// tryRESP makes one try over RESP2. A limiter may close an idle connection at the moment in which a request is sent on it.
+// The request is then sent once more, on a new connection.
+func (l *Load) tryRESP(target *limiterTarget, firm *Firm, class Class, id uint64, retry bool, timeout time.Duration) (Outcome, time.Duration) {
+	options := fmt.Sprintf("c=%s,t=%s,d=%d,units=1,spread=%d,first=%d", class.Name, firm.Tier, max(timeout.Milliseconds(), 1), firm.Spread, firm.FirstLimiter)
+	if retry {
+		options += ",r=1"
 	}
-	args := [][]byte{[]byte("Q.ASK"), fmt.Appendf(nil, "%016x", f.ID), []byte(requestID(id)), nil}
-	if c.Keyed {
-		terms += fmt.Sprintf(",k=%016x", id)
+	args := [][]byte{[]byte("Q.ASK"), fmt.Appendf(nil, "%016x", firm.ID), []byte(requestID(id)), nil}
+	if class.Keyed {
+		options += fmt.Sprintf(",k=%016x", id)
 		args = append(args, []byte("b"))
 		args[0] = []byte("Q.DO")
 	}
-	args[3] = []byte(terms)
+	args[3] = []byte(options)
 	command := resp.AppendCommand(nil, args...)
-	for crossed := false; ; crossed = true {
-		w, used, ok := t.take(crossed)
+	for closedWhileIdle := false; ; closedWhileIdle = true {
+		conn, reused, ok := target.acquire(closedWhileIdle)
 		if !ok {
-			return Cut, 0
+			return ConnectionLost, 0
 		}
-		kind, after, silent := w.exchange(command, wait)
-		if kind == Cut && used && silent {
+		outcome, retryAfter, noData := conn.exchange(command, timeout)
+		if outcome == ConnectionLost && reused && noData {
 			continue
 		}
-		if kind != Cut && kind != Unanswered {
-			t.mu.Lock()
-			t.idle = append(t.idle, w)
-			t.mu.Unlock()
+		if outcome != ConnectionLost && outcome != Unanswered {
+			target.mu.Lock()
+			target.idle = append(target.idle, conn)
+			target.mu.Unlock()
 		}
-		return kind, after
+		return outcome, retryAfter
 	}
 }
 
-// requestID is a request's id as it goes out.
+// requestID formats a try's id as the request id that limiters and nodes see.
 func requestID(id uint64) string { return fmt.Sprintf("%016x", id) }
 
-// exchange writes a command and reads its answer. silent: the connection ended without a byte.
-func (w *wire) exchange(command []byte, wait time.Duration) (kind Kind, after time.Duration, silent bool) {
-	_ = w.conn.SetDeadline(time.Now().Add(max(wait, 0) + time.Second))
-	_, err := w.conn.Write(command)
+// exchange writes a command and reads its reply. noData tells that not a byte of it arrived.
+func (c *respConn) exchange(command []byte, timeout time.Duration) (outcome Outcome, retryAfter time.Duration, noData bool) {
+	_ = c.conn.SetDeadline(time.Now().Add(max(timeout, 0) + time.Second))
+	_, err := c.conn.Write(command)
 	buf := make([]byte, 4096)
-	for silent = true; err == nil; {
+	for noData = true; err == nil; {
 		var n int
-		n, err = w.conn.Read(buf)
-		silent = silent && n == 0
-		w.parser.Feed(buf[:n])
-		if r, ok, _ := w.parser.Reply(); ok {
-			kind, after = kindOf(r)
-			return kind, after, false
+		n, err = c.conn.Read(buf)
+		noData = noData && n == 0
+		c.parser.Feed(buf[:n])
+		if r, ok, _ := c.parser.Reply(); ok {
+			outcome, retryAfter = replyOutcome(r)
+			return outcome, retryAfter, false
 		}
 	}
-	_ = w.conn.Close()
-	if ne, is := err.(net.Error); is && ne.Timeout() {
-		return Unanswered, 0, silent
+	_ = c.conn.Close()
+	if netErr, ok := err.(net.Error); ok && netErr.Timeout() {
+		return Unanswered, 0, noData
 	}
-	return Cut, 0, silent
+	return ConnectionLost, 0, noData
 }
 
-func kindOf(r resp.Reply) (Kind, time.Duration) {
+// replyOutcome returns the outcome that a RESP2 reply stands for and, for "-BUSY MS", the delay before a retry.
+func replyOutcome(r resp.Reply) (Outcome, time.Duration) {
 	switch {
 	case r.Kind == '$' && !r.Null:
 		return Served, 0
@@ -322,28 +327,28 @@
 	return Failed, 0
 }
 
-// call asks the gRPC front.
-func (l *Load) call(t *target, f *Firm, c Class, wait time.Duration) (Kind, time.Duration) {
-	t.mu.Lock()
-	conn := t.grpc
-	t.mu.Unlock()
+// tryGRPC makes one try over the gRPC rate limit service.
+func (l *Load) tryGRPC(target *limiterTarget, firm *Firm, class Class, timeout time.Duration) (Outcome, time.Duration) {
+	target.mu.Lock()
+	conn := target.grpcConn
+	target.mu.Unlock()
 	if conn == nil {
-		return Cut, 0
+		return ConnectionLost, 0
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), wait)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	entry := func(k, v string) *entriesv3.RateLimitDescriptor_Entry {
-		return &entriesv3.RateLimitDescriptor_Entry{Key: k, Value: v}
+	entry := func(key, value string) *entriesv3.RateLimitDescriptor_Entry {
+		return &entriesv3.RateLimitDescriptor_Entry{Key: key, Value: value}
 	}
-	answer, err := rlsv3.NewRateLimitServiceClient(conn).ShouldRateLimit(ctx, &rlsv3.RateLimitRequest{Domain: "lab",
+	response, err := rlsv3.NewRateLimitServiceClient(conn).ShouldRateLimit(ctx, &rlsv3.RateLimitRequest{Domain: "lab",
 		Descriptors: []*entriesv3.RateLimitDescriptor{{Entries: []*entriesv3.RateLimitDescriptor_Entry{
-			entry("firm", strconv.FormatUint(f.ID, 16)), entry("tier", f.Tier), entry("class", c.Name),
-			entry("spread", strconv.Itoa(f.Spread)), entry("first", strconv.Itoa(f.First))}}}})
+			entry("firm", strconv.FormatUint(firm.ID, 16)), entry("tier", firm.Tier), entry("class", class.Name),
+			entry("spread", strconv.Itoa(firm.Spread)), entry("first", strconv.Itoa(firm.FirstLimiter))}}}})
 	switch {
 	case err != nil:
 		return Failed, 0
-	case answer.GetOverallCode() == rlsv3.RateLimitResponse_OK:
+	case response.GetOverallCode() == rlsv3.RateLimitResponse_OK:
 		return Admitted, 0
 	}
-	return Refused, answer.GetStatuses()[0].GetDurationUntilReset().AsDuration()
+	return Refused, response.GetStatuses()[0].GetDurationUntilReset().AsDuration()
 }
--- a/internal/lab/pauses.go
+++ b/internal/lab/pauses.go
@@ -6,57 +6,60 @@
 )
 
 const (
-	pauseLook  = 10 * time.Millisecond // between two looks at the clock
-	pauseNoted = 30 * time.Millisecond // a shorter one is usual
+	// pauseCheckInterval is the time between two readings of the clock.
+	pauseCheckInterval = 10 * time.Millisecond
+
+	// minRecordedPause is the shortest gap between two readings that is recorded: shorter gaps are usual.
+	minRecordedPause = 30 * time.Millisecond
 )
 
-// pauseWatch notes the times in which this process did not get to run: what it records by its own clock is late by as much,
-// and its clients read answers late that had come in time.
-type pauseWatch struct {
-	stop chan struct{}
+// pauseMonitor records the times in which this process was not scheduled. Its own timestamps are late by the length of
+// such a pause, and its clients read answers late that had arrived in time.
+type pauseMonitor struct {
+	stopped chan struct{}
 
-	mu    sync.Mutex
-	noted []pause
+	mu       sync.Mutex
+	recorded []pause
 }
 
-// pause is a time between two looks that was longer than it should have been.
+// pause is the time between two consecutive readings of the clock that were at least minRecordedPause apart.
 type pause struct{ from, until time.Time }
 
 func (p pause) length() time.Duration { return p.until.Sub(p.from) }
 
-// watchPauses looks until end.
-func watchPauses() *pauseWatch {
-	w := &pauseWatch{stop: make(chan struct{})}
-	go w.run()
-	return w
+// startPauseMonitor starts a monitor that runs until its stop method is called.
+func startPauseMonitor() *pauseMonitor {
+	m := &pauseMonitor{stopped: make(chan struct{})}
+	go m.run()
+	return m
 }
 
-func (w *pauseWatch) run() {
-	tick := time.NewTicker(pauseLook)
+func (m *pauseMonitor) run() {
+	tick := time.NewTicker(pauseCheckInterval)
 	defer tick.Stop()
 	for last := time.Now(); ; {
 		select {
-		case <-w.stop:
+		case <-m.stopped:
 			return
 		case <-tick.C:
 		}
 		now := time.Now()
-		if now.Sub(last) >= pauseNoted {
-			w.mu.Lock()
-			w.noted = append(w.noted, pause{last, now})
-			w.mu.Unlock()
+		if now.Sub(last) >= minRecordedPause {
+			m.mu.Lock()
+			m.recorded = append(m.recorded, pause{last, now})
+			m.mu.Unlock()
 		}
 		last = now
 	}
 }
 
-func (w *pauseWatch) end() { close(w.stop) }
+func (m *pauseMonitor) stop() { close(m.stopped) }
 
-// longest is the longest pause that touches a span of time; 0: none was noted.
-func (w *pauseWatch) longest(from, until time.Time) (longest time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, p := range w.noted {
+// longest returns the longest recorded pause that overlaps the given span of time, or 0 if there is none.
+func (m *pauseMonitor) longest(from, until time.Time) (longest time.Duration) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for _, p := range m.recorded {
 		if p.until.After(from) && p.from.Before(until) {
 			longest = max(longest, p.length())
 		}
--- a/internal/lab/plans.go
+++ b/internal/lab/plans.go
@@ -22,47 +22,49 @@
 	"bramblefall/logic"
 )
 
-// Options are a run's.
+// Options are the options of an experiment on real limiters.
 type Options struct {
-	Seed  uint64
-	Quick bool
-	Out   string // directory for tables and charts; "": none
-	Say   func(format string, args ...any)
+	Seed      uint64
+	Quick     bool                             // a shorter run
+	OutputDir string                           // directory for tables and charts; none are written if it is empty
+	Logf      func(format string, args ...any) // prints progress
 }
 
-// Result is a run's: the bars that do not hold, and the main figure.
+// Result is the outcome of an experiment on real limiters.
 type Result struct {
-	Broken []string
-	Rules  []string // of them those that hold however slow the machine is
-	Main   string
-	Tables []*Table
+	FailedBounds []string // descriptions of the bounds that do not hold, rules among them
+	FailedRules  []string // those of them that must hold however slow the machine is
+	Summary      string   // the main figures in one line
+	Tables       []*Table
 }
 
-// rule is a bar that holds however slow the machine is.
-func (r *Result) rule(holds bool, format string, args ...any) {
-	r.bar(holds, format, args...)
+// checkRule records a failure if a bound does not hold that must hold however slow the machine is.
+func (r *Result) checkRule(holds bool, format string, args ...any) {
+	r.checkBound(holds, format, args...)
 	if !holds {
-		r.Rules = append(r.Rules, fmt.Sprintf(format, args...))
+		r.FailedRules = append(r.FailedRules, fmt.Sprintf(format, args...))
 	}
 }
 
-func (r *Result) bar(holds bool, format string, args ...any) {
+// checkBound records a failure if a bound does not hold that a slow machine may break.
+func (r *Result) checkBound(holds bool, format string, args ...any) {
 	if !holds {
-		r.Broken = append(r.Broken, fmt.Sprintf(format, args...))
+		r.FailedBounds = append(r.FailedBounds, fmt.Sprintf(format, args...))
 	}
 }
 
 const (
-	planFirms    = 200
-	planLimiters = 3
-	planWait     = 4 * time.Second
-	granted      = 2000.0 // units of a reservation
-	spenderRate  = 60.0   // requests a second of a firm with a reservation
+	firmCount                     = 200
+	limiterCount                  = 3
+	requestDeadline               = 4 * time.Second
+	maxReservationUnits           = 2000.0 // of the reservation in a run with all firms
+	reservedFirmRequestsPerSecond = 60.0   // of the firm that has a reservation
 )
 
-// planTiers are the run's three tiers at a scale.
-func planTiers(scale float64) []logic.Plan {
-	t := func(name string, rate, burst, ceiling float64) logic.Plan {
+// scaledTiers returns the experiment's three tiers with all rates multiplied by scale. Bursts are in seconds at the rate, and
+// ceilings are multiples of the quota; 0 means no ceiling.
+func scaledTiers(scale float64) []logic.Plan {
+	tier := func(name string, rate, burst, ceiling float64) logic.Plan {
 		p := logic.Plan{Name: name, Rate: rate * scale, Burst: max(rate*scale*burst, 4), Price: 1, OverCost: 0.5}
 		if ceiling > 0 {
 			p.CeilingRate, p.CeilingBurst = ceiling*p.Rate, ceiling*p.Burst
@@ -70,77 +72,80 @@
 		}
 		return p
 	}
-	return []logic.Plan{t("associate", 0.8, 5, 0), t("regular", 3, 5, 0), t("full", 8, 2, 2)}
+	return []logic.Plan{tier("associate", 0.8, 5, 0), tier("regular", 3, 5, 0), tier("full", 8, 2, 2)}
 }
 
+// plansRun is one run of the load on a fleet of real limiters.
 type plansRun struct {
 	Options
-	fleet   *Fleet
-	truth   *Truth
-	rng     *rand.Rand
-	byID    map[uint64]int
-	ends    [Unanswered + 1]int
-	refused []refusal
-	trace   *trace
+	fleet        *Fleet
+	sendLog      *SendLog
+	rng          *rand.Rand
+	firmByID     map[uint64]int      // index in the load's firms
+	outcomes     [Unanswered + 1]int // how many tries ended with each Outcome
+	refusedTries []refusedTry
+	diagnostics  *diagnostics
 }
 
-type refusal struct {
-	firm int
+type refusedTry struct {
+	firm int // index
 	at   time.Time
 }
 
-// change is one version as the run gave it out.
-type change struct {
-	version plans.Version
-	scale   float64
-	at      time.Time
-	holds   time.Duration // from its instant, or from when the last limiter was told, until all had it in force
-	told    [planLimiters]time.Time
+// planChange is a version of the plans as the run applied it.
+type planChange struct {
+	version      plans.Version
+	scale        float64
+	effectiveAt  time.Time
+	inForceDelay time.Duration           // the longest time until a limiter had it in force, from effectiveAt or from when the last limiter was told, whichever is later
+	toldAt       [limiterCount]time.Time // zero for a limiter that was never told
 }
 
-// Plans changes plans every ten seconds under load and draws two reservations.
-func Plans(ctx context.Context, o Options) (Result, error) {
+// RunPlans changes the plans every ten seconds (quick: five) under load while one firm draws a reservation. It then runs the
+// same load without changes to compare the CPU time (not in a quick run), and last draws another reservation while a limiter
+// is killed and the counter loses its state.
+func RunPlans(ctx context.Context, options Options) (Result, error) {
 	dir, err := os.MkdirTemp("", "bramblelab")
 	if err != nil {
 		return Result{}, err
 	}
 	defer os.RemoveAll(dir)
-	o.Say("building the limiter")
+	options.Logf("building the limiter")
 	binary, err := Build(ctx, dir)
 	if err != nil {
 		return Result{}, err
 	}
-	changing, lossy, still := 120*time.Second, 40*time.Second, 120*time.Second
-	if o.Quick {
-		changing, lossy, still = 21*time.Second, 11*time.Second, 0
+	changingTime, lossyTime, unchangedTime := 120*time.Second, 40*time.Second, 120*time.Second
+	if options.Quick {
+		changingTime, lossyTime, unchangedTime = 21*time.Second, 11*time.Second, 0
 	}
 	var result Result
-	o.Say("plans change every %s for %s", changeEvery(o.Quick), changing)
-	cpu, err := planned(ctx, o, binary, filepath.Join(dir, "changing"), changing, true, &result)
+	options.Logf("plans change every %s for %s", changeInterval(options.Quick), changingTime)
+	cpuMicros, err := runPlansLoad(ctx, options, binary, filepath.Join(dir, "changing"), changingTime, true, &result)
 	if err != nil {
 		return result, err
 	}
-	if still > 0 {
-		o.Say("the same load for %s without a change", still)
-		var calm Result
-		without, err := planned(ctx, o, binary, filepath.Join(dir, "still"), still, false, &calm)
+	if unchangedTime > 0 {
+		options.Logf("the same load for %s without a change", unchangedTime)
+		var unchanged Result
+		cpuMicrosUnchanged, err := runPlansLoad(ctx, options, binary, filepath.Join(dir, "still"), unchangedTime, false, &unchanged)
 		if err != nil {
 			return result, err
 		}
-		t := &Table{Name: "plans-cpu", Head: []string{"run", "CPU us per request"}}
-		t.Add("plans change", cpu)
-		t.Add("no change", without)
-		result.Tables = append(result.Tables, t)
-		result.bar(cpu <= 1.03*without, "CPU per request %.1f us with changes, %.1f us without: over 3%% more", cpu, without)
-	}
-	o.Say("a reservation with a limiter killed and the counter wiped, %s", lossy)
-	if err := lossyReservation(ctx, o, binary, filepath.Join(dir, "lossy"), lossy, &result); err != nil {
+		table := &Table{Name: "plans-cpu", Head: []string{"run", "CPU us per request"}}
+		table.Add("plans change", cpuMicros)
+		table.Add("no change", cpuMicrosUnchanged)
+		result.Tables = append(result.Tables, table)
+		result.checkBound(cpuMicros <= 1.03*cpuMicrosUnchanged, "CPU per request %.1f us with changes, %.1f us without: 3%% more at most is allowed", cpuMicros, cpuMicrosUnchanged)
+	}
+	options.Logf("a reservation with a limiter killed and the counter wiped, %s", lossyTime)
+	if err := runLossyReservation(ctx, options, binary, filepath.Join(dir, "lossy"), lossyTime, &result); err != nil {
 		return result, err
 	}
-	return result, keep(o.Out, result.Tables)
+	return result, writeTables(options.OutputDir, result.Tables)
 }
 
-func keep(dir string, tables []*Table) error {
+func writeTables(dir string, tables []*Table) error {
 	if dir == "" {
 		return nil
 	}
@@ -154,78 +159,82 @@
 	return errors.Join(errs...)
 }
 
-func changeEvery(quick bool) time.Duration {
+// changeInterval is the time from one version of the plans to the next.
+func changeInterval(quick bool) time.Duration {
 	if quick {
 		return 5 * time.Second
 	}
 	return 10 * time.Second
 }
 
-// newPlansRun starts the fleet and draws the firms.
-func newPlansRun(o Options, binary, dir string, firms int) (*plansRun, error) {
-	r := &plansRun{Options: o, rng: rand.New(rand.NewPCG(o.Seed, 8)), byID: map[uint64]int{}, truth: NewTruth(firms + 1)}
-	tiers := planTiers(1)
-	fleet, err := NewFleet(binary, dir, false, planLimiters, 6, tiers, func(n *standin.Node, args [][]byte) ([]byte, bool, time.Duration) {
+// newPlansRun starts the fleet and draws the given number of firms. Of ten firms four are associates, three regular and three
+// full members; an eighth sends half of its requests over gRPC. Most use 15% to 50% of their quota, 15% use 90% of it, and 12%
+// ask for 1.5 to 4 times their quota.
+func newPlansRun(options Options, binary, dir string, firms int) (*plansRun, error) {
+	r := &plansRun{Options: options, rng: rand.New(rand.NewPCG(options.Seed, 8)), firmByID: map[uint64]int{}, sendLog: NewSendLog(firms + 1)}
+	tiers := scaledTiers(1)
+	fleet, err := NewFleet(binary, dir, false, limiterCount, 6, tiers, func(node *standin.Node, args [][]byte) ([]byte, bool, time.Duration) {
 		id, _ := strconv.ParseUint(string(args[1]), 16, 64)
-		if k, ok := r.byID[id]; ok {
-			r.truth.Sent(k, string(args[2]))
+		if i, ok := r.firmByID[id]; ok {
+			r.sendLog.Record(i, string(args[2]))
 		}
 		return standin.Value("v"), true, 4 * time.Millisecond
 	})
 	if err != nil {
 		return nil, err
 	}
-	fleet.World.Unchecked = true // the truth is kept here, by firm
-	r.fleet, r.trace = fleet, newTrace()
-	for k := range firms {
-		tier := tiers[[]int{0, 0, 0, 0, 1, 1, 1, 2, 2, 2}[k%10]]
-		f := &Firm{ID: 0x1000 + r.rng.Uint64N(1<<32), Tier: tier.Name, Spread: 2 + r.rng.IntN(2), First: r.rng.IntN(planLimiters),
-			Skew: 0.4 + 0.3*r.rng.Float64(), Mixed: k%8 == 0}
-		use := 0.15 + 0.35*r.rng.Float64()
+	fleet.World.Unchecked = true // the stand-ins need not check requests: the send log does, by firm
+	r.fleet, r.diagnostics = fleet, newDiagnostics()
+	for i := range firms {
+		tier := tiers[[]int{0, 0, 0, 0, 1, 1, 1, 2, 2, 2}[i%10]]
+		firm := &Firm{ID: 0x1000 + r.rng.Uint64N(1<<32), Tier: tier.Name, Spread: 2 + r.rng.IntN(2), FirstLimiter: r.rng.IntN(limiterCount),
+			PreferredShare: 0.4 + 0.3*r.rng.Float64(), HalfOverGRPC: i%8 == 0}
+		quotaShare := 0.15 + 0.35*r.rng.Float64()
 		switch x := r.rng.Float64(); {
 		case x < 0.15:
-			use = 0.9
+			quotaShare = 0.9
 		case x < 0.27:
-			use = 1.5 + 2.5*r.rng.Float64()
+			quotaShare = 1.5 + 2.5*r.rng.Float64()
 		}
-		f.Demand = use * tier.Rate
-		r.byID[f.ID] = k
-		fleet.Load.Firms = append(fleet.Load.Firms, f)
-	}
-	fleet.Load.Classes = []Class{{Name: "balance-read", Share: 1, Deadline: planWait}}
-	fleet.Load.Ended = func(e End) {
-		r.ends[e.Kind]++
-		r.trace.ended(e)
-		switch e.Kind {
+		firm.RequestsPerSecond = quotaShare * tier.Rate
+		r.firmByID[firm.ID] = i
+		fleet.Load.Firms = append(fleet.Load.Firms, firm)
+	}
+	fleet.Load.Classes = []Class{{Name: "balance-read", Share: 1, Deadline: requestDeadline}}
+	fleet.Load.AfterTry = func(result TryResult) {
+		r.outcomes[result.Outcome]++
+		r.diagnostics.afterTry(result)
+		switch result.Outcome {
 		case Admitted:
-			r.truth.Sent(e.Firm, "")
+			r.sendLog.Record(result.Firm, "")
 		case Refused:
-			r.refused = append(r.refused, refusal{e.Firm, e.At})
+			r.refusedTries = append(r.refusedTries, refusedTry{result.Firm, result.EndedAt})
 		}
 	}
 	return r, nil
 }
 
-// spender adds the firm that has a reservation.
-func (r *plansRun) spender() *Firm {
-	f := &Firm{ID: 0x77777777, Tier: "regular", Spread: planLimiters, First: 0, Skew: 0.6, Demand: spenderRate}
-	r.byID[f.ID] = len(r.fleet.Load.Firms)
-	r.fleet.Load.Firms = append(r.fleet.Load.Firms, f)
-	return f
+// addReservedFirm adds the firm that has a reservation. It asks for far more than its tier's quota.
+func (r *plansRun) addReservedFirm() *Firm {
+	firm := &Firm{ID: 0x77777777, Tier: "regular", Spread: limiterCount, FirstLimiter: 0, PreferredShare: 0.6, RequestsPerSecond: reservedFirmRequestsPerSecond}
+	r.firmByID[firm.ID] = len(r.fleet.Load.Firms)
+	r.fleet.Load.Firms = append(r.fleet.Load.Firms, firm)
+	return firm
 }
 
-// each makes an admin call to every limiter that is up.
-func (r *plansRun) each(call func(context.Context, int, adminpb.AdminClient) error) error {
+// forEachLimiter calls the admin service of every limiter in turn and stops at the first error. All limiters must be up.
+func (r *plansRun) forEachLimiter(call func(context.Context, int, adminpb.AdminClient) error) error {
 	for k := range r.fleet.Limiters {
-		if err := r.admin(k, call); err != nil {
+		if err := r.adminCall(k, call); err != nil {
 			return fmt.Errorf("limiter %d: %w", k, err)
 		}
 	}
 	return nil
 }
 
-func (r *plansRun) admin(k int, call func(context.Context, int, adminpb.AdminClient) error) error {
-	client, end, err := admin.Dial(r.fleet.Socket(k))
+// adminCall connects to the admin service of limiter k for one call, which must end within five seconds.
+func (r *plansRun) adminCall(k int, call func(context.Context, int, adminpb.AdminClient) error) error {
+	client, end, err := admin.Dial(r.fleet.AdminSocket(k))
 	if err != nil {
 		return err
 	}
@@ -235,300 +244,308 @@
 	return call(ctx, k, client)
 }
 
-// planned runs the load, with or without changes, and gives the CPU per request in microseconds.
-func planned(ctx context.Context, o Options, binary, dir string, length time.Duration, changing bool, result *Result) (float64, error) {
-	r, err := newPlansRun(o, binary, dir, planFirms)
+// runPlansLoad runs the load, with or without changes, and returns the limiters' CPU time per try in microseconds. Only a run
+// with changes is evaluated into result.
+func runPlansLoad(ctx context.Context, options Options, binary, dir string, length time.Duration, changing bool, result *Result) (float64, error) {
+	run, err := newPlansRun(options, binary, dir, firmCount)
 	if err != nil {
 		return 0, err
 	}
-	defer r.fleet.Close()
-	defer r.trace.end()
-	spender := r.spender()
+	defer run.fleet.Close()
+	defer run.diagnostics.stop()
+	reservedFirm := run.addReservedFirm()
 	began := time.Now()
-	run, stop := context.WithTimeout(ctx, length)
+	loadCtx, stop := context.WithTimeout(ctx, length)
 	defer stop()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		r.fleet.Load.Run(run, o.Seed)
+		run.fleet.Load.Run(loadCtx, options.Seed)
 	}()
-	from, until := began.Add(time.Second), began.Add(length+10*time.Second) // it is told of for as long as it lasts
-	units := min(granted, 0.5*spenderRate*(length-3*time.Second).Seconds())
-	err = r.grant("ahead-of-a-shipment", spender, units, from, until)
-	var changes []change
+	from, until := began.Add(time.Second), began.Add(length+10*time.Second) // the reservation outlasts the run: limiters report its use only until it ends
+	reservedUnits := min(maxReservationUnits, 0.5*reservedFirmRequestsPerSecond*(length-3*time.Second).Seconds())
+	err = run.grantReservation("ahead-of-a-shipment", reservedFirm, reservedUnits, from, until)
+	var changes []planChange
 	if err == nil && changing {
-		changes, err = r.change(run, began, length)
+		changes, err = run.applyChanges(loadCtx, began, length)
 	}
 	<-done
-	r.Say("the longest pause of the lab's process: %s", r.trace.pauses.longest(began, time.Now()).Round(time.Millisecond))
-	if err = errors.Join(err, r.fleet.Crash()); err != nil {
+	run.Logf("the longest pause of the lab's process: %s", run.diagnostics.pauses.longest(began, time.Now()).Round(time.Millisecond))
+	if err = errors.Join(err, run.fleet.CheckCrashes()); err != nil {
 		return 0, err
 	}
-	used, err := r.used("ahead-of-a-shipment")
+	usedUnits, err := run.reservationUse("ahead-of-a-shipment")
 	if err != nil {
 		return 0, err
 	}
-	requests := 0
-	for _, n := range r.ends {
-		requests += n
+	tries := 0
+	for _, n := range run.outcomes {
+		tries += n
 	}
-	cpu := float64(r.fleet.CPU().Microseconds()) / float64(max(requests, 1))
+	cpuMicros := float64(run.fleet.CPUTime().Microseconds()) / float64(max(tries, 1))
 	if changing {
-		r.judge(result, began, changes, spender, units, used, cpu)
+		run.evaluate(result, began, changes, reservedFirm, reservedUnits, usedUnits, cpuMicros)
 	}
-	return cpu, nil
+	return cpuMicros, nil
 }
 
-func (r *plansRun) grant(id string, f *Firm, units float64, from, until time.Time) error {
-	x := plans.Reservation{ID: id, Firm: f.ID, Units: units, From: time.Duration(from.UnixNano()), Until: time.Duration(until.UnixNano())}
-	return r.each(func(ctx context.Context, _ int, c adminpb.AdminClient) error {
-		_, err := c.GrantReservation(ctx, &adminpb.GrantReservationRequest{Reservation: admin.ReservationOut(x, core.ReservationUse{})})
+// grantReservation grants a firm a reservation at every limiter.
+func (r *plansRun) grantReservation(id string, firm *Firm, units float64, from, until time.Time) error {
+	reservation := plans.Reservation{ID: id, Firm: firm.ID, Units: units, From: time.Duration(from.UnixNano()), Until: time.Duration(until.UnixNano())}
+	return r.forEachLimiter(func(ctx context.Context, _ int, c adminpb.AdminClient) error {
+		_, err := c.GrantReservation(ctx, &adminpb.GrantReservationRequest{Reservation: admin.ReservationOut(reservation, core.ReservationUse{})})
 		return err
 	})
 }
 
-// used is what the limiters that are up have drawn of a reservation.
-func (r *plansRun) used(id string) (sum float64, err error) {
-	err = r.each(func(ctx context.Context, _ int, c adminpb.AdminClient) error {
-		b, err := c.ShowPlans(ctx, &adminpb.ShowPlansRequest{})
-		for _, x := range b.GetReservations() {
-			if x.GetId() == id {
-				sum += x.GetUsed()
+// reservationUse returns how many units of a reservation the limiters have drawn together.
+func (r *plansRun) reservationUse(id string) (units float64, err error) {
+	err = r.forEachLimiter(func(ctx context.Context, _ int, c adminpb.AdminClient) error {
+		book, err := c.ShowPlans(ctx, &adminpb.ShowPlansRequest{})
+		for _, reservation := range book.GetReservations() {
+			if reservation.GetId() == id {
+				units += reservation.GetUsed()
 			}
 		}
 		return err
 	})
-	return sum, err
+	return units, err
 }
 
-// change gives out versions, up and down. Every third reaches one limiter late, and every fourth one limiter never.
-func (r *plansRun) change(ctx context.Context, began time.Time, length time.Duration) (list []change, err error) {
+// applyChanges applies versions that scale the plans up and down, a second before each takes effect. Every third reaches one
+// limiter only after that, and every fourth never reaches one limiter.
+func (r *plansRun) applyChanges(ctx context.Context, began time.Time, length time.Duration) (changes []planChange, err error) {
 	scales := []float64{0.5, 1.6, 0.7, 1.2, 0.4, 2, 1}
-	every := changeEvery(r.Quick)
-	for n := 0; began.Add(time.Duration(n+1) * every).Before(began.Add(length - every/2)); n++ {
-		at := began.Add(time.Duration(n+1) * every)
-		c := change{scale: scales[n%len(scales)], at: at}
-		c.version = plans.Version{Number: uint64(n + 1), Effective: time.Duration(at.UnixNano()), Note: fmt.Sprintf("step %d", n+1), Tiers: planTiers(c.scale)}
-		time.Sleep(time.Until(at.Add(-time.Second)))
-		late := -1
+	interval := changeInterval(r.Quick)
+	for n := 0; began.Add(time.Duration(n+1) * interval).Before(began.Add(length - interval/2)); n++ {
+		effectiveAt := began.Add(time.Duration(n+1) * interval)
+		change := planChange{scale: scales[n%len(scales)], effectiveAt: effectiveAt}
+		change.version = plans.Version{Number: uint64(n + 1), Effective: time.Duration(effectiveAt.UnixNano()), Note: fmt.Sprintf("step %d", n+1), Tiers: scaledTiers(change.scale)}
+		time.Sleep(time.Until(effectiveAt.Add(-time.Second)))
+		lateLimiter := -1
 		if n%3 == 2 {
-			late = r.rng.IntN(planLimiters)
+			lateLimiter = r.rng.IntN(limiterCount)
 		}
-		never := -1
+		skippedLimiter := -1
 		if n%4 == 3 {
-			never = r.rng.IntN(planLimiters)
+			skippedLimiter = r.rng.IntN(limiterCount)
 		}
 		tell := func(ctx context.Context, k int, client adminpb.AdminClient) error {
-			c.told[k] = time.Now()
-			_, err := client.ApplyPlans(ctx, &adminpb.ApplyPlansRequest{Version: admin.VersionOut(c.version)})
+			change.toldAt[k] = time.Now()
+			_, err := client.ApplyPlans(ctx, &adminpb.ApplyPlansRequest{Version: admin.VersionOut(change.version)})
 			return err
 		}
-		for k := range planLimiters {
-			if k != late && k != never {
-				if err := r.admin(k, tell); err != nil {
-					return list, fmt.Errorf("version %d at limiter %d: %w", n+1, k, err)
+		for k := range limiterCount {
+			if k != lateLimiter && k != skippedLimiter {
+				if err := r.adminCall(k, tell); err != nil {
+					return changes, fmt.Errorf("version %d at limiter %d: %w", n+1, k, err)
 				}
 			}
 		}
-		if late >= 0 && late != never {
-			delay := min(3*time.Second, every/2)
-			time.Sleep(time.Until(at.Add(delay)))
-			if err := r.admin(late, tell); err != nil {
-				return list, fmt.Errorf("version %d late at limiter %d: %w", n+1, late, err)
+		if lateLimiter >= 0 && lateLimiter != skippedLimiter {
+			delay := min(3*time.Second, interval/2)
+			time.Sleep(time.Until(effectiveAt.Add(delay)))
+			if err := r.adminCall(lateLimiter, tell); err != nil {
+				return changes, fmt.Errorf("version %d late at limiter %d: %w", n+1, lateLimiter, err)
 			}
 		}
-		list = append(list, c)
-		r.Say("version %d: scale %g", n+1, c.scale)
+		changes = append(changes, change)
+		r.Logf("version %d: scale %g", n+1, change.scale)
 		if ctx.Err() != nil {
 			break
 		}
 	}
-	return list, nil
+	return changes, nil
 }
 
-// periods reads from the limiters' logs which figures each had in force when.
-func (r *plansRun) periods(began time.Time, changes []change) (f Figures) {
-	for _, l := range r.fleet.Limiters {
-		list := []Period{{began.Add(-time.Minute), planTiers(1)}}
-		for line := range strings.SplitSeq(l.Log(), "\n") {
+// planTimeline reads from the limiters' logs when each had which plan figures in force, and sets inForceDelay of the changes.
+func (r *plansRun) planTimeline(began time.Time, changes []planChange) (timeline PlanTimeline) {
+	for _, limiter := range r.fleet.Limiters {
+		periods := []PlanPeriod{{began.Add(-time.Minute), scaledTiers(1)}}
+		for line := range strings.SplitSeq(limiter.Log(), "\n") {
 			_, rest, ok := strings.Cut(line, `msg="plans in force" version=`)
 			if !ok || !strings.HasPrefix(line, "time=") {
 				continue
 			}
-			n, _ := strconv.Atoi(strings.Fields(rest)[0])
-			at, err := time.Parse(time.RFC3339Nano, strings.TrimPrefix(strings.Fields(line)[0], "time="))
-			if err == nil && n > 0 && n <= len(changes) {
-				list = append(list, Period{at, changes[n-1].version.Tiers})
-				due := changes[n-1].at
-				for _, told := range changes[n-1].told {
-					if told.After(due) {
-						due = told
+			number, _ := strconv.Atoi(strings.Fields(rest)[0])
+			loggedAt, err := time.Parse(time.RFC3339Nano, strings.TrimPrefix(strings.Fields(line)[0], "time="))
+			if err == nil && number > 0 && number <= len(changes) {
+				periods = append(periods, PlanPeriod{loggedAt, changes[number-1].version.Tiers})
+				expectedAt := changes[number-1].effectiveAt
+				for _, toldAt := range changes[number-1].toldAt {
+					if toldAt.After(expectedAt) {
+						expectedAt = toldAt
 					}
 				}
-				changes[n-1].holds = max(changes[n-1].holds, at.Sub(due))
+				changes[number-1].inForceDelay = max(changes[number-1].inForceDelay, loggedAt.Sub(expectedAt))
 			}
 		}
-		f.Limiters = append(f.Limiters, list)
+		timeline.ByLimiter = append(timeline.ByLimiter, periods)
 	}
-	return f
+	return timeline
 }
 
-const graceAfter = 500 * time.Millisecond // after the last limiter has a version, only it holds
+// propagationGrace is the longest time that limiters may take to put a version in force, once it is due and all have been
+// told. Until then the figures of the previous version are allowed too.
+const propagationGrace = 500 * time.Millisecond
 
-// judge holds what was sent on against the figures and writes the tables.
-func (r *plansRun) judge(result *Result, began time.Time, changes []change, spender *Firm, units, used, cpu float64) {
-	figures := r.periods(began, changes)
+// evaluate compares what was passed on with the plan figures in force, checks the bounds and adds the tables. reservedUnits
+// is the size of the reservation, and usedUnits is how much of it was drawn.
+func (r *plansRun) evaluate(result *Result, began time.Time, changes []planChange, reservedFirm *Firm, reservedUnits, usedUnits, cpuMicros float64) {
+	timeline := r.planTimeline(began, changes)
 	var windows [][2]time.Time
-	for _, c := range changes {
-		windows = append(windows, [2]time.Time{c.at, c.at.Add(time.Second)})
+	for _, change := range changes {
+		windows = append(windows, [2]time.Time{change.effectiveAt, change.effectiveAt.Add(time.Second)})
 	}
 	versions := &Table{Name: "plans-versions", Head: []string{"version", "scale", "tier", "units in the second after", "beyond, % of the larger plan", "in force after ms"}}
 	tiers := &Table{Name: "plans-tiers", Head: []string{"tier", "units sent on", "beyond quota %", "ceiling overshoot units", "refused", "refused with room"}}
-	worst, worstCeiling, overCeiling := 0.0, 0.0, ""
-	lines := map[string]plotter.XYs{}
-	names := []string{"associate", "regular", "full"}
-	sent, beyond, firms := map[string][]float64{}, map[string][]float64{}, map[string]float64{}
-	for _, tier := range names {
-		var all Verdict
-		all.BeyondIn, all.SentIn = make([]float64, len(windows)), make([]float64, len(windows))
-		refused, room := 0, 0
-		for k, f := range r.fleet.Load.Firms {
-			if f.Tier != tier {
+	worstPercent, worstCeilingUnits, ceilingDetails := 0.0, 0.0, ""
+	chartLines := map[string]plotter.XYs{}
+	tierNames := []string{"associate", "regular", "full"}
+	sentInWindow, beyondInWindow, firmsByTier := map[string][]float64{}, map[string][]float64{}, map[string]float64{}
+	for _, tier := range tierNames {
+		var tierUse QuotaUse
+		tierUse.BeyondQuotaInWindow, tierUse.SentInWindow = make([]float64, len(windows)), make([]float64, len(windows))
+		refusedTries, refusedWithRoom := 0, 0
+		for i, firm := range r.fleet.Load.Firms {
+			if firm.Tier != tier {
 				continue
 			}
-			firms[tier]++
+			firmsByTier[tier]++
 			reserved := 0.0
-			if f == spender {
-				reserved = used
+			if firm == reservedFirm {
+				reserved = usedUnits
 			}
-			v := r.truth.Judge(k, tier, figures, began, graceAfter, reserved, windows)
-			all.Sent, all.Beyond, all.Over = all.Sent+v.Sent, all.Beyond+v.Beyond, max(all.Over, v.Over)
-			if v.Over > 0 {
-				overCeiling += r.trace.worst(f, v)
+			use := r.sendLog.Evaluate(i, tier, timeline, began, propagationGrace, reserved, windows)
+			tierUse.Sent, tierUse.BeyondQuota, tierUse.OverCeiling = tierUse.Sent+use.Sent, tierUse.BeyondQuota+use.BeyondQuota, max(tierUse.OverCeiling, use.OverCeiling)
+			if use.OverCeiling > 0 {
+				ceilingDetails += r.diagnostics.describeWorstSend(firm, use)
 			}
 			for w := range windows {
-				all.BeyondIn[w] += v.BeyondIn[w]
-				all.SentIn[w] += v.SentIn[w]
+				tierUse.BeyondQuotaInWindow[w] += use.BeyondQuotaInWindow[w]
+				tierUse.SentInWindow[w] += use.SentInWindow[w]
 			}
-			n, with := r.refusals(k, tier, figures, began)
-			refused, room = refused+n, room+with
+			firmRefused, firmRefusedWithRoom := r.countRefusals(i, tier, timeline, began)
+			refusedTries, refusedWithRoom = refusedTries+firmRefused, refusedWithRoom+firmRefusedWithRoom
 		}
-		tiers.Add(tier, all.Sent, 100*all.Beyond/max(all.Sent, 1), all.Over, refused, room)
-		worstCeiling = max(worstCeiling, all.Over)
-		sent[tier], beyond[tier] = all.SentIn, all.BeyondIn
-	}
-	for w, c := range changes {
-		for _, tier := range names {
-			// Of what the larger of both plans gives the tier's firms in that second.
-			now, before := figures.At(tier, c.at.Add(time.Second)), figures.At(tier, c.at.Add(-time.Millisecond))
-			over := 100 * beyond[tier][w] / (max(now.Rate, before.Rate) * firms[tier])
-			versions.Add(c.version.Number, c.scale, tier, sent[tier][w], over, float64(c.holds.Microseconds())/1000)
-			lines[tier] = append(lines[tier], plotter.XY{X: float64(c.version.Number), Y: over})
-			worst = max(worst, over)
-			result.bar(over <= 10 || beyond[tier][w] <= 2, "version %d, %s: %.1f%% beyond the larger quota in the second after", c.version.Number, tier, over)
+		tiers.Add(tier, tierUse.Sent, 100*tierUse.BeyondQuota/max(tierUse.Sent, 1), tierUse.OverCeiling, refusedTries, refusedWithRoom)
+		worstCeilingUnits = max(worstCeilingUnits, tierUse.OverCeiling)
+		sentInWindow[tier], beyondInWindow[tier] = tierUse.SentInWindow, tierUse.BeyondQuotaInWindow
+	}
+	for w, change := range changes {
+		for _, tier := range tierNames {
+			// The share is of what the larger of both plans grants all firms of the tier in that second.
+			now, before := timeline.LargestPlan(tier, change.effectiveAt.Add(time.Second)), timeline.LargestPlan(tier, change.effectiveAt.Add(-time.Millisecond))
+			overPercent := 100 * beyondInWindow[tier][w] / (max(now.Rate, before.Rate) * firmsByTier[tier])
+			versions.Add(change.version.Number, change.scale, tier, sentInWindow[tier][w], overPercent, float64(change.inForceDelay.Microseconds())/1000)
+			chartLines[tier] = append(chartLines[tier], plotter.XY{X: float64(change.version.Number), Y: overPercent})
+			worstPercent = max(worstPercent, overPercent)
+			result.checkBound(overPercent <= 10 || beyondInWindow[tier][w] <= 2, "version %d, %s: %.1f%% of the larger quota was passed on beyond it in the second after; 10%% or 2 units at most are allowed", change.version.Number, tier, overPercent)
 		}
-		result.bar(c.holds <= graceAfter, "version %d was in force only after %s", c.version.Number, c.holds)
-	}
-	result.rule(worstCeiling <= 0, "the ceiling with its slack was passed by %.2f units%s", worstCeiling, overCeiling)
-	result.rule(r.ends[Unanswered] == 0 && r.ends[Cut] == 0, "%d requests without a final answer, %d cut off%s", r.ends[Unanswered], r.ends[Cut],
-		r.trace.requests(r.fleet.Load.Firms))
-	result.bar(used >= 0.97*units, "a reservation of %.0f units gave %.0f", units, used)
-	result.rule(used <= units+1e-6, "a reservation of %.0f units gave %.0f", units, used)
-	result.bar(len(changes) > 0, "no version was given out")
-	run := &Table{Name: "plans-run", Head: []string{"figure", "value"}}
-	for k, name := range []string{"served", "admitted", "refused", "failed", "cut off", "unanswered"} {
-		run.Add(name, r.ends[k])
-	}
-	run.Add("reserved units", units)
-	run.Add("drawn of them", used)
-	run.Add("CPU us per request", cpu)
-	run.Add("latency ms, median", float64(r.fleet.Load.Latency.ValueAtQuantile(50))/1000)
-	run.Add("latency ms, 99th percentile", float64(r.fleet.Load.Latency.ValueAtQuantile(99))/1000)
-	result.Tables = append(result.Tables, versions, tiers, run)
-	if r.Out != "" && len(changes) > 1 {
-		_ = os.MkdirAll(r.Out, 0o755)
-		c := Chart{Name: "plans-overshoot", Title: "Units beyond the larger quota in the second after a change", X: "version", Y: "per cent of the larger plan", Lines: lines}
-		if err := c.Keep(r.Out); err != nil {
-			r.Say("no chart: %v", err)
+		result.checkBound(change.inForceDelay <= propagationGrace, "version %d was in force at all limiters only after %s, want at most %s", change.version.Number, change.inForceDelay, propagationGrace)
+	}
+	result.checkRule(worstCeilingUnits <= 0, "the ceiling with its slack was exceeded by %.2f units%s", worstCeilingUnits, ceilingDetails)
+	result.checkRule(r.outcomes[Unanswered] == 0 && r.outcomes[ConnectionLost] == 0, "%d requests without a final answer, %d cut off%s", r.outcomes[Unanswered], r.outcomes[ConnectionLost],
+		r.diagnostics.describeWithoutAnswer(r.fleet.Load.Firms))
+	result.checkBound(usedUnits >= 0.97*reservedUnits, "of a reservation of %.0f units only %.0f were drawn, want at least 97%%", reservedUnits, usedUnits)
+	result.checkRule(usedUnits <= reservedUnits+1e-6, "of a reservation of %.0f units %.0f were drawn", reservedUnits, usedUnits)
+	result.checkBound(len(changes) > 0, "no version of the plans was applied")
+	totals := &Table{Name: "plans-run", Head: []string{"figure", "value"}}
+	for i, name := range []string{"served", "admitted", "refused", "failed", "cut off", "unanswered"} {
+		totals.Add(name, r.outcomes[i])
+	}
+	totals.Add("reserved units", reservedUnits)
+	totals.Add("drawn of them", usedUnits)
+	totals.Add("CPU us per request", cpuMicros)
+	totals.Add("latency ms, median", float64(r.fleet.Load.Latency.ValueAtQuantile(50))/1000)
+	totals.Add("latency ms, 99th percentile", float64(r.fleet.Load.Latency.ValueAtQuantile(99))/1000)
+	result.Tables = append(result.Tables, versions, tiers, totals)
+	if r.OutputDir != "" && len(changes) > 1 {
+		_ = os.MkdirAll(r.OutputDir, 0o755)
+		chart := Chart{Name: "plans-overshoot", Title: "Units beyond the larger quota in the second after a change", X: "version", Y: "per cent of the larger plan", Lines: chartLines}
+		if err := chart.Keep(r.OutputDir); err != nil {
+			r.Logf("the chart could not be written: %v", err)
 		}
 	}
-	result.Main = fmt.Sprintf("worst overshoot of a quota in the second after a change %.2f%%, of the ceiling %.2f units, reservation %.1f%% drawn",
-		worst, max(worstCeiling, 0), 100*used/units)
+	result.Summary = fmt.Sprintf("worst overshoot of a quota in the second after a change %.2f%%, of the ceiling %.2f units, reservation %.1f%% drawn",
+		worstPercent, max(worstCeilingUnits, 0), 100*usedUnits/reservedUnits)
 }
 
-// refusals counts a firm's refusals, and those with half of its store unused at that moment.
-func (r *plansRun) refusals(firm int, tier string, f Figures, began time.Time) (all, room int) {
-	sends := r.truth.of(firm)
-	p := f.At(tier, began)
-	s, k := store{p.Burst, began}, 0
-	for _, x := range r.refused {
-		if x.firm != firm {
+// countRefusals counts a firm's rejected tries, and those of them at which at least half of its token bucket was left.
+func (r *plansRun) countRefusals(firm int, tier string, timeline PlanTimeline, began time.Time) (total, withRoom int) {
+	sends := r.sendLog.firmSends(firm)
+	plan := timeline.LargestPlan(tier, began)
+	bucket, sent := tokenBucket{plan.Burst, began}, 0
+	for _, refused := range r.refusedTries {
+		if refused.firm != firm {
 			continue
 		}
-		for ; k < len(sends) && sends[k].At.Before(x.at); k++ {
-			p = f.At(tier, sends[k].At)
-			s.fill(sends[k].At, p.Rate, p.Burst)
-			s.level--
+		for ; sent < len(sends) && sends[sent].At.Before(refused.at); sent++ {
+			plan = timeline.LargestPlan(tier, sends[sent].At)
+			bucket.refill(sends[sent].At, plan.Rate, plan.Burst)
+			bucket.tokens--
 		}
-		p = f.At(tier, x.at)
-		s.fill(x.at, p.Rate, p.Burst)
-		if all++; s.level >= p.Burst/2 {
-			room++
+		plan = timeline.LargestPlan(tier, refused.at)
+		bucket.refill(refused.at, plan.Rate, plan.Burst)
+		if total++; bucket.tokens >= plan.Burst/2 {
+			withRoom++
 		}
 	}
-	return all, room
+	return total, withRoom
 }
 
-// lossyReservation draws a reservation while a limiter is killed and started again and the counter forgets all.
-func lossyReservation(ctx context.Context, o Options, binary, dir string, length time.Duration, result *Result) error {
-	r, err := newPlansRun(o, binary, dir, 0)
+// runLossyReservation draws a reservation while a limiter is killed and restarted and the counter loses all its state. It checks
+// that no more is passed on than the stated bound: the reserved units, what the plan grants in that time, one lease for each
+// limiter, and what the firm asks for within reserve.Blind before and after the counter's loss.
+func runLossyReservation(ctx context.Context, options Options, binary, dir string, length time.Duration, result *Result) error {
+	run, err := newPlansRun(options, binary, dir, 0)
 	if err != nil {
 		return err
 	}
-	defer r.fleet.Close()
-	defer r.trace.end()
-	spender := r.spender()
+	defer run.fleet.Close()
+	defer run.diagnostics.stop()
+	reservedFirm := run.addReservedFirm()
 	began := time.Now()
-	run, stop := context.WithTimeout(ctx, length)
+	loadCtx, stop := context.WithTimeout(ctx, length)
 	defer stop()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		r.fleet.Load.Run(run, o.Seed)
+		run.fleet.Load.Run(loadCtx, options.Seed)
 	}()
-	units := 0.6 * spenderRate * length.Seconds()
+	reservedUnits := 0.6 * reservedFirmRequestsPerSecond * length.Seconds()
 	from, until := began, began.Add(length+time.Minute)
-	if err := r.grant("through-losses", spender, units, from, until); err != nil {
+	if err := run.grantReservation("through-losses", reservedFirm, reservedUnits, from, until); err != nil {
 		return err
 	}
 	time.Sleep(length / 3)
-	r.fleet.Kill(2)
-	r.fleet.World.Counter.Wipe()
+	run.fleet.KillLimiter(2)
+	run.fleet.World.Counter.Wipe()
 	time.Sleep(time.Second)
-	if err := r.fleet.Start(2); err != nil {
+	if err := run.fleet.StartLimiter(2); err != nil {
 		return err
 	}
-	x := plans.Reservation{ID: "through-losses", Firm: spender.ID, Units: units, From: time.Duration(from.UnixNano()), Until: time.Duration(until.UnixNano())}
-	err = r.admin(2, func(ctx context.Context, _ int, c adminpb.AdminClient) error {
-		_, err := c.GrantReservation(ctx, &adminpb.GrantReservationRequest{Reservation: admin.ReservationOut(x, core.ReservationUse{})})
+	reservation := plans.Reservation{ID: "through-losses", Firm: reservedFirm.ID, Units: reservedUnits, From: time.Duration(from.UnixNano()), Until: time.Duration(until.UnixNano())}
+	err = run.adminCall(2, func(ctx context.Context, _ int, c adminpb.AdminClient) error {
+		_, err := c.GrantReservation(ctx, &adminpb.GrantReservationRequest{Reservation: admin.ReservationOut(reservation, core.ReservationUse{})})
 		return err
 	})
 	<-done
-	if err = errors.Join(err, r.fleet.Crash()); err != nil {
+	if err = errors.Join(err, run.fleet.CheckCrashes()); err != nil {
 		return err
 	}
-	sent := float64(len(r.truth.of(r.byID[spender.ID])))
-	tier := planTiers(1)[1]
-	ended := time.Since(began).Seconds()
-	quota := tier.Burst + tier.Rate*ended + tier.Burst/planLimiters // a limiter that starts again has its store's part anew
-	bound := units + quota + float64(planLimiters)*units/reserve.Part + spenderRate*2*reserve.Blind.Seconds()
-	t := &Table{Name: "plans-losses", Head: []string{"figure", "value"}}
-	t.Add("reserved units", units)
-	t.Add("units of the plan in that time", quota)
-	t.Add("sent on", sent)
-	t.Add("stated bound", bound)
-	result.Tables = append(result.Tables, t)
-	result.rule(sent <= bound, "with a limiter killed and the counter wiped %.0f units were sent on, the bound is %.0f", sent, bound)
-	result.rule(r.ends[Unanswered] == 0, "%d requests without a final answer%s", r.ends[Unanswered], r.trace.requests(r.fleet.Load.Firms))
+	sentUnits := float64(len(run.sendLog.firmSends(run.firmByID[reservedFirm.ID])))
+	tier := scaledTiers(1)[1]
+	elapsedSeconds := time.Since(began).Seconds()
+	quotaUnits := tier.Burst + tier.Rate*elapsedSeconds + tier.Burst/limiterCount // a limiter that restarts has its part of the burst again
+	boundUnits := reservedUnits + quotaUnits + float64(limiterCount)*reservedUnits/reserve.Part + reservedFirmRequestsPerSecond*2*reserve.Blind.Seconds()
+	table := &Table{Name: "plans-losses", Head: []string{"figure", "value"}}
+	table.Add("reserved units", reservedUnits)
+	table.Add("units of the plan in that time", quotaUnits)
+	table.Add("sent on", sentUnits)
+	table.Add("stated bound", boundUnits)
+	result.Tables = append(result.Tables, table)
+	result.checkRule(sentUnits <= boundUnits, "with a limiter killed and the counter wiped %.0f units were sent on, the bound is %.0f", sentUnits, boundUnits)
+	result.checkRule(run.outcomes[Unanswered] == 0, "%d requests without a final answer%s", run.outcomes[Unanswered], run.diagnostics.describeWithoutAnswer(run.fleet.Load.Firms))
 	return nil
 }
--- a/internal/lab/real.go
+++ b/internal/lab/real.go
@@ -14,204 +14,211 @@
 	"bramblefall/internal/standin"
 )
 
-// Real is what a scenario came to on real limiters.
-type Real struct {
-	Requests, Tries int
-	Ends            [Unanswered + 1]int
-	Worth           float64
-	RefusedByTier   []float64
-	Median, P99     float64 // seconds
-	CPU             float64 // microseconds for each try
-	OverQuota       float64
+// RealResult is the outcome of a scenario on real limiters. Requests that were due within the scenario's warm-up do not count,
+// except where the comment of a field says that it covers the whole run.
+type RealResult struct {
+	Requests, Tries           int                 // requests that were begun; tries that ended
+	Outcomes                  [Unanswered + 1]int // tries, by Outcome
+	WorthShare                float64             // worth served, less the cost of units beyond quotas in the whole run, over the worth asked inside quotas
+	RefusedShareByTier        []float64           // of the tier's tries
+	MedianSeconds, P99Seconds float64             // latency of what was served or admitted, in the whole run
+	CPUMicrosPerTry           float64             // CPU time of all limiters in the whole run over Tries
+	OverQuotaShare            float64             // units passed on beyond quotas over all units passed on, in the whole run
 }
 
-// realNode keeps the cores, slots and waiting room of one stand-in node in real time, as the model's nodes do.
+// realNode simulates in real time the cores, slots and queue of one stand-in node, as the model's nodes do in virtual time.
 type realNode struct {
-	mu      sync.Mutex
-	kind    model.NodeKind
-	rng     *rand.Rand
-	working int
-	waits   []chan struct{}
-	since   time.Time // cold since; zero: warm
+	mu        sync.Mutex
+	spec      model.NodeKind
+	rng       *rand.Rand
+	busySlots int
+	waiting   []chan struct{} // one for each queued request, closed when it gets a slot
+	coldSince time.Time       // when the node last restarted; zero if it is warm
 }
 
-// serve takes a request's work; false: it was turned away.
-func (n *realNode) serve(mean float64) bool {
+// serve waits until the work of a request is done, drawn round meanSeconds. It returns false at once if the queue is full.
+func (n *realNode) serve(meanSeconds float64) bool {
 	n.mu.Lock()
-	if n.working >= n.kind.Slots {
-		if len(n.waits) >= n.kind.Queue {
+	if n.busySlots >= n.spec.Slots {
+		if len(n.waiting) >= n.spec.Queue {
 			n.mu.Unlock()
 			return false
 		}
-		turn := make(chan struct{})
-		n.waits = append(n.waits, turn)
+		granted := make(chan struct{})
+		n.waiting = append(n.waiting, granted)
 		n.mu.Unlock()
-		<-turn
+		<-granted
 		n.mu.Lock()
 	} else {
-		n.working++
+		n.busySlots++
 	}
-	work := n.kind.Work(n.rng, mean)
-	over := float64(max(0, n.working-n.kind.Cores))
-	speed := 1 / (1 + over/float64(n.kind.Cores)) / (1 + n.kind.Thrash*over)
-	if !n.since.IsZero() && n.kind.ColdSeconds > 0 {
-		speed *= min(1, n.kind.ColdShare+(1-n.kind.ColdShare)*time.Since(n.since).Seconds()/n.kind.ColdSeconds)
+	workSeconds := n.spec.Work(n.rng, meanSeconds)
+	excess := float64(max(0, n.busySlots-n.spec.Cores))
+	speed := 1 / (1 + excess/float64(n.spec.Cores)) / (1 + n.spec.Thrash*excess)
+	if !n.coldSince.IsZero() && n.spec.ColdSeconds > 0 {
+		speed *= min(1, n.spec.ColdShare+(1-n.spec.ColdShare)*time.Since(n.coldSince).Seconds()/n.spec.ColdSeconds)
 	}
 	n.mu.Unlock()
-	time.Sleep(time.Duration(work / speed * float64(time.Second)))
+	time.Sleep(time.Duration(workSeconds / speed * float64(time.Second)))
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if len(n.waits) > 0 { // the slot is handed on
-		close(n.waits[0])
-		n.waits = n.waits[1:]
+	if len(n.waiting) > 0 { // the next queued request takes over the slot
+		close(n.waiting[0])
+		n.waiting = n.waiting[1:]
 	} else {
-		n.working--
+		n.busySlots--
 	}
 	return true
 }
 
+// realRun is a scenario in progress on real limiters.
 type realRun struct {
-	s     model.Scenario
-	seed  uint64
-	fleet *Fleet
-	truth *Truth
-	nodes map[string]*realNode
-	means []float64
-	byID  map[uint64]int
-	specs []model.FirmSpec
-	began time.Time
+	scenario        model.Scenario
+	seed            uint64
+	fleet           *Fleet
+	sendLog         *SendLog
+	nodes           map[string]*realNode // by node id
+	meanWorkByClass []float64            // seconds
+	firmByID        map[uint64]int       // index in firmSpecs
+	firmSpecs       []model.FirmSpec
+	began           time.Time
 
-	asked  []store // by firm: what is asked for inside the quota
-	inside map[uint64]bool
-	real   Real
-	tries  []int
-	refuse []int
-	served float64
-	worth  float64
+	requestedBuckets []tokenBucket   // by firm: the quota as drawn down by first tries, to tell which requests are inside it
+	inside           map[uint64]bool // not used
+	totals           RealResult      // counts so far; summarize fills in the shares and latencies
+	triesByTier      []int
+	refusedByTier    []int
+	worthServed      float64
+	worthAsked       float64 // by requests inside the quotas
 }
 
-// OnReal plays a scenario against real limiters, at its own size, in real time. binary is the limiter's program; "": the
-// one that is built from here.
-func OnReal(ctx context.Context, s model.Scenario, seed uint64, binary string, say func(string, ...any)) (Real, error) {
-	if s.Units.Most > 1 || len(s.Machines) > 0 || s.Node.Reports {
-		return Real{}, errors.New("units, kinds of machines and load reports are in the model alone")
+// RunReal runs a scenario on real limiters, at the scenario's own size and in real time. binary is the path of the limiter's
+// program; if it is empty, the program is built from the module in the current directory.
+func RunReal(ctx context.Context, scenario model.Scenario, seed uint64, binary string, logf func(string, ...any)) (RealResult, error) {
+	if scenario.Units.Most > 1 || len(scenario.Machines) > 0 || scenario.Node.Reports {
+		return RealResult{}, errors.New("the scenario has units, kinds of machines or load reports: only the model supports them")
 	}
 	dir, err := os.MkdirTemp("", "bramblelab")
 	if err != nil {
-		return Real{}, err
+		return RealResult{}, err
 	}
 	defer os.RemoveAll(dir)
 	if binary == "" {
-		say("building the limiter")
+		logf("building the limiter")
 		if binary, err = Build(ctx, dir); err != nil {
-			return Real{}, err
+			return RealResult{}, err
 		}
 	}
-	r := &realRun{s: s, seed: seed, nodes: map[string]*realNode{}, means: model.DrawWork(s, seed), byID: map[uint64]int{},
-		specs: model.DrawFirms(s, seed), inside: map[uint64]bool{}, tries: make([]int, len(s.Tiers)), refuse: make([]int, len(s.Tiers))}
-	r.truth = NewTruth(len(r.specs))
-	for k := range s.Nodes {
-		r.nodes[fmt.Sprintf("s-%d", k)] = &realNode{kind: s.Node, rng: rand.New(rand.NewPCG(seed, uint64(k)))}
+	r := &realRun{scenario: scenario, seed: seed, nodes: map[string]*realNode{}, meanWorkByClass: model.DrawWork(scenario, seed), firmByID: map[uint64]int{},
+		firmSpecs: model.DrawFirms(scenario, seed), inside: map[uint64]bool{}, triesByTier: make([]int, len(scenario.Tiers)), refusedByTier: make([]int, len(scenario.Tiers))}
+	r.sendLog = NewSendLog(len(r.firmSpecs))
+	for k := range scenario.Nodes {
+		r.nodes[fmt.Sprintf("s-%d", k)] = &realNode{spec: scenario.Node, rng: rand.New(rand.NewPCG(seed, uint64(k)))}
 	}
-	if r.fleet, err = NewFleet(binary, dir, true, s.Limiters, s.Nodes, s.Tiers, r.handle); err != nil {
-		return Real{}, err
+	if r.fleet, err = NewFleet(binary, dir, true, scenario.Limiters, scenario.Nodes, scenario.Tiers, r.handleRequest); err != nil {
+		return RealResult{}, err
 	}
 	defer r.fleet.Close()
-	r.load()
+	r.setUpLoad()
 	r.began = time.Now()
-	run, stop := context.WithTimeout(ctx, time.Duration(s.Seconds*float64(time.Second)))
+	run, stop := context.WithTimeout(ctx, time.Duration(scenario.Seconds*float64(time.Second)))
 	defer stop()
-	go r.shifts(run)
-	for k, f := range s.Faults {
-		go r.strike(run, f, k)
+	go r.shiftPreferredLimiters(run)
+	for k, f := range scenario.Faults {
+		go r.playFault(run, f, k)
 	}
-	say("%s on %d real limiters for %.0f s", s.Name, s.Limiters, s.Seconds)
+	logf("%s on %d real limiters for %.0f s", scenario.Name, scenario.Limiters, scenario.Seconds)
 	r.fleet.Load.Run(run, seed)
-	if err := r.fleet.Crash(); err != nil {
-		return r.real, err
+	if err := r.fleet.CheckCrashes(); err != nil {
+		return r.totals, err
 	}
-	return r.result(), nil
+	return r.summarize(), nil
 }
 
-func (r *realRun) handle(n *standin.Node, args [][]byte) ([]byte, bool, time.Duration) {
+// handleRequest answers a command as a node. It takes Q.DO for a request of the last class and any other command for one of the
+// first class.
+func (r *realRun) handleRequest(n *standin.Node, args [][]byte) ([]byte, bool, time.Duration) {
 	id, _ := strconv.ParseUint(string(args[1]), 16, 64)
 	class := 0
 	if string(args[0]) == "Q.DO" {
-		class = len(r.s.Classes) - 1
+		class = len(r.scenario.Classes) - 1
 	}
-	if k, ok := r.byID[id]; ok {
-		r.truth.Sent(k, string(args[2]))
+	if k, ok := r.firmByID[id]; ok {
+		r.sendLog.Record(k, string(args[2]))
 	}
-	if !r.nodes[n.ID].serve(r.means[class]) {
+	if !r.nodes[n.ID].serve(r.meanWorkByClass[class]) {
 		return []byte("-BUSY\r\n"), false, 0
 	}
 	return standin.Value("v"), true, 0
 }
 
-// load makes the clients of the scenario.
-func (r *realRun) load() {
+// setUpLoad configures the load generator with the scenario's classes, retry policy and firms.
+func (r *realRun) setUpLoad() {
 	l := r.fleet.Load
 	r.fleet.World.Unchecked = true
-	for _, c := range r.s.Classes {
+	for _, c := range r.scenario.Classes {
 		l.Classes = append(l.Classes, Class{c.Name, c.Share, c.Keyed, time.Duration(c.Deadline * float64(time.Second))})
 	}
-	c := r.s.Clients
-	l.Clients = Clients{c.Retries, c.Wait, c.GiveUp, c.Honour}
-	for k, f := range r.specs {
-		r.byID[f.ID] = k
-		l.Firms = append(l.Firms, &Firm{ID: f.ID, Tier: r.s.Tiers[f.Tier].Name, Demand: f.Demand, Spread: f.Spread, First: f.First, Skew: r.s.Firms.Skew})
-		r.asked = append(r.asked, store{r.s.Tiers[f.Tier].Burst, time.Now()})
+	c := r.scenario.Clients
+	l.RetryPolicy = RetryPolicy{c.Retries, c.Wait, c.GiveUp, c.Honour}
+	for k, f := range r.firmSpecs {
+		r.firmByID[f.ID] = k
+		l.Firms = append(l.Firms, &Firm{ID: f.ID, Tier: r.scenario.Tiers[f.Tier].Name, RequestsPerSecond: f.Demand, Spread: f.Spread, FirstLimiter: f.First, PreferredShare: r.scenario.Firms.Skew})
+		r.requestedBuckets = append(r.requestedBuckets, tokenBucket{r.scenario.Tiers[f.Tier].Burst, time.Now()})
 	}
-	l.Sends = func(t Try) {
-		p := r.s.Tiers[r.specs[t.Firm].Tier]
-		a := &r.asked[t.Firm]
-		a.fill(time.Now(), p.Rate, p.Burst)
-		if a.level >= 1 {
-			a.level--
-			if r.counts(t) {
-				r.worth += r.s.Classes[t.Class].Worth * p.Price
+	l.BeforeRequest = func(t Try) {
+		p := r.scenario.Tiers[r.firmSpecs[t.Firm].Tier]
+		a := &r.requestedBuckets[t.Firm]
+		a.refill(time.Now(), p.Rate, p.Burst)
+		if a.tokens >= 1 {
+			a.tokens--
+			if r.afterWarmUp(t) {
+				r.worthAsked += r.scenario.Classes[t.Class].Worth * p.Price
 			}
 		}
-		if r.counts(t) {
-			r.real.Requests++
+		if r.afterWarmUp(t) {
+			r.totals.Requests++
 		}
 	}
-	l.Ended = r.ended
+	l.AfterTry = r.afterTry
 }
 
-func (r *realRun) counts(t Try) bool { return t.Due.Sub(r.began).Seconds() >= r.s.Warm }
+// afterWarmUp reports whether a try's request was due after the scenario's warm-up.
+func (r *realRun) afterWarmUp(t Try) bool { return t.Due.Sub(r.began).Seconds() >= r.scenario.Warm }
 
-func (r *realRun) ended(e End) {
-	if !r.counts(e.Try) {
+// afterTry counts a try's outcome and the worth of what was served.
+func (r *realRun) afterTry(e TryResult) {
+	if !r.afterWarmUp(e.Try) {
 		return
 	}
-	tier := r.specs[e.Firm].Tier
-	r.real.Tries++
-	r.tries[tier]++
-	r.real.Ends[e.Kind]++
-	switch e.Kind {
+	tier := r.firmSpecs[e.Firm].Tier
+	r.totals.Tries++
+	r.triesByTier[tier]++
+	r.totals.Outcomes[e.Outcome]++
+	switch e.Outcome {
 	case Refused:
-		r.refuse[tier]++
+		r.refusedByTier[tier]++
 	case Served:
-		worth := r.s.Classes[e.Class].Worth * r.s.Tiers[tier].Price
-		if e.At.Sub(e.Due).Seconds() > r.s.Classes[e.Class].Aim {
-			worth *= r.s.Classes[e.Class].Late
+		worth := r.scenario.Classes[e.Class].Worth * r.scenario.Tiers[tier].Price
+		if e.EndedAt.Sub(e.Due).Seconds() > r.scenario.Classes[e.Class].Aim {
+			worth *= r.scenario.Classes[e.Class].Late
 		}
-		r.served += worth
+		r.worthServed += worth
 	}
 }
 
-// shifts moves the firms' busiest limiters.
-func (r *realRun) shifts(ctx context.Context) {
+// shiftPreferredLimiters draws each firm's preferred limiter anew at the intervals that the scenario names, until the context
+// ends.
+func (r *realRun) shiftPreferredLimiters(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(r.seed, 77))
-	due := make([]time.Time, len(r.specs))
+	due := make([]time.Time, len(r.firmSpecs))
 	for ctx.Err() == nil {
 		now := time.Now()
-		r.fleet.Load.Change(func() {
+		r.fleet.Load.UpdateFirms(func() {
 			for k, f := range r.fleet.Load.Firms {
 				if now.After(due[k]) {
-					f.place = rng.IntN(max(f.Spread, 1))
-					due[k] = now.Add(time.Duration((r.s.Firms.ShiftS[0] + (r.s.Firms.ShiftS[1]-r.s.Firms.ShiftS[0])*rng.Float64()) * float64(time.Second)))
+					f.preferredOffset = rng.IntN(max(f.Spread, 1))
+					due[k] = now.Add(time.Duration((r.scenario.Firms.ShiftS[0] + (r.scenario.Firms.ShiftS[1]-r.scenario.Firms.ShiftS[0])*rng.Float64()) * float64(time.Second)))
 				}
 			}
 		})
@@ -219,124 +226,127 @@
 	}
 }
 
-// strike begins a fault that the stand-ins can play.
-func (r *realRun) strike(ctx context.Context, f model.Fault, nth int) {
-	pause := func(s float64) bool {
+// playFault waits for the start of a fault and plays it. Kinds that the stand-ins do not support have no effect.
+func (r *realRun) playFault(ctx context.Context, fault model.Fault, index int) {
+	sleep := func(seconds float64) bool {
 		select {
 		case <-ctx.Done():
 			return false
-		case <-time.After(time.Duration(s * float64(time.Second))):
+		case <-time.After(time.Duration(seconds * float64(time.Second))):
 			return true
 		}
 	}
-	if !pause(f.At) {
+	if !sleep(fault.At) {
 		return
 	}
-	rng := rand.New(rand.NewPCG(r.seed, uint64(f.At*1000)))
-	switch f.Kind {
+	rng := rand.New(rand.NewPCG(r.seed, uint64(fault.At*1000)))
+	switch fault.Kind {
 	case model.FaultFlush:
-		r.fleet.World.Counter.Flush(f.Part)
+		r.fleet.World.Counter.Flush(fault.Part)
 	case model.FaultHot:
-		usual := 0.0
-		for _, x := range r.specs {
-			usual += x.Demand
+		totalRate := 0.0
+		for _, firm := range r.firmSpecs {
+			totalRate += firm.Demand
 		}
-		some := model.Hot(r.seed, nth, len(r.specs))
-		add := func(v float64) {
-			r.fleet.Load.Change(func() {
-				for _, k := range some {
-					r.fleet.Load.Firms[k].Demand += v
+		hotFirms := model.Hot(r.seed, index, len(r.firmSpecs))
+		addRate := func(rate float64) {
+			r.fleet.Load.UpdateFirms(func() {
+				for _, k := range hotFirms {
+					r.fleet.Load.Firms[k].RequestsPerSecond += rate
 				}
 			})
 		}
-		add(f.Size * usual / 3)
-		if pause(f.For) {
-			add(-f.Size * usual / 3)
+		addRate(fault.Size * totalRate / 3)
+		if sleep(fault.For) {
+			addRate(-fault.Size * totalRate / 3)
 		}
 	case model.FaultDrain:
-		for _, k := range rng.Perm(r.s.Nodes)[:max(1, int(f.Part*float64(r.s.Nodes)+0.5))] {
-			n := r.fleet.World.Nodes[k]
-			n.State.Store("draining")
+		for _, k := range rng.Perm(r.scenario.Nodes)[:max(1, int(fault.Part*float64(r.scenario.Nodes)+0.5))] {
+			standIn := r.fleet.World.Nodes[k]
+			standIn.State.Store("draining")
 			r.fleet.World.Discovery.Changed()
 			go func() {
-				if pause(8) {
-					r.fleet.World.Renew(n, time.Now())
-					x := r.nodes[n.ID]
-					x.mu.Lock()
-					x.since = time.Now()
-					x.mu.Unlock()
+				if sleep(8) {
+					r.fleet.World.Renew(standIn, time.Now())
+					node := r.nodes[standIn.ID]
+					node.mu.Lock()
+					node.coldSince = time.Now()
+					node.mu.Unlock()
 				}
 			}()
 		}
-	case model.FaultHall: // processes die; silence cannot be had on loopback
+	case model.FaultHall: // the nodes' processes are killed: an unreachable hall cannot be simulated on loopback
 		var lost []*standin.Node
-		for k, n := range r.fleet.World.Nodes {
-			if k%r.s.Halls == f.Hall%r.s.Halls {
-				lost = append(lost, n)
-				n.Crash()
-				r.fleet.World.Tell(n, "gone", time.Time{})
+		for k, standIn := range r.fleet.World.Nodes {
+			if k%r.scenario.Halls == fault.Hall%r.scenario.Halls {
+				lost = append(lost, standIn)
+				standIn.Crash()
+				r.fleet.World.Tell(standIn, "gone", time.Time{})
 			}
 		}
-		if pause(f.For) {
-			for _, n := range lost {
-				if err := n.Restart(); err != nil {
+		if sleep(fault.For) {
+			for _, standIn := range lost {
+				if err := standIn.Restart(); err != nil {
 					return
 				}
-				x := r.nodes[n.ID]
-				x.mu.Lock()
-				x.since = time.Now()
-				x.mu.Unlock()
-				r.fleet.World.Tell(n, "ready", time.Now())
+				node := r.nodes[standIn.ID]
+				node.mu.Lock()
+				node.coldSince = time.Now()
+				node.mu.Unlock()
+				r.fleet.World.Tell(standIn, "ready", time.Now())
 			}
 		}
 	case model.FaultLimiters:
-		for _, k := range rng.Perm(r.s.Limiters)[:max(1, int(f.Part*float64(r.s.Limiters)+0.5))] {
-			r.fleet.Kill(k)
+		for _, k := range rng.Perm(r.scenario.Limiters)[:max(1, int(fault.Part*float64(r.scenario.Limiters)+0.5))] {
+			r.fleet.KillLimiter(k)
 			go func() {
-				if pause(f.For) {
-					_ = r.fleet.Start(k)
+				if sleep(fault.For) {
+					_ = r.fleet.StartLimiter(k)
 				}
 			}()
 		}
 	}
 }
 
-func (r *realRun) result() Real {
-	out := r.real
-	figures := Figures{Limiters: [][]Period{{{r.began.Add(-time.Hour), r.s.Tiers}}}}
-	sent, beyond, cost := 0.0, 0.0, 0.0
-	for k, f := range r.specs {
-		v := r.truth.Judge(k, r.s.Tiers[f.Tier].Name, figures, r.began, 0, 0, nil)
-		sent, beyond = sent+v.Sent, beyond+v.Beyond
-		cost += v.Beyond * (1 + r.s.Tiers[f.Tier].OverCost) * r.s.Tiers[f.Tier].Price * r.s.Classes[0].Worth // of the usual class
+// summarize judges every firm's requests against its quota and returns the run's result.
+func (r *realRun) summarize() RealResult {
+	result := r.totals
+	timeline := PlanTimeline{ByLimiter: [][]PlanPeriod{{{r.began.Add(-time.Hour), r.scenario.Tiers}}}}
+	sent, beyond, quotaCost := 0.0, 0.0, 0.0
+	for i, firm := range r.firmSpecs {
+		use := r.sendLog.Evaluate(i, r.scenario.Tiers[firm.Tier].Name, timeline, r.began, 0, 0, nil)
+		sent, beyond = sent+use.Sent, beyond+use.BeyondQuota
+		quotaCost += use.BeyondQuota * (1 + r.scenario.Tiers[firm.Tier].OverCost) * r.scenario.Tiers[firm.Tier].Price * r.scenario.Classes[0].Worth // at the worth of the first class
 	}
-	out.Worth = (r.served - cost) / max(r.worth, 1e-9)
-	out.OverQuota = beyond / max(sent, 1)
-	for k := range r.tries {
-		out.RefusedByTier = append(out.RefusedByTier, float64(r.refuse[k])/float64(max(r.tries[k], 1)))
+	result.WorthShare = (r.worthServed - quotaCost) / max(r.worthAsked, 1e-9)
+	result.OverQuotaShare = beyond / max(sent, 1)
+	for i := range r.triesByTier {
+		result.RefusedShareByTier = append(result.RefusedShareByTier, float64(r.refusedByTier[i])/float64(max(r.triesByTier[i], 1)))
 	}
-	out.Median = float64(r.fleet.Load.Latency.ValueAtQuantile(50)) / 1e6
-	out.P99 = float64(r.fleet.Load.Latency.ValueAtQuantile(99)) / 1e6
-	out.CPU = float64(r.fleet.CPU().Microseconds()) / float64(max(out.Tries, 1))
-	return out
+	result.MedianSeconds = float64(r.fleet.Load.Latency.ValueAtQuantile(50)) / 1e6
+	result.P99Seconds = float64(r.fleet.Load.Latency.ValueAtQuantile(99)) / 1e6
+	result.CPUMicrosPerTry = float64(r.fleet.CPUTime().Microseconds()) / float64(max(result.Tries, 1))
+	return result
 }
 
-// Agreement holds a model's result beside the real one.
-func Agreement(s model.Scenario, m model.Result, r Real) *Table {
+// AgreementTable compares the model's result of a scenario with the result on real limiters.
+func AgreementTable(s model.Scenario, modelled model.Result, measured RealResult) *Table {
 	t := &Table{Name: "agreement-" + s.Name, Head: []string{"figure", "model", "real", "difference"}}
-	row := func(name string, a, b float64) { t.Add(name, a, b, b-a) }
-	row("worth served, points", 100*m.Worth(), 100*r.Worth)
+	row := func(name string, modelValue, realValue float64) {
+		t.Add(name, modelValue, realValue, realValue-modelValue)
+	}
+	row("worth served, points", 100*modelled.Worth(), 100*measured.WorthShare)
 	for k, p := range s.Tiers {
-		row("refused of "+p.Name+", points", 100*m.RefusedByTier[k], 100*r.RefusedByTier[k])
+		row("refused of "+p.Name+", points", 100*modelled.RefusedByTier[k], 100*measured.RefusedShareByTier[k])
 	}
-	row("tries", float64(m.Tries), float64(r.Tries))
-	row("served", float64(m.Served), float64(r.Ends[Served]))
-	row("refused", float64(m.Refused), float64(r.Ends[Refused]))
-	row("failed", float64(m.Failed), float64(r.Ends[Failed]))
-	row("cut off", float64(m.Lost), float64(r.Ends[Cut]))
-	row("beyond quotas, points", 100*m.OverQuota(), 100*r.OverQuota)
-	t.Add("CPU us each", "-", r.CPU, "-")
-	row("median latency, s", m.Median, r.Median)
-	row("99th percentile, s", m.P99, r.P99)
+	row("tries", float64(modelled.Tries), float64(measured.Tries))
+	row("served", float64(modelled.Served), float64(measured.Outcomes[Served]))
+	row("refused", float64(modelled.Refused), float64(measured.Outcomes[Refused]))
+	row("failed", float64(modelled.Failed), float64(measured.Outcomes[Failed]))
+	row("cut off", float64(modelled.Lost), float64(measured.Outcomes[ConnectionLost]))
+	row("beyond quotas, points", 100*modelled.OverQuota(), 100*measured.OverQuotaShare)
+	t.Add("CPU us each", "-", measured.CPUMicrosPerTry, "-")
+	row("median latency, s", modelled.Median, measured.MedianSeconds)
+	row("99th percentile, s", modelled.P99, measured.P99Seconds)
 	return t
 }
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -17,14 +17,14 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Table is a result: the first column names the row.
+// Table is a table of results. The first column of each row names the row.
 type Table struct {
-	Name string
+	Name string // also the base name of its files
 	Head []string
 	Rows [][]string
 }
 
-// Add appends a row; numbers are written with as many digits as they need, four at most.
+// Add appends a row. Floating-point numbers are written with at most four significant digits.
 func (t *Table) Add(cells ...any) {
 	row := make([]string, len(cells))
 	for k, c := range cells {
@@ -38,7 +38,7 @@
 	t.Rows = append(t.Rows, row)
 }
 
-// Markdown is the table as text.
+// Markdown returns the table as a Markdown table.
 func (t *Table) Markdown() string {
 	var b strings.Builder
 	line := func(cells []string) { fmt.Fprintf(&b, "| %s |\n", strings.Join(cells, " | ")) }
@@ -65,7 +65,7 @@
 	return os.WriteFile(filepath.Join(dir, t.Name+".md"), []byte(t.Markdown()), 0o644)
 }
 
-// Chart is lines over one axis.
+// Chart is a line chart. Lines maps the names of the legend to the points.
 type Chart struct {
 	Name, Title, X, Y string
 	Lines             map[string]plotter.XYs
@@ -90,17 +90,17 @@
 	return p.Save(18*vg.Centimeter, 10*vg.Centimeter, filepath.Join(dir, c.Name+".svg"))
 }
 
-// Bars is one value for each name.
-type Bars struct {
-	Name, Title, Y string
-	Labels         []string
-	Values         []float64
+// BarChart is a bar chart with one bar for each label.
+type BarChart struct {
+	Name, Title, YLabel string
+	Labels              []string
+	Values              []float64
 }
 
-// Keep writes the chart into dir as SVG.
-func (b Bars) Keep(dir string) error {
+// WriteSVG writes the chart into dir as SVG.
+func (b BarChart) WriteSVG(dir string) error {
 	p := plot.New()
-	p.Title.Text, p.Y.Label.Text = b.Title, b.Y
+	p.Title.Text, p.Y.Label.Text = b.Title, b.YLabel
 	bars, err := plotter.NewBarChart(plotter.Values(b.Values), vg.Points(24))
 	if err != nil {
 		return err
@@ -108,14 +108,15 @@
 	bars.Color = plotutil.Color(0)
 	p.Add(bars)
 	p.NominalX(b.Labels...)
-	if len(b.Labels) > 5 { // or they run into each other
+	if len(b.Labels) > 5 { // upright labels would overlap
 		p.X.Tick.Label.Rotation = 0.5
 		p.X.Tick.Label.XAlign = -1
 	}
 	return p.Save(18*vg.Centimeter, 10*vg.Centimeter, filepath.Join(dir, b.Name+".svg"))
 }
 
-// Page writes one HTML page of a directory's tables and charts. It gives the page's path.
+// Page writes index.html into dir, a page with all tables (*.csv) and charts (*.svg) of that directory. It returns the page's
+// path.
 func Page(dir string) (string, error) {
 	var b strings.Builder
 	b.WriteString("<!doctype html><meta charset=utf-8><title>bramblelab</title><style>body{font:14px sans-serif;margin:2em}td,th{border:1px solid #bbb;padding:2px 8px;text-align:right}table{border-collapse:collapse}</style>\n")
@@ -128,7 +129,7 @@
 		return "", err
 	}
 	if len(charts)+len(tables) == 0 {
-		return "", fmt.Errorf("%s: neither a table nor a chart", dir)
+		return "", fmt.Errorf("%s: found neither a table (*.csv) nor a chart (*.svg)", dir)
 	}
 	for _, path := range tables {
 		f, err := os.Open(path)
@@ -141,14 +142,14 @@
 			return "", fmt.Errorf("%s: %w", path, err)
 		}
 		fmt.Fprintf(&b, "<h2>%s</h2><table>\n", html.EscapeString(strings.TrimSuffix(filepath.Base(path), ".csv")))
-		for k, r := range rows {
+		for k, row := range rows {
 			cell := "td"
 			if k == 0 {
 				cell = "th"
 			}
 			b.WriteString("<tr>")
-			for _, x := range r {
-				fmt.Fprintf(&b, "<%s>%s</%s>", cell, html.EscapeString(x), cell)
+			for _, text := range row {
+				fmt.Fprintf(&b, "<%s>%s</%s>", cell, html.EscapeString(text), cell)
 			}
 			b.WriteString("</tr>\n")
 		}
@@ -166,8 +167,8 @@
 	return path, os.WriteFile(path, []byte(b.String()), 0o644)
 }
 
-// ChartColumn draws one column of a table as bars, named by the first.
-func ChartColumn(path, column, title string) error {
+// DrawColumn writes a bar chart of one column of the CSV table at path, beside that file. The first column gives the labels.
+func DrawColumn(path, column, title string) error {
 	f, err := os.Open(path)
 	if err != nil {
 		return err
@@ -177,17 +178,17 @@
 	if err != nil || len(rows) < 2 {
 		return fmt.Errorf("%s: no table: %w", path, err)
 	}
-	at := slices.Index(rows[0], column)
-	if at < 0 {
+	index := slices.Index(rows[0], column)
+	if index < 0 {
 		return fmt.Errorf("%s: no column %q in %v", path, column, rows[0])
 	}
-	b := Bars{Name: strings.TrimSuffix(filepath.Base(path), ".csv"), Title: title, Y: column}
-	for _, r := range rows[1:] {
-		v, err := strconv.ParseFloat(r[at], 64)
+	chart := BarChart{Name: strings.TrimSuffix(filepath.Base(path), ".csv"), Title: title, YLabel: column}
+	for _, row := range rows[1:] {
+		value, err := strconv.ParseFloat(row[index], 64)
 		if err != nil {
-			return fmt.Errorf("%s: %q is not a number", path, r[at])
+			return fmt.Errorf("%s: %q is not a number", path, row[index])
 		}
-		b.Labels, b.Values = append(b.Labels, r[0]), append(b.Values, v)
+		chart.Labels, chart.Values = append(chart.Labels, row[0]), append(chart.Values, value)
 	}
-	return b.Keep(filepath.Dir(path))
+	return chart.WriteSVG(filepath.Dir(path))
 }
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -16,10 +16,11 @@
 	"bramblefall/scenarios"
 )
 
-var scenarioParts = []string{"node", "network", "counter", "discovery", "clients", "firms", "tier", "request_class", "fault", "bounds", "scale", "machine", "rules", "units"}
+// scenarioFunctions are the functions that a scenario script may call besides scenario itself.
+var scenarioFunctions = []string{"node", "network", "counter", "discovery", "clients", "firms", "tier", "request_class", "fault", "bounds", "scale", "machine", "rules", "units"}
 
-// Shipped is the names of the scenarios that the repository ships.
-func Shipped() (names []string) {
+// ShippedScenarios returns the names of the scenarios that are embedded in the program.
+func ShippedScenarios() (names []string) {
 	files, _ := fs.Glob(scenarios.Files, "*.star")
 	for _, f := range files {
 		names = append(names, strings.TrimSuffix(f, ".star"))
@@ -27,19 +28,20 @@
 	return names
 }
 
-// LoadScenario reads a scenario: a file's, or a shipped one's by its name.
+// LoadScenario reads a shipped scenario by its name, or else the scenario in the file of that path.
 func LoadScenario(name string) (model.Scenario, error) {
 	source, err := scenarios.Files.ReadFile(name + ".star")
 	if err != nil {
 		if source, err = os.ReadFile(name); err != nil {
-			return model.Scenario{}, fmt.Errorf("%w; shipped are %v", err, Shipped())
+			return model.Scenario{}, fmt.Errorf("%w; shipped are %v", err, ShippedScenarios())
 		}
 	}
 	return ReadScenario(filepath.Base(name), source)
 }
 
-// sized is a scenario's own fields, and the size that the base is scaled to.
-type sized struct {
+// scaleSetting is the field "scale" of a scenario: the size to which the base scenario is scaled. model.Scenario has no such
+// field.
+type scaleSetting struct {
 	Scale struct {
 		Limiters int     `json:"limiters"`
 		Nodes    int     `json:"nodes"`
@@ -48,59 +50,59 @@
 	} `json:"scale"`
 }
 
-// ReadScenario evaluates a scenario's script. What it does not name is as in the base.
+// ReadScenario evaluates a scenario's script. Fields that it does not set have the values of the base scenario.
 func ReadScenario(file string, source []byte) (model.Scenario, error) {
-	made, err := script.Run(file, source, "scenario", scenarioParts...)
+	evaluated, err := script.Run(file, source, "scenario", scenarioFunctions...)
 	if err != nil {
 		return model.Scenario{}, err
 	}
-	var all []error
-	bad := func(path, text string) {
-		all = append(all, &script.Error{File: file, Line: made.Line(path), Text: path + ": " + text})
+	var problems []error
+	addProblem := func(path, text string) {
+		problems = append(problems, &script.Error{File: file, Line: evaluated.Line(path), Text: path + ": " + text})
 	}
-	fields, _ := made.Value.(map[string]any)
+	fields, _ := evaluated.Value.(map[string]any)
 	s := model.Base()
 	if fields["scale"] != nil {
-		var size sized
-		unknown(fields["scale"], reflect.TypeOf(size.Scale), "scale", bad)
+		var size scaleSetting
+		reportUnknownFields(fields["scale"], reflect.TypeOf(size.Scale), "scale", addProblem)
 		raw, _ := json.Marshal(map[string]any{"scale": fields["scale"]})
 		if err := json.Unmarshal(raw, &size); err != nil {
-			return s, &script.Error{File: file, Line: made.Line("scale"), Text: err.Error()}
+			return s, &script.Error{File: file, Line: evaluated.Line("scale"), Text: err.Error()}
 		}
 		if size.Scale.Limiters < 1 || size.Scale.Nodes < 1 || size.Scale.Firms < 1 {
-			bad("scale", "limiters, nodes and firms are needed")
-			return s, errors.Join(all...)
+			addProblem("scale", "limiters, nodes and firms are needed, each at least 1")
+			return s, errors.Join(problems...)
 		}
 		s = model.Scale(size.Scale.Limiters, size.Scale.Nodes, size.Scale.Firms, size.Scale.OneOffs)
 		delete(fields, "scale")
 	}
-	unknown(any(fields), reflect.TypeOf(s), "", bad)
+	reportUnknownFields(any(fields), reflect.TypeOf(s), "", addProblem)
 	raw, err := json.Marshal(fields)
 	if err != nil {
 		return s, err
 	}
 	if err := json.Unmarshal(raw, &s); err != nil {
-		var kind *json.UnmarshalTypeError
+		var typeError *json.UnmarshalTypeError
 		path := ""
-		if errors.As(err, &kind) {
-			path = kind.Field
+		if errors.As(err, &typeError) {
+			path = typeError.Field
 		}
-		bad(path, err.Error())
+		addProblem(path, err.Error())
 	} else {
-		for _, p := range s.Check() {
-			bad(p[0], p[1])
+		for _, problem := range s.Check() {
+			addProblem(problem[0], problem[1])
 		}
 	}
-	return s, errors.Join(all...)
+	return s, errors.Join(problems...)
 }
 
-// unknown tells of fields that no type has: a misspelt name must not pass unseen.
-func unknown(v any, t reflect.Type, path string, bad func(path, text string)) {
+// reportUnknownFields calls report for each field of v that type t lacks: encoding/json would ignore a misspelt name.
+func reportUnknownFields(v any, t reflect.Type, path string, report func(path, text string)) {
 	switch v := v.(type) {
 	case []any:
 		if t.Kind() == reflect.Slice {
-			for k, x := range v {
-				unknown(x, t.Elem(), fmt.Sprintf("%s[%d]", path, k), bad)
+			for i, element := range v {
+				reportUnknownFields(element, t.Elem(), fmt.Sprintf("%s[%d]", path, i), report)
 			}
 		}
 	case map[string]any:
@@ -108,24 +110,24 @@
 			return
 		}
 		known := map[string]reflect.Type{}
-		for k := range t.NumField() {
-			f := t.Field(k)
+		for i := range t.NumField() {
+			f := t.Field(i)
 			known[f.Tag.Get("json")] = f.Type
 		}
 		for _, name := range sortedNames(v) {
-			at := strings.TrimPrefix(path+"."+name, ".")
-			if inner, ok := known[name]; ok {
-				unknown(v[name], inner, at, bad)
+			fieldPath := strings.TrimPrefix(path+"."+name, ".")
+			if fieldType, ok := known[name]; ok {
+				reportUnknownFields(v[name], fieldType, fieldPath, report)
 			} else {
-				bad(at, "there is no such field")
+				report(fieldPath, "there is no such field")
 			}
 		}
 	}
 }
 
 func sortedNames(m map[string]any) (names []string) {
-	for k := range m {
-		names = append(names, k)
+	for name := range m {
+		names = append(names, name)
 	}
 	slices.Sort(names)
 	return names
--- a/internal/lab/trace.go
+++ b/internal/lab/trace.go
@@ -7,62 +7,66 @@
 )
 
 const (
-	mostTold    = 10              // requests that a message names
-	pauseBefore = 2 * time.Second // before the worst send: a pause there may have moved it
+	// maxListedRequests is how many requests without an answer a message lists.
+	maxListedRequests = 10
+
+	// worstSendLookback is how long before the worst request pauses of this process are looked for: a pause in that time
+	// may have delayed the request's timestamp.
+	worstSendLookback = 2 * time.Second
 )
 
-// trace keeps what tells why a rule of a run on real limiters did not hold.
-type trace struct {
-	began    time.Time
-	pauses   *pauseWatch
-	limiters map[string]int // by the id of a request, as the nodes see it
-	unended  []End          // those without a final answer
+// diagnostics records what explains why a rule did not hold in a run on real limiters.
+type diagnostics struct {
+	began            time.Time
+	pauses           *pauseMonitor
+	limiterByRequest map[string]int // limiter index by a request's id as nodes see it
+	withoutAnswer    []TryResult    // tries that ended without a final answer
 }
 
-func newTrace() *trace {
-	return &trace{began: time.Now(), pauses: watchPauses(), limiters: map[string]int{}}
+func newDiagnostics() *diagnostics {
+	return &diagnostics{began: time.Now(), pauses: startPauseMonitor(), limiterByRequest: map[string]int{}}
 }
 
-func (t *trace) end() { t.pauses.end() }
+func (d *diagnostics) stop() { d.pauses.stop() }
 
-// ended notes the end of a request. One call at a time.
-func (t *trace) ended(e End) {
-	t.limiters[requestID(e.ID)] = e.Limiter
-	if e.Kind == Cut || e.Kind == Unanswered {
-		t.unended = append(t.unended, e)
+// afterTry records how a try ended. Calls must not overlap.
+func (d *diagnostics) afterTry(try TryResult) {
+	d.limiterByRequest[requestID(try.ID)] = try.Limiter
+	if try.Outcome == ConnectionLost || try.Outcome == Unanswered {
+		d.withoutAnswer = append(d.withoutAnswer, try)
 	}
 }
 
-// requests words those that were left without a final answer.
-func (t *trace) requests(firms []*Firm) string {
+// describeWithoutAnswer returns one line for each try that ended without a final answer, up to maxListedRequests.
+func (d *diagnostics) describeWithoutAnswer(firms []*Firm) string {
 	var b strings.Builder
-	for k, e := range t.unended {
-		if k == mostTold {
-			fmt.Fprintf(&b, "\n  and %d more", len(t.unended)-k)
+	for i, try := range d.withoutAnswer {
+		if i == maxListedRequests {
+			fmt.Fprintf(&b, "\n  and %d more", len(d.withoutAnswer)-i)
 			break
 		}
 		front := "RESP2"
-		if e.Call {
+		if try.OverGRPC {
 			front = "gRPC"
 		}
 		fmt.Fprintf(&b, "\n  %s: request %s of firm %x over %s to limiter %d, due at %s, sent at %s, ended at %s; the longest pause of the lab's process meanwhile: %s",
-			[...]string{Cut: "cut off", Unanswered: "unanswered"}[e.Kind], requestID(e.ID), firms[e.Firm].ID, front, e.Limiter, t.at(e.Due), t.at(e.Sent), t.at(e.At),
-			t.pauses.longest(e.Sent, e.At).Round(time.Millisecond))
+			[...]string{ConnectionLost: "cut off", Unanswered: "unanswered"}[try.Outcome], requestID(try.ID), firms[try.Firm].ID, front, try.Limiter, d.sinceStart(try.Due), d.sinceStart(try.SentAt), d.sinceStart(try.EndedAt),
+			d.pauses.longest(try.SentAt, try.EndedAt).Round(time.Millisecond))
 	}
 	return b.String()
 }
 
-// worst words the send that passed a firm's ceiling by the most.
-func (t *trace) worst(f *Firm, v Verdict) string {
+// describeWorstSend returns a line on the request at which a firm exceeded its ceiling by the most.
+func (d *diagnostics) describeWorstSend(f *Firm, use QuotaUse) string {
 	limiter := "over gRPC"
-	if k, known := t.limiters[v.Worst.Request]; known {
+	if k, known := d.limiterByRequest[use.WorstSend.ID]; known {
 		limiter = fmt.Sprintf("through limiter %d", k)
 	}
-	return fmt.Sprintf("\n  by firm %x (%s) at %s with request %q %s; the longest pause of the lab's process in the %s before: %s", f.ID, f.Tier, t.at(v.Worst.At),
-		v.Worst.Request, limiter, pauseBefore, t.pauses.longest(v.Worst.At.Add(-pauseBefore), v.Worst.At).Round(time.Millisecond))
+	return fmt.Sprintf("\n  by firm %x (%s) at %s with request %q %s; the longest pause of the lab's process in the %s before: %s", f.ID, f.Tier, d.sinceStart(use.WorstSend.At),
+		use.WorstSend.ID, limiter, worstSendLookback, d.pauses.longest(use.WorstSend.At.Add(-worstSendLookback), use.WorstSend.At).Round(time.Millisecond))
 }
 
-// at words a moment as the time since the run began.
-func (t *trace) at(moment time.Time) string {
-	return fmt.Sprintf("%.3f s", moment.Sub(t.began).Seconds())
+// sinceStart formats a moment as the time since the run began.
+func (d *diagnostics) sinceStart(moment time.Time) string {
+	return fmt.Sprintf("%.3f s", moment.Sub(d.began).Seconds())
 }
--- a/internal/lab/truth.go
+++ b/internal/lab/truth.go
@@ -9,143 +9,148 @@
 	"bramblefall/logic"
 )
 
-// Truth keeps what was really sent on for each firm, and holds it against the figures that were in force.
-type Truth struct {
-	mu    sync.Mutex
-	seen  map[string]struct{} // ids: a further attempt of a request is no further send
-	sends [][]Send            // by firm
+// SendLog records every request that limiters really passed on for each firm, and compares it with the plan figures that
+// were in force. A request counts once and as one unit.
+type SendLog struct {
+	mu          sync.Mutex
+	seenIDs     map[string]struct{} // request ids: a further attempt of a request that was already recorded does not count again
+	sendsByFirm [][]SentRequest     // indexed like the firms of the load
 }
 
-// Send is a first send of a request, as the node that got it saw it.
-type Send struct {
-	At      time.Time
-	Request string // id; "": let in over gRPC
+// SentRequest is the first attempt of a request that reached a node, or an admission over gRPC.
+type SentRequest struct {
+	At time.Time
+	ID string // the request's id as nodes see it; "" if it was admitted over gRPC, where no node sees it
 }
 
-// NewTruth makes one for so many firms.
-func NewTruth(firms int) *Truth {
-	return &Truth{seen: map[string]struct{}{}, sends: make([][]Send, firms)}
+// NewSendLog returns an empty log for the given number of firms.
+func NewSendLog(firms int) *SendLog {
+	return &SendLog{seenIDs: map[string]struct{}{}, sendsByFirm: make([][]SentRequest, firms)}
 }
 
-// Sent notes a send of a request; id "" is always a first.
-func (t *Truth) Sent(firm int, id string) {
+// Record adds a request at the present time, unless its id was recorded before. An empty id is always added.
+func (l *SendLog) Record(firm int, id string) {
 	now := time.Now()
-	t.mu.Lock()
-	defer t.mu.Unlock()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	if id != "" {
-		if _, again := t.seen[id]; again {
+		if _, recorded := l.seenIDs[id]; recorded {
 			return
 		}
-		t.seen[id] = struct{}{}
+		l.seenIDs[id] = struct{}{}
 	}
-	t.sends[firm] = append(t.sends[firm], Send{now, id})
+	l.sendsByFirm[firm] = append(l.sendsByFirm[firm], SentRequest{now, id})
 }
 
-// Period is a time in which figures were in force at a limiter.
-type Period struct {
+// PlanPeriod says that a limiter had the figures of Tiers in force from From until its next period begins.
+type PlanPeriod struct {
 	From  time.Time
 	Tiers []logic.Plan
 }
 
-// Figures are what a firm may be held to at a time: those of each limiter, which may hear of a change late.
-type Figures struct{ Limiters [][]Period } // in order of time
+// PlanTimeline holds, for each limiter, its plan periods in order of time. Limiters may learn of a change at different
+// times, so several figures may be in force at once.
+type PlanTimeline struct{ ByLimiter [][]PlanPeriod }
 
-// At is the largest figures of a tier at any limiter.
-func (f Figures) At(tier string, t time.Time) (p logic.Plan) {
-	for _, list := range f.Limiters {
-		k := sort.Search(len(list), func(k int) bool { return list[k].From.After(t) }) - 1
+// LargestPlan returns a plan in which each figure is the largest that any limiter had in force for the tier at time t.
+func (timeline PlanTimeline) LargestPlan(tier string, t time.Time) (p logic.Plan) {
+	for _, periods := range timeline.ByLimiter {
+		k := sort.Search(len(periods), func(k int) bool { return periods[k].From.After(t) }) - 1
 		if k < 0 {
 			continue
 		}
-		n := slices.IndexFunc(list[k].Tiers, func(x logic.Plan) bool { return x.Name == tier })
+		n := slices.IndexFunc(periods[k].Tiers, func(plan logic.Plan) bool { return plan.Name == tier })
 		if n < 0 {
 			continue
 		}
-		x := list[k].Tiers[n]
-		p.Rate, p.Burst = max(p.Rate, x.Rate), max(p.Burst, x.Burst)
-		p.CeilingRate, p.CeilingBurst = max(p.CeilingRate, x.CeilingRate), max(p.CeilingBurst, x.CeilingBurst)
-		p.CeilingSlack = max(p.CeilingSlack, x.CeilingSlack)
+		plan := periods[k].Tiers[n]
+		p.Rate, p.Burst = max(p.Rate, plan.Rate), max(p.Burst, plan.Burst)
+		p.CeilingRate, p.CeilingBurst = max(p.CeilingRate, plan.CeilingRate), max(p.CeilingBurst, plan.CeilingBurst)
+		p.CeilingSlack = max(p.CeilingSlack, plan.CeilingSlack)
 	}
 	return p
 }
 
-// of is the sends of a firm in the order of time.
-func (t *Truth) of(firm int) []Send {
-	t.mu.Lock()
-	sends := slices.Clone(t.sends[firm])
-	t.mu.Unlock()
-	slices.SortFunc(sends, func(a, b Send) int { return a.At.Compare(b.At) })
+// firmSends returns a copy of the firm's recorded requests in order of time.
+func (l *SendLog) firmSends(firm int) []SentRequest {
+	l.mu.Lock()
+	sends := slices.Clone(l.sendsByFirm[firm])
+	l.mu.Unlock()
+	slices.SortFunc(sends, func(a, b SentRequest) int { return a.At.Compare(b.At) })
 	return sends
 }
 
-// store is a firm's, as one limiter that sees all would keep it.
-type store struct {
-	level float64
-	at    time.Time
+// tokenBucket is a firm's token bucket as a single limiter that sees all of the firm's requests would keep it. Its
+// level may become negative: callers take units without a check.
+type tokenBucket struct {
+	tokens    float64 // units
+	updatedAt time.Time
 }
 
-func (s *store) fill(t time.Time, rate, burst float64) {
-	s.level = min(s.level+rate*max(t.Sub(s.at).Seconds(), 0), burst)
-	s.at = t
+func (b *tokenBucket) refill(now time.Time, rate, burst float64) {
+	b.tokens = min(b.tokens+rate*max(now.Sub(b.updatedAt).Seconds(), 0), burst)
+	b.updatedAt = now
 }
 
-// Verdict is how a firm's sends stand against its figures.
-type Verdict struct {
-	Sent, Beyond float64
-	Over         float64 // units over the ceiling with its slack, at the worst
-	Worst        Send    // the one that brought Over
-	BeyondIn     []float64
-	SentIn       []float64
+// QuotaUse compares a firm's recorded requests with its plan. All figures count units, and a request is one unit.
+type QuotaUse struct {
+	Sent, BeyondQuota   float64     // units passed on in all; those of them beyond the quota and the reserved units
+	OverCeiling         float64     // the most units by which the ceiling and its slack were ever exceeded
+	WorstSend           SentRequest // the request at which OverCeiling was reached
+	BeyondQuotaInWindow []float64   // units beyond the quota, for each window that was asked for
+	SentInWindow        []float64   // units passed on, for each window that was asked for
 }
 
-// Judge plays a firm's sends against its figures; grace is how much longer the figures before a change count, and
-// reserved units count as inside. windows are looked at by themselves.
-func (t *Truth) Judge(firm int, tier string, f Figures, began time.Time, grace time.Duration, reserved float64, windows [][2]time.Time) Verdict {
-	largest := func(at time.Time) logic.Plan {
-		now, before := f.At(tier, at), f.At(tier, at.Add(-grace))
+// Evaluate replays a firm's recorded requests, from began on, against a token bucket for its quota and one for its ceiling.
+// The figures before a change are still allowed for the time grace after it. A request that exceeds the quota counts as
+// inside as long as some of the reserved units are left. The result also counts units for each of the windows
+// (from, until) by itself.
+func (l *SendLog) Evaluate(firm int, tier string, timeline PlanTimeline, began time.Time, grace time.Duration, reserved float64, windows [][2]time.Time) QuotaUse {
+	largestPlan := func(at time.Time) logic.Plan {
+		now, before := timeline.LargestPlan(tier, at), timeline.LargestPlan(tier, at.Add(-grace))
 		now.Rate, now.Burst = max(now.Rate, before.Rate), max(now.Burst, before.Burst)
 		now.CeilingRate, now.CeilingBurst = max(now.CeilingRate, before.CeilingRate), max(now.CeilingBurst, before.CeilingBurst)
 		now.CeilingSlack = max(now.CeilingSlack, before.CeilingSlack)
 		return now
 	}
-	p := largest(began)
-	quota, ceiling := store{p.Burst, began}, store{p.CeilingBurst, began}
-	v := Verdict{BeyondIn: make([]float64, len(windows)), SentIn: make([]float64, len(windows))}
+	p := largestPlan(began)
+	quota, ceiling := tokenBucket{p.Burst, began}, tokenBucket{p.CeilingBurst, began}
+	use := QuotaUse{BeyondQuotaInWindow: make([]float64, len(windows)), SentInWindow: make([]float64, len(windows))}
 	const step = 100 * time.Millisecond
-	for _, send := range t.of(firm) {
+	for _, send := range l.firmSends(firm) {
 		at := send.At
-		for quota.at.Add(step).Before(at) { // figures change between sends, too
-			next := quota.at.Add(step)
-			p := largest(next)
-			quota.fill(next, p.Rate, p.Burst)
-			ceiling.fill(next, p.CeilingRate, p.CeilingBurst)
+		for quota.updatedAt.Add(step).Before(at) { // refill in steps: the figures also change between two requests
+			next := quota.updatedAt.Add(step)
+			p := largestPlan(next)
+			quota.refill(next, p.Rate, p.Burst)
+			ceiling.refill(next, p.CeilingRate, p.CeilingBurst)
 		}
-		p := largest(at)
-		quota.fill(at, p.Rate, p.Burst)
-		ceiling.fill(at, p.CeilingRate, p.CeilingBurst)
-		v.Sent++
+		p := largestPlan(at)
+		quota.refill(at, p.Rate, p.Burst)
+		ceiling.refill(at, p.CeilingRate, p.CeilingBurst)
+		use.Sent++
 		beyond := 0.0
 		switch {
-		case quota.level >= 1:
-			quota.level--
+		case quota.tokens >= 1:
+			quota.tokens--
 		case reserved >= 1:
 			reserved--
 		default:
 			beyond = 1
 		}
-		v.Beyond += beyond
-		for k, w := range windows {
-			if !at.Before(w[0]) && at.Before(w[1]) {
-				v.BeyondIn[k] += beyond
-				v.SentIn[k]++
+		use.BeyondQuota += beyond
+		for i, window := range windows {
+			if !at.Before(window[0]) && at.Before(window[1]) {
+				use.BeyondQuotaInWindow[i] += beyond
+				use.SentInWindow[i]++
 			}
 		}
 		if p.CeilingRate > 0 {
-			ceiling.level--
-			if over := -ceiling.level - p.CeilingSlack; over > v.Over {
-				v.Over, v.Worst = over, send
+			ceiling.tokens--
+			if over := -ceiling.tokens - p.CeilingSlack; over > use.OverCeiling {
+				use.OverCeiling, use.WorstSend = over, send
 			}
 		}
 	}
-	return v
+	return use
 }
