--- a/cmd/bramblelab/capacity.go
+++ b/cmd/bramblelab/capacity.go
@@ -19,7 +19,8 @@
 // errPageIncorrect is the error of a check that found statements of the page which do not follow from its figures.
 var errPageIncorrect = errors.New("findings: the page does not follow from its figures")
 
-// capacityCommand checks the capacity page against measured figures, or rewrites the parts of it that are derived from them.
+// capacityCommand checks the capacity page against measured figures, or rewrites the parts of it that are derived from
+// them.
 func capacityCommand() *cobra.Command {
 	page, write := filepath.Join("docs", "CAPACITY.md"), false
 	var from []string
@@ -89,7 +90,7 @@
 			if o.quick {
 				sizes = scale.QuickResident()
 			}
-			slopes, refused, err := scale.Resident(c.Context(), binary, sizes, parts, func(format string, args ...any) { o.logf(c, format, args...) })
+			slopes, rejectedListSizes, err := scale.Resident(c.Context(), binary, sizes, parts, func(format string, args ...any) { o.logf(c, format, args...) })
 			f := scale.Figures{Version: 1, Quick: o.quick, Slopes: slopes, Quota: []scale.QuotaError{}, Moments: []scale.Moment{}, Added: []scale.AddedTime{}}
 			f.Cores, f.MemoryMB = scale.Machine()
 			if err != nil {
@@ -99,12 +100,12 @@
 			if err := errors.Join(os.WriteFile(out, append(raw, '\n'), 0o644), err); err != nil {
 				return err
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%d slopes; whole lists not taken as one line, by servers: %v\n", len(slopes), refused)
+			fmt.Fprintf(c.OutOrStdout(), "%d slopes; whole lists that the limiter did not take as one line, by their number of servers: %v\n", len(slopes), rejectedListSizes)
 			return nil
 		}}
 	o.began = time.Now()
 	c.Flags().StringVar(&out, "out", "resident.json", "write the figures to this file")
-	c.Flags().StringSliceVar(&parts, "only", nil, "measure only these parts; all are "+strings.Join(scale.ResidentParts, ", "))
+	c.Flags().StringSliceVar(&parts, "only", nil, "measure only these of the parts "+strings.Join(scale.ResidentParts, ", ")+"; by default all")
 	c.Flags().BoolVar(&o.quick, "quick", false, "small sizes, under a minute: a trial run")
 	c.Flags().StringVar(&o.binary, "binary", "", "path of the limiter's program, with bramblefall-eval beside it; by default both are built from the current directory's module")
 	return c
--- a/cmd/bramblelab/capacity_test.go
+++ b/cmd/bramblelab/capacity_test.go
@@ -27,7 +27,8 @@
 	return text.String(), err
 }
 
-// The page has one row of one role, so the command must fill in its figures and still report that the other roles have none.
+// The page has one row of one role, so the command must fill in its figures and still report that the other roles have
+// none.
 func TestCapacityRewritesPageAndReportsWhatIsMissing(t *testing.T) {
 	dir := t.TempDir()
 	figures, page := filepath.Join(dir, "figures.json"), filepath.Join(dir, "CAPACITY.md")
--- a/cmd/bramblelab/main.go
+++ b/cmd/bramblelab/main.go
@@ -200,7 +200,8 @@
 	return reportOutcome(c, failedBounds, fmt.Sprintf("worth served of worth asked inside quotas %.4f, in the model %.4f", measured.WorthShare, modelled.Worth()))
 }
 
-// reportOutcome prints the bounds that do not hold and, as the last line, the main figure. It returns an error if there are any.
+// reportOutcome prints the bounds that do not hold and, as the last line, the main figure. It returns an error if there
+// are any.
 func reportOutcome(c *cobra.Command, failedBounds []string, summary string) error {
 	for _, b := range failedBounds {
 		fmt.Fprintln(c.OutOrStdout(), "bound does not hold:", b)
@@ -231,11 +232,11 @@
 				return err
 			}
 			var jobs []lab.Job
-			var at []float64
+			var parameterValues []float64
 			for _, p := range policies {
-				for _, x := range points {
+				for _, point := range points {
 					for n := range o.seeds {
-						jobs, at = append(jobs, lab.Job{Scenario: x.s, Policy: p, Seed: o.seed + uint64(n), MeasureCPU: true}), append(at, x.firstValue)
+						jobs, parameterValues = append(jobs, lab.Job{Scenario: point.scenario, Policy: p, Seed: o.seed + uint64(n), MeasureCPU: true}), append(parameterValues, point.firstValue)
 					}
 				}
 			}
@@ -243,8 +244,8 @@
 			if err := o.printTables(c, lab.ResultsTable("sweep", list)); err != nil || o.out == "" {
 				return err
 			}
-			k := -1
-			return lab.SweepChart(list, func(lab.Done) float64 { k++; return at[k] }, name, metric).Keep(o.out)
+			index := -1
+			return lab.SweepChart(list, func(lab.Done) float64 { index++; return parameterValues[index] }, name, metric).Keep(o.out)
 		}}
 	o.register(c, true)
 	c.Flags().StringVar(&metric, "metric", metric, "metric of the chart: worth, over, refused, room, calls, p99, cpu, ceiling or broken")
@@ -253,14 +254,14 @@
 
 // sweepPoint is a scenario with one combination of values of the swept parameters.
 type sweepPoint struct {
-	s          model.Scenario
+	scenario   model.Scenario
 	firstValue float64 // value of the first parameter, the x axis of the chart
 }
 
 // sweepPoints returns the scenarios of a sweep over all combinations of values, and the name of the first parameter.
 func sweepPoints(s model.Scenario, ranges []string) (points []sweepPoint, name string, err error) {
-	points = []sweepPoint{{s: s}}
-	for k, rangeText := range ranges {
+	points = []sweepPoint{{scenario: s}}
+	for rangeIndex, rangeText := range ranges {
 		path, bounds, _ := strings.Cut(rangeText, "=")
 		parts := strings.Split(bounds, ":")
 		if len(parts) != 3 {
@@ -281,11 +282,11 @@
 			for n := range steps {
 				changed := point
 				value := numbers[0] + (numbers[1]-numbers[0])*float64(n)/float64(steps-1)
-				if err := lab.SetParameter(&changed.s, path, value); err != nil {
+				if err := lab.SetParameter(&changed.scenario, path, value); err != nil {
 					return nil, "", err
 				}
-				changed.s.Name += fmt.Sprintf(" %s=%.4g", path, value)
-				if k == 0 {
+				changed.scenario.Name += fmt.Sprintf(" %s=%.4g", path, value)
+				if rangeIndex == 0 {
 					changed.firstValue, name = value, path
 				}
 				next = append(next, changed)
@@ -302,20 +303,20 @@
 		Short: "Compare two policies on a scenario, or two scenarios, paired by seed, with 95% intervals",
 		RunE: func(c *cobra.Command, args []string) error {
 			var sides [2][]lab.Job
-			for k, name := range args[1:] {
+			for i, name := range args[1:] {
 				s, err := o.loadScenario(args[0])
 				if err != nil {
 					return err
 				}
-				p, ok := model.PolicyNamed(name)
+				policy, ok := model.PolicyNamed(name)
 				if !ok {
-					p = model.Own()
+					policy = model.Own()
 					if s, err = o.loadScenario(name); err != nil {
 						return err
 					}
 				}
 				for n := range o.seeds {
-					sides[k] = append(sides[k], lab.Job{Scenario: s, Policy: p, Seed: o.seed + uint64(n), MeasureCPU: true})
+					sides[i] = append(sides[i], lab.Job{Scenario: s, Policy: policy, Seed: o.seed + uint64(n), MeasureCPU: true})
 				}
 			}
 			list := lab.Parallel(c.Context(), append(sides[0], sides[1]...), o.progressLogger(c, 2*o.seeds))
--- a/cmd/bramblelab/scale.go
+++ b/cmd/bramblelab/scale.go
@@ -18,7 +18,7 @@
 // scaleCommand measures the cost of discovery and the counter in a large fleet of hollow limiters and a few real ones.
 func scaleCommand() *cobra.Command {
 	o := &commonFlags{}
-	hollowLimiters, longestList, serversWhileGrowing, realLimiters, listen, withModel := 0, 0, 0, 0, "", true
+	maxHollowLimiters, maxServers, serversWhileGrowing, realLimiters, listen, withModel := 0, 0, 0, 0, "", true
 	c := &cobra.Command{Use: "scale", Args: cobra.NoArgs,
 		Short: "Measure what the control side of a large fleet costs: hollow limiters beside real ones; exit 0 only where the bars hold",
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -27,7 +27,7 @@
 			if o.quick {
 				sizes = scale.QuickSizes()
 			}
-			if err := sizes.Set(hollowLimiters, longestList, serversWhileGrowing, realLimiters); err != nil {
+			if err := sizes.Set(maxHollowLimiters, maxServers, serversWhileGrowing, realLimiters); err != nil {
 				return err
 			}
 			executable, err := os.Executable()
@@ -53,8 +53,8 @@
 	c.Flags().BoolVar(&o.quick, "quick", false, "a short run, under 60 s")
 	c.Flags().StringVar(&o.out, "out", "", "write figures.json, tables, charts and an HTML page to this directory")
 	c.Flags().StringVar(&o.binary, "binary", "", "path of the limiter's program, with bramblefall-eval beside it; by default both are built from the current directory's module")
-	c.Flags().IntVar(&hollowLimiters, "limiters", 0, "largest number of hollow limiters, which follow discovery and call the counter but serve no requests (default 5700, quick 1000)")
-	c.Flags().IntVar(&longestList, "servers", 0, "largest number of servers on the list (default 57000, quick 10000)")
+	c.Flags().IntVar(&maxHollowLimiters, "limiters", 0, "largest number of hollow limiters, which follow discovery and call the counter but serve no requests (default 5700, quick 1000)")
+	c.Flags().IntVar(&maxServers, "servers", 0, "largest number of servers on the list (default 57000, quick 10000)")
 	c.Flags().IntVar(&serversWhileGrowing, "beside", 0, "number of servers on the list while the fleet grows (default 570, quick 100)")
 	c.Flags().IntVar(&realLimiters, "real", 0, "number of real limiters (default 8)")
 	c.Flags().BoolVar(&withModel, "model", true, "also measure the error of quotas and the moments in the model, as the quota command does")
--- a/cmd/bramblelab/watch.go
+++ b/cmd/bramblelab/watch.go
@@ -74,6 +74,7 @@
 func (v *view) advance() {
 	r := v.world.Play(v.playedSeconds)
 	served, refused, asked := r.Served-v.last.Served, r.Refused-v.last.Refused, r.Requests-v.last.Requests
+	// The bar is nearly 20 characters long if as much is served as was asked.
 	v.lines = append(v.lines, fmt.Sprintf("%6.1f s  asked %5d  served %5d  refused %5d  %s", v.playedSeconds, asked, served, refused,
 		strings.Repeat("#", min(40, served/max(1, asked/20+1)))))
 	v.lines = v.lines[max(0, len(v.lines)-16):]
@@ -93,8 +94,8 @@
 	return tea.NewView(b.String())
 }
 
-// nodeSymbol returns the character that stands for a node's state. A node is busy from 0.7 requests in work or queued per core, and
-// full from 1.5.
+// nodeSymbol returns the character that stands for a node's state. A node is busy from 0.7 requests in work or queued
+// per core, and full from 1.5.
 func nodeSymbol(node model.NodeView) string {
 	switch {
 	case !node.Up:
--- a/internal/lab/trace.go
+++ b/internal/lab/diagnostics.go
@@ -57,12 +57,12 @@
 }
 
 // describeWorstSend returns a line on the request at which a firm exceeded its ceiling by the most.
-func (d *diagnostics) describeWorstSend(f *Firm, use QuotaUse) string {
+func (d *diagnostics) describeWorstSend(firm *Firm, use QuotaUse) string {
 	limiter := "over gRPC"
-	if k, known := d.limiterByRequest[use.WorstSend.ID]; known {
-		limiter = fmt.Sprintf("through limiter %d", k)
+	if index, known := d.limiterByRequest[use.WorstSend.ID]; known {
+		limiter = fmt.Sprintf("through limiter %d", index)
 	}
-	return fmt.Sprintf("\n  by firm %x (%s) at %s with request %q %s; the longest pause of the lab's process in the %s before: %s", f.ID, f.Tier, d.sinceStart(use.WorstSend.At),
+	return fmt.Sprintf("\n  by firm %x (%s) at %s with request %q %s; the longest pause of the lab's process in the %s before: %s", firm.ID, firm.Tier, d.sinceStart(use.WorstSend.At),
 		use.WorstSend.ID, limiter, worstSendLookback, d.pauses.longest(use.WorstSend.At.Add(-worstSendLookback), use.WorstSend.At).Round(time.Millisecond))
 }
 
--- a/internal/lab/experiments.go
+++ b/internal/lab/experiments.go
@@ -30,7 +30,7 @@
 type Done struct {
 	Job
 	Result model.Result
-	Wall   time.Duration
+	Wall   time.Duration // how long the run took in real time
 }
 
 // Parallel runs jobs on all cores and returns their results in the order of the jobs. It calls report, if not nil, for each
@@ -83,28 +83,28 @@
 	return results
 }
 
-// resultColumns are the column headings of ResultsTable. The worth served is a share of the worth asked inside quotas, units
-// beyond quotas are a share of the units passed on, and refusals are a share of the tries. "calls each" are calls to the
-// counter per request, "CPU us each" is per try, "calls borne a second" are those that the counters answered, and "ceiling
-// over" are units.
+// resultColumns are the column headings of ResultsTable. The worth served is a share of the worth asked inside quotas,
+// units beyond quotas are a share of the units passed on, and refusals are a share of the tries. "calls each" are calls
+// to the counter per request, "CPU us each" is per try, "calls borne a second" are those that the counters answered, and
+// "ceiling over" are units.
 var resultColumns = []string{"scenario", "policy", "seed", "requests", "worth served", "beyond quota %", "refused %", "refused with room %",
 	"calls each", "median s", "p99 s", "ceiling over", "broken rules", "CPU us each", "wall s", "calls borne a second", "at the busiest counter"}
 
 func addResultRow(t *Table, d Done) {
-	r := d.Result
-	tries := float64(max(r.Tries, 1))
-	t.Add(r.Scenario, r.Policy, r.Seed, r.Requests, r.Worth(), 100*r.OverQuota(), 100*r.RefusedShare(), 100*float64(r.RoomRefused)/tries,
-		r.CallsEach(), r.Median, r.P99, r.CeilingOver, r.Broken, float64(r.CPU.Nanoseconds())/1000/tries, d.Wall.Seconds(),
-		Metrics["borne"](r), Metrics["busiest"](r))
+	result := d.Result
+	tries := float64(max(result.Tries, 1))
+	t.Add(result.Scenario, result.Policy, result.Seed, result.Requests, result.Worth(), 100*result.OverQuota(), 100*result.RefusedShare(), 100*float64(result.RoomRefused)/tries,
+		result.CallsEach(), result.Median, result.P99, result.CeilingOver, result.Broken, float64(result.CPU.Nanoseconds())/1000/tries, d.Wall.Seconds(),
+		Metrics["borne"](result), Metrics["busiest"](result))
 }
 
 // ResultsTable returns a table with a row for each finished job.
-func ResultsTable(name string, list []Done) *Table {
-	t := &Table{Name: name, Head: resultColumns}
-	for _, d := range list {
-		addResultRow(t, d)
+func ResultsTable(name string, results []Done) *Table {
+	table := &Table{Name: name, Head: resultColumns}
+	for _, result := range results {
+		addResultRow(table, result)
 	}
-	return t
+	return table
 }
 
 // Metrics maps the names that the flag --metric takes to the figures of a result.
@@ -146,12 +146,12 @@
 		return ConfidenceInterval{math.NaN(), math.NaN()}
 	}
 	sum := 0.0
-	for _, v := range values {
-		sum += v
+	for _, value := range values {
+		sum += value
 	}
 	mean, squares := sum/n, 0.0
-	for _, v := range values {
-		squares += (v - mean) * (v - mean)
+	for _, value := range values {
+		squares += (value - mean) * (value - mean)
 	}
 	if n < 2 {
 		return ConfidenceInterval{mean, math.Inf(1)}
@@ -169,8 +169,8 @@
 	return 1.96 + 2.4/float64(degreesOfFreedom)
 }
 
-// CompareTable compares two lists of results of the same seeds in the same order. Its row for a metric gives the mean of the
-// paired differences, second less first, and whether zero lies outside their 95% confidence interval.
+// CompareTable compares two lists of results of the same seeds in the same order. Its row for a metric gives the mean of
+// the paired differences, second less first, and whether zero lies outside their 95% confidence interval.
 func CompareTable(first, second []Done) *Table {
 	table := &Table{Name: "compare", Head: []string{"metric", "first", "second", "difference", "95% interval", "tells"}}
 	for _, name := range []string{"worth", "over", "refused", "room", "calls", "p99", "ceiling", "broken", "cpu"} {
@@ -189,13 +189,13 @@
 	return table
 }
 
-// SetParameter sets a number of a scenario, named by its path as in a scenario file, such as counter.per_second. Both ends of a
-// range are set to the value.
+// SetParameter sets a number of a scenario, named by its path as in a scenario file, such as counter.per_second. Both
+// ends of a range are set to the value.
 func SetParameter(s *model.Scenario, path string, value float64) error {
 	field := reflect.ValueOf(s).Elem()
 	for _, name := range strings.Split(path, ".") {
 		if field.Kind() != reflect.Struct {
-			return fmt.Errorf("%s: no such parameter", path)
+			return fmt.Errorf("%s: the scenario has no such parameter", path)
 		}
 		found := false
 		for i := range field.NumField() {
@@ -205,7 +205,7 @@
 			}
 		}
 		if !found {
-			return fmt.Errorf("%s: no such parameter", path)
+			return fmt.Errorf("%s: the scenario has no such parameter", path)
 		}
 	}
 	switch field.Kind() {
@@ -217,30 +217,30 @@
 		field.Index(0).SetFloat(value)
 		field.Index(1).SetFloat(value)
 	default:
-		return fmt.Errorf("%s: not a number", path)
+		return fmt.Errorf("%s: not a number or a range of numbers", path)
 	}
 	return nil
 }
 
-// SweepChart returns a chart of a metric over a swept parameter: a line for each policy, whose points are the means over the
-// seeds. parameterValue is called once for each result, in order.
-func SweepChart(list []Done, parameterValue func(Done) float64, parameter, metric string) Chart {
-	type key struct {
+// SweepChart returns a chart of a metric over a swept parameter: a line for each policy, whose points are the means over
+// the seeds. parameterValue is called once for each result, in order.
+func SweepChart(results []Done, parameterValue func(Done) float64, parameter, metric string) Chart {
+	type chartPoint struct {
 		policy string
 		x      float64
 	}
-	values := map[key][]float64{}
-	var order []key
-	for _, d := range list {
-		k := key{d.Policy.Name, parameterValue(d)}
-		if values[k] == nil {
-			order = append(order, k)
+	values := map[chartPoint][]float64{}
+	var points []chartPoint
+	for _, result := range results {
+		point := chartPoint{result.Policy.Name, parameterValue(result)}
+		if values[point] == nil {
+			points = append(points, point)
 		}
-		values[k] = append(values[k], Metrics[metric](d.Result))
+		values[point] = append(values[point], Metrics[metric](result.Result))
 	}
 	chart := Chart{Name: "sweep-" + metric, Title: metric + " over " + parameter, X: parameter, Y: metric, Lines: map[string]plotter.XYs{}}
-	for _, k := range order {
-		chart.Lines[k.policy] = append(chart.Lines[k.policy], plotter.XY{X: k.x, Y: MeanInterval(values[k]).Mean})
+	for _, point := range points {
+		chart.Lines[point.policy] = append(chart.Lines[point.policy], plotter.XY{X: point.x, Y: MeanInterval(values[point]).Mean})
 	}
 	return chart
 }
@@ -249,35 +249,35 @@
 type Finding struct {
 	Scenario   model.Scenario `json:"scenario"`
 	Seed       uint64         `json:"seed"`
-	Worth      float64        `json:"worth"`
-	Violations []string       `json:"broken"`
+	Worth      float64        `json:"worth"`  // worth served over the worth asked inside quotas
+	Violations []string       `json:"broken"` // descriptions of the broken rules
 }
 
-// Search runs a scenario with random faults for a number of seeds. It returns each run that broke a rule, and last the run that
-// served the least worth. The faults of each are reduced to a minimal set that still breaks a rule or, for the last, serves at
-// most 0.02 more worth than the worst run.
+// Search runs a scenario with random faults for a number of seeds. It returns each run that broke a rule, and last the
+// run that served the least worth. The faults of each are reduced to a minimal set that still breaks a rule or, for the
+// last, serves at most 0.02 more worth than the worst run.
 func Search(ctx context.Context, s model.Scenario, p model.Policy, firstSeed uint64, seeds int, report func(n int, d Done)) []Finding {
 	var jobs []Job
-	for n := range seeds {
-		seed := firstSeed + uint64(n)
-		next := s
-		next.Faults = model.DrawFaults(s, seed)
-		jobs = append(jobs, Job{next, p, seed, false})
+	for offset := range seeds {
+		seed := firstSeed + uint64(offset)
+		withFaults := s
+		withFaults.Faults = model.DrawFaults(s, seed)
+		jobs = append(jobs, Job{withFaults, p, seed, false})
 	}
-	list := Parallel(ctx, jobs, report)
+	results := Parallel(ctx, jobs, report)
 	var found []Finding
 	worstIndex := -1
-	for k, d := range list {
-		if d.Result.Broken > 0 {
-			found = append(found, shrinkFaults(d, func(r model.Result) bool { return r.Broken > 0 }))
+	for i, result := range results {
+		if result.Result.Broken > 0 {
+			found = append(found, shrinkFaults(result, func(r model.Result) bool { return r.Broken > 0 }))
 		}
-		if worstIndex < 0 || d.Result.Worth() < list[worstIndex].Result.Worth() {
-			worstIndex = k
+		if worstIndex < 0 || result.Result.Worth() < results[worstIndex].Result.Worth() {
+			worstIndex = i
 		}
 	}
 	if worstIndex >= 0 {
-		worthLimit := list[worstIndex].Result.Worth() + 0.02
-		found = append(found, shrinkFaults(list[worstIndex], func(r model.Result) bool { return r.Worth() <= worthLimit }))
+		worthLimit := results[worstIndex].Result.Worth() + 0.02
+		found = append(found, shrinkFaults(results[worstIndex], func(r model.Result) bool { return r.Worth() <= worthLimit }))
 	}
 	return found
 }
@@ -300,16 +300,16 @@
 }
 
 // WriteFindings writes each finding to a file found-N.json in dir, for the replay command.
-func WriteFindings(dir string, list []Finding) error {
+func WriteFindings(dir string, findings []Finding) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
-	for k, f := range list {
-		raw, err := json.MarshalIndent(f, "", "  ")
+	for i, finding := range findings {
+		raw, err := json.MarshalIndent(finding, "", "  ")
 		if err != nil {
 			return err
 		}
-		if err := os.WriteFile(filepath.Join(dir, fmt.Sprintf("found-%d.json", k)), raw, 0o644); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, fmt.Sprintf("found-%d.json", i)), raw, 0o644); err != nil {
 			return err
 		}
 	}
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -47,8 +47,8 @@
 func NewFleet(binary, dir string, noOperatorFile bool, limiters, nodes int, tiers []logic.Plan, handle func(*standin.Node, [][]byte) ([]byte, bool, time.Duration)) (*Fleet, error) {
 	f := &Fleet{World: standin.NewWorld(fault.Plan{}), Load: NewLoad(limiters), dir: dir, binary: binary, noOperatorFile: noOperatorFile, tiers: tiers,
 		Limiters: make([]*standin.Limiter, limiters), endedCPU: make([]time.Duration, limiters)}
-	for k := range nodes {
-		node, err := f.World.AddNode(fmt.Sprintf("s-%d", k), []string{"hall-a", "hall-b"}[k%2])
+	for i := range nodes {
+		node, err := f.World.AddNode(fmt.Sprintf("s-%d", i), []string{"hall-a", "hall-b"}[i%2])
 		if err != nil {
 			return nil, err
 		}
@@ -60,8 +60,8 @@
 	if _, err := f.World.AddDiscovery(); err != nil {
 		return nil, err
 	}
-	for k := range limiters {
-		if err := f.StartLimiter(k); err != nil {
+	for i := range limiters {
+		if err := f.StartLimiter(i); err != nil {
 			f.Close()
 			return nil, err
 		}
@@ -70,53 +70,55 @@
 }
 
 // AdminSocket returns the path of a limiter's admin socket.
-func (f *Fleet) AdminSocket(k int) string { return filepath.Join(f.dir, strconv.Itoa(k), "admin.sock") }
+func (f *Fleet) AdminSocket(limiter int) string {
+	return filepath.Join(f.dir, strconv.Itoa(limiter), "admin.sock")
+}
 
 // StartLimiter starts a limiter's process and points the load at its addresses.
-func (f *Fleet) StartLimiter(k int) error {
-	dir := filepath.Join(f.dir, strconv.Itoa(k))
+func (f *Fleet) StartLimiter(index int) error {
+	dir := filepath.Join(f.dir, strconv.Itoa(index))
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
 	var args []string
-	file := filepath.Join(dir, "operator.star")
+	operatorFile := filepath.Join(dir, "operator.star")
 	listen, err := loopback.AnyPort() // a new port: clients that still use the previous process's address must reach no process
 	if err != nil {
 		return err
 	}
-	script := fmt.Sprintf(`bramblefall(ratelimit = ratelimit(listen = %q), admin = admin(socket = "admin.sock"), limits = limits(late = 10))`+"\n", listen)
+	operatorScript := fmt.Sprintf(`bramblefall(ratelimit = ratelimit(listen = %q), admin = admin(socket = "admin.sock"), limits = limits(late = 10))`+"\n", listen)
 	if !f.noOperatorFile {
-		if err := os.WriteFile(file, []byte(script), 0o600); err != nil {
+		if err := os.WriteFile(operatorFile, []byte(operatorScript), 0o600); err != nil {
 			return err
 		}
-		args = []string{"-operator", file}
+		args = []string{"-operator", operatorFile}
 	}
-	l, err := standin.Start(f.binary, dir, jsonObject{"name": "n" + strconv.Itoa(k), "listen": listen, "seed": fmt.Sprintf("%x", 4711+k),
-		"limits": jsonObject{"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": Settings(len(f.Limiters), k, f.tiers),
+	limiter, err := standin.Start(f.binary, dir, jsonObject{"name": "n" + strconv.Itoa(index), "listen": listen, "seed": fmt.Sprintf("%x", 4711+index),
+		"limits": jsonObject{"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": Settings(len(f.Limiters), index, f.tiers),
 		"known": f.World.Discovery.List(), "counter": f.World.Counter.Addr, "discovery": f.World.Discovery.Addr}, args...)
 	if err != nil {
 		return err
 	}
-	f.Limiters[k] = l
-	f.Load.SetAddresses(k, l.Addr, l.GRPCAddr)
+	f.Limiters[index] = limiter
+	f.Load.SetAddresses(index, limiter.Addr, limiter.GRPCAddr)
 	return nil
 }
 
 // KillLimiter kills a limiter's process, if it runs.
-func (f *Fleet) KillLimiter(k int) {
-	if l := f.Limiters[k]; l != nil {
-		f.endedCPU[k] += l.CPU()
-		f.Limiters[k] = nil
-		f.Load.SetAddresses(k, "", "")
-		l.Kill()
+func (f *Fleet) KillLimiter(index int) {
+	if limiter := f.Limiters[index]; limiter != nil {
+		f.endedCPU[index] += limiter.CPU()
+		f.Limiters[index] = nil
+		f.Load.SetAddresses(index, "", "")
+		limiter.Kill()
 	}
 }
 
 // CPUTime returns the CPU time that all limiters have used, including processes that have ended.
 func (f *Fleet) CPUTime() (sum time.Duration) {
-	for k, l := range f.Limiters {
-		if sum += f.endedCPU[k]; l != nil {
-			sum += l.CPU()
+	for i, limiter := range f.Limiters {
+		if sum += f.endedCPU[i]; limiter != nil {
+			sum += limiter.CPU()
 		}
 	}
 	return sum
@@ -124,21 +126,21 @@
 
 // CheckCrashes returns an error if the log of a running limiter shows a crash or if the stand-ins' audit has findings.
 func (f *Fleet) CheckCrashes() error {
-	for k, l := range f.Limiters {
-		if l != nil && l.Crashed() != "" {
-			return fmt.Errorf("limiter %d crashed: %s", k, l.Crashed())
+	for i, limiter := range f.Limiters {
+		if limiter != nil && limiter.Crashed() != "" {
+			return fmt.Errorf("limiter %d crashed: %s", i, limiter.Crashed())
 		}
 	}
-	if list, n := f.World.Audit.Findings(); n > 0 {
-		return errors.New(strings.Join(list, "\n"))
+	if findings, n := f.World.Audit.Findings(); n > 0 {
+		return errors.New(strings.Join(findings, "\n"))
 	}
 	return nil
 }
 
 // Close kills the limiters and stops the stand-ins.
 func (f *Fleet) Close() {
-	for k := range f.Limiters {
-		f.KillLimiter(k)
+	for i := range f.Limiters {
+		f.KillLimiter(i)
 	}
 	f.World.Close()
 }
@@ -146,10 +148,10 @@
 // Settings returns the settings of one limiter, the one at index rank, in a small deployment of the given size.
 func Settings(limiters, rank int, tiers []logic.Plan) jsonObject {
 	var tariffs []jsonObject
-	for _, p := range tiers {
-		tariffs = append(tariffs, jsonObject{"name": p.Name, "perSecond": p.Rate, "depth": p.Burst, "concurrency": p.Open,
-			"worthFactor": p.Price, "extraWorth": p.OverWorth, "overCost": p.OverCost, "hardRate": p.CeilingRate,
-			"hardBurst": p.CeilingBurst, "hardSlack": p.CeilingSlack})
+	for _, tier := range tiers {
+		tariffs = append(tariffs, jsonObject{"name": tier.Name, "perSecond": tier.Rate, "depth": tier.Burst, "concurrency": tier.Open,
+			"worthFactor": tier.Price, "extraWorth": tier.OverWorth, "overCost": tier.OverCost, "hardRate": tier.CeilingRate,
+			"hardBurst": tier.CeilingBurst, "hardSlack": tier.CeilingSlack})
 	}
 	return jsonObject{
 		"balancers": limiters, "rank": rank, "zone": rank % 2, "zones": []string{"hall-a", "hall-b"}, "skus": []string{"std-3core"},
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -33,8 +33,8 @@
 	require.ErrorContains(t, err, "shipped are")
 }
 
-// Every shipped scenario can be read. Those with up to 30 limiters break no rule, with more than three limiters in a run cut to
-// four seconds; those with up to three hold their bounds at full length.
+// Every shipped scenario can be read. Those with up to 30 limiters break no rule, with more than three limiters in a run
+// cut to four seconds; those with up to three hold their bounds at full length.
 func TestShippedScenarios(t *testing.T) {
 	require.Contains(t, ShippedScenarios(), "hall-lost")
 	for _, name := range ShippedScenarios() {
@@ -153,8 +153,8 @@
 	require.Less(t, sendLog.Evaluate(0, "full", timeline, began, 0, 20, nil).BeyondQuota, use.BeyondQuota-15, "reserved units count as inside the quota")
 }
 
-// Parallel must report no job after the context has ended, even if all jobs have finished by then and select could pick either
-// channel.
+// Parallel must report no job after the context has ended, even if all jobs have finished by then and select could pick
+// either channel.
 func TestParallelReportsNothingAfterContextEnd(t *testing.T) {
 	s, err := LoadScenario("calm")
 	require.NoError(t, err)
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -96,7 +96,8 @@
 	lastTryID uint64
 }
 
-// limiterTarget holds a limiter's current addresses and its idle connections. The addresses change when the limiter restarts.
+// limiterTarget holds a limiter's current addresses and its idle connections. The addresses change when the limiter
+// restarts.
 type limiterTarget struct {
 	mu       sync.Mutex
 	addr     string
@@ -119,38 +120,38 @@
 }
 
 // SetAddresses sets where a limiter listens now, "" while it is down, and closes the connections to its previous addresses.
-func (l *Load) SetAddresses(k int, addr, grpcAddr string) {
-	t := l.targets[k]
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.addr = addr
-	for _, w := range t.idle {
-		_ = w.conn.Close()
+func (l *Load) SetAddresses(limiter int, addr, grpcAddr string) {
+	target := l.targets[limiter]
+	target.mu.Lock()
+	defer target.mu.Unlock()
+	target.addr = addr
+	for _, idle := range target.idle {
+		_ = idle.conn.Close()
 	}
-	t.idle = nil
-	if t.grpcConn != nil {
-		_ = t.grpcConn.Close()
-		t.grpcConn = nil
+	target.idle = nil
+	if target.grpcConn != nil {
+		_ = target.grpcConn.Close()
+		target.grpcConn = nil
 	}
 	if grpcAddr != "" {
-		t.grpcConn, _ = grpc.NewClient("passthrough:///"+grpcAddr, grpc.WithTransportCredentials(insecure.NewCredentials()))
+		target.grpcConn, _ = grpc.NewClient("passthrough:///"+grpcAddr, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	}
 }
 
 // Run sends requests until the context ends, then waits for those that are still in flight.
 func (l *Load) Run(ctx context.Context, seed uint64) {
-	for k, f := range l.Firms {
+	for i, f := range l.Firms {
 		l.wg.Add(1)
 		go func() {
 			defer l.wg.Done()
-			l.generateRequests(ctx, k, f, rand.New(rand.NewPCG(seed, uint64(k))))
+			l.generateRequests(ctx, i, f, rand.New(rand.NewPCG(seed, uint64(i))))
 		}()
 	}
 	l.wg.Wait()
 }
 
 // generateRequests starts one firm's requests at the arrival times of a Poisson process until the context ends.
-func (l *Load) generateRequests(ctx context.Context, k int, f *Firm, rng *rand.Rand) {
+func (l *Load) generateRequests(ctx context.Context, firm int, f *Firm, rng *rand.Rand) {
 	due := time.Now()
 	for {
 		l.mu.Lock()
@@ -171,7 +172,7 @@
 		l.wg.Add(1)
 		go func(due time.Time) {
 			defer l.wg.Done()
-			l.sendWithRetries(f, Try{Firm: k, Class: class, Due: due}, overGRPC, rand.New(rand.NewPCG(seed, 1)))
+			l.sendWithRetries(f, Try{Firm: firm, Class: class, Due: due}, overGRPC, rand.New(rand.NewPCG(seed, 1)))
 		}(due)
 	}
 }
@@ -232,8 +233,8 @@
 	update()
 }
 
-// acquire returns an idle connection, or dials a new one if there is none or if forceNew is set. reused tells which it is; ok is
-// false if no connection can be had.
+// acquire returns an idle connection, or dials a new one if there is none or if forceNew is set. reused tells which it
+// is; ok is false if no connection can be had.
 func (t *limiterTarget) acquire(forceNew bool) (w *respConn, reused, ok bool) {
 	t.mu.Lock()
 	addr := t.addr
--- a/internal/lab/plans.go
+++ b/internal/lab/plans.go
@@ -61,8 +61,9 @@
 	reservedFirmRequestsPerSecond = 60.0   // of the firm that has a reservation
 )
 
-// scaledTiers returns the experiment's three tiers with all rates multiplied by scale. Bursts are in seconds at the rate, and
-// ceilings are multiples of the quota; 0 means no ceiling.
+// scaledTiers returns the experiment's three tiers with all rates multiplied by scale. A burst is as many seconds at the
+// rate, but at least four units. A ceiling is a multiple of rate and burst, 0 for none, and its slack is a tenth of its
+// burst, but at least one unit.
 func scaledTiers(scale float64) []logic.Plan {
 	tier := func(name string, rate, burst, ceiling float64) logic.Plan {
 		p := logic.Plan{Name: name, Rate: rate * scale, Burst: max(rate*scale*burst, 4), Price: 1, OverCost: 0.5}
@@ -94,16 +95,20 @@
 
 // planChange is a version of the plans as the run applied it.
 type planChange struct {
-	version      plans.Version
-	scale        float64
-	effectiveAt  time.Time
-	inForceDelay time.Duration           // the longest time until a limiter had it in force, from effectiveAt or from when the last limiter was told, whichever is later
-	toldAt       [limiterCount]time.Time // zero for a limiter that was never told
+	version     plans.Version
+	scale       float64
+	effectiveAt time.Time
+
+	// inForceDelay is the longest time until a limiter had the version in force, from effectiveAt or from when the last
+	// limiter was told of it, whichever is later.
+	inForceDelay time.Duration
+
+	toldAt [limiterCount]time.Time // zero for a limiter that was never told
 }
 
-// RunPlans changes the plans every ten seconds (quick: five) under load while one firm draws a reservation. It then runs the
-// same load without changes to compare the CPU time (not in a quick run), and last draws another reservation while a limiter
-// is killed and the counter loses its state.
+// RunPlans changes the plans every ten seconds (quick: five) under load while one firm draws a reservation. It then runs
+// the same load without changes to compare the CPU time (not in a quick run), and last draws another reservation while a
+// limiter is killed and the counter loses its state.
 func RunPlans(ctx context.Context, options Options) (Result, error) {
 	dir, err := os.MkdirTemp("", "bramblelab")
 	if err != nil {
@@ -145,6 +150,7 @@
 	return result, writeTables(options.OutputDir, result.Tables)
 }
 
+// writeTables writes the tables to files in dir. It does nothing if dir is empty.
 func writeTables(dir string, tables []*Table) error {
 	if dir == "" {
 		return nil
@@ -153,8 +159,8 @@
 		return err
 	}
 	var errs []error
-	for _, t := range tables {
-		errs = append(errs, t.Keep(dir))
+	for _, table := range tables {
+		errs = append(errs, table.Keep(dir))
 	}
 	return errors.Join(errs...)
 }
@@ -167,16 +173,16 @@
 	return 10 * time.Second
 }
 
-// newPlansRun starts the fleet and draws the given number of firms. Of ten firms four are associates, three regular and three
-// full members; an eighth sends half of its requests over gRPC. Most use 15% to 50% of their quota, 15% use 90% of it, and 12%
-// ask for 1.5 to 4 times their quota.
+// newPlansRun starts the fleet and draws the given number of firms. Of ten firms four are associates, three regular and
+// three full members; an eighth sends half of its requests over gRPC. Most use 15% to 50% of their quota, 15% use 90% of
+// it, and 12% ask for 1.5 to 4 times their quota.
 func newPlansRun(options Options, binary, dir string, firms int) (*plansRun, error) {
-	r := &plansRun{Options: options, rng: rand.New(rand.NewPCG(options.Seed, 8)), firmByID: map[uint64]int{}, sendLog: NewSendLog(firms + 1)}
+	run := &plansRun{Options: options, rng: rand.New(rand.NewPCG(options.Seed, 8)), firmByID: map[uint64]int{}, sendLog: NewSendLog(firms + 1)}
 	tiers := scaledTiers(1)
 	fleet, err := NewFleet(binary, dir, false, limiterCount, 6, tiers, func(node *standin.Node, args [][]byte) ([]byte, bool, time.Duration) {
 		id, _ := strconv.ParseUint(string(args[1]), 16, 64)
-		if i, ok := r.firmByID[id]; ok {
-			r.sendLog.Record(i, string(args[2]))
+		if i, ok := run.firmByID[id]; ok {
+			run.sendLog.Record(i, string(args[2]))
 		}
 		return standin.Value("v"), true, 4 * time.Millisecond
 	})
@@ -184,34 +190,34 @@
 		return nil, err
 	}
 	fleet.World.Unchecked = true // the stand-ins need not check requests: the send log does, by firm
-	r.fleet, r.diagnostics = fleet, newDiagnostics()
+	run.fleet, run.diagnostics = fleet, newDiagnostics()
 	for i := range firms {
 		tier := tiers[[]int{0, 0, 0, 0, 1, 1, 1, 2, 2, 2}[i%10]]
-		firm := &Firm{ID: 0x1000 + r.rng.Uint64N(1<<32), Tier: tier.Name, Spread: 2 + r.rng.IntN(2), FirstLimiter: r.rng.IntN(limiterCount),
-			PreferredShare: 0.4 + 0.3*r.rng.Float64(), HalfOverGRPC: i%8 == 0}
-		quotaShare := 0.15 + 0.35*r.rng.Float64()
-		switch x := r.rng.Float64(); {
+		firm := &Firm{ID: 0x1000 + run.rng.Uint64N(1<<32), Tier: tier.Name, Spread: 2 + run.rng.IntN(2), FirstLimiter: run.rng.IntN(limiterCount),
+			PreferredShare: 0.4 + 0.3*run.rng.Float64(), HalfOverGRPC: i%8 == 0}
+		quotaShare := 0.15 + 0.35*run.rng.Float64()
+		switch x := run.rng.Float64(); {
 		case x < 0.15:
 			quotaShare = 0.9
 		case x < 0.27:
-			quotaShare = 1.5 + 2.5*r.rng.Float64()
+			quotaShare = 1.5 + 2.5*run.rng.Float64()
 		}
 		firm.RequestsPerSecond = quotaShare * tier.Rate
-		r.firmByID[firm.ID] = i
+		run.firmByID[firm.ID] = i
 		fleet.Load.Firms = append(fleet.Load.Firms, firm)
 	}
 	fleet.Load.Classes = []Class{{Name: "balance-read", Share: 1, Deadline: requestDeadline}}
 	fleet.Load.AfterTry = func(result TryResult) {
-		r.outcomes[result.Outcome]++
-		r.diagnostics.afterTry(result)
+		run.outcomes[result.Outcome]++
+		run.diagnostics.afterTry(result)
 		switch result.Outcome {
 		case Admitted:
-			r.sendLog.Record(result.Firm, "")
+			run.sendLog.Record(result.Firm, "")
 		case Refused:
-			r.refusedTries = append(r.refusedTries, refusedTry{result.Firm, result.EndedAt})
+			run.refusedTries = append(run.refusedTries, refusedTry{result.Firm, result.EndedAt})
 		}
 	}
-	return r, nil
+	return run, nil
 }
 
 // addReservedFirm adds the firm that has a reservation. It asks for far more than its tier's quota.
@@ -224,28 +230,28 @@
 
 // forEachLimiter calls the admin service of every limiter in turn and stops at the first error. All limiters must be up.
 func (r *plansRun) forEachLimiter(call func(context.Context, int, adminpb.AdminClient) error) error {
-	for k := range r.fleet.Limiters {
-		if err := r.adminCall(k, call); err != nil {
-			return fmt.Errorf("limiter %d: %w", k, err)
+	for limiter := range r.fleet.Limiters {
+		if err := r.adminCall(limiter, call); err != nil {
+			return fmt.Errorf("limiter %d: %w", limiter, err)
 		}
 	}
 	return nil
 }
 
-// adminCall connects to the admin service of limiter k for one call, which must end within five seconds.
-func (r *plansRun) adminCall(k int, call func(context.Context, int, adminpb.AdminClient) error) error {
-	client, end, err := admin.Dial(r.fleet.AdminSocket(k))
+// adminCall connects to the admin service of a limiter for one call, which must end within five seconds.
+func (r *plansRun) adminCall(limiter int, call func(context.Context, int, adminpb.AdminClient) error) error {
+	client, closeClient, err := admin.Dial(r.fleet.AdminSocket(limiter))
 	if err != nil {
 		return err
 	}
-	defer end()
+	defer closeClient()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	return call(ctx, k, client)
+	return call(ctx, limiter, client)
 }
 
-// runPlansLoad runs the load, with or without changes, and returns the limiters' CPU time per try in microseconds. Only a run
-// with changes is evaluated into result.
+// runPlansLoad runs the load, with or without changes, and returns the limiters' CPU time per try in microseconds. Only
+// a run with changes is evaluated into result.
 func runPlansLoad(ctx context.Context, options Options, binary, dir string, length time.Duration, changing bool, result *Result) (float64, error) {
 	run, err := newPlansRun(options, binary, dir, firmCount)
 	if err != nil {
@@ -262,7 +268,8 @@
 		defer close(done)
 		run.fleet.Load.Run(loadCtx, options.Seed)
 	}()
-	from, until := began.Add(time.Second), began.Add(length+10*time.Second) // the reservation outlasts the run: limiters report its use only until it ends
+	// The reservation outlasts the run: limiters report its use only until it ends.
+	from, until := began.Add(time.Second), began.Add(length+10*time.Second)
 	reservedUnits := min(maxReservationUnits, 0.5*reservedFirmRequestsPerSecond*(length-3*time.Second).Seconds())
 	err = run.grantReservation("ahead-of-a-shipment", reservedFirm, reservedUnits, from, until)
 	var changes []planChange
@@ -312,33 +319,33 @@
 	return units, err
 }
 
-// applyChanges applies versions that scale the plans up and down, a second before each takes effect. Every third reaches one
-// limiter only after that, and every fourth never reaches one limiter.
+// applyChanges applies versions that scale the plans up and down, a second before each takes effect. Every third reaches
+// one limiter only after that, and every fourth never reaches one limiter.
 func (r *plansRun) applyChanges(ctx context.Context, began time.Time, length time.Duration) (changes []planChange, err error) {
 	scales := []float64{0.5, 1.6, 0.7, 1.2, 0.4, 2, 1}
 	interval := changeInterval(r.Quick)
-	for n := 0; began.Add(time.Duration(n+1) * interval).Before(began.Add(length - interval/2)); n++ {
-		effectiveAt := began.Add(time.Duration(n+1) * interval)
-		change := planChange{scale: scales[n%len(scales)], effectiveAt: effectiveAt}
-		change.version = plans.Version{Number: uint64(n + 1), Effective: time.Duration(effectiveAt.UnixNano()), Note: fmt.Sprintf("step %d", n+1), Tiers: scaledTiers(change.scale)}
+	for step := 0; began.Add(time.Duration(step+1) * interval).Before(began.Add(length - interval/2)); step++ {
+		effectiveAt := began.Add(time.Duration(step+1) * interval)
+		change := planChange{scale: scales[step%len(scales)], effectiveAt: effectiveAt}
+		change.version = plans.Version{Number: uint64(step + 1), Effective: time.Duration(effectiveAt.UnixNano()), Note: fmt.Sprintf("step %d", step+1), Tiers: scaledTiers(change.scale)}
 		time.Sleep(time.Until(effectiveAt.Add(-time.Second)))
 		lateLimiter := -1
-		if n%3 == 2 {
+		if step%3 == 2 {
 			lateLimiter = r.rng.IntN(limiterCount)
 		}
 		skippedLimiter := -1
-		if n%4 == 3 {
+		if step%4 == 3 {
 			skippedLimiter = r.rng.IntN(limiterCount)
 		}
-		tell := func(ctx context.Context, k int, client adminpb.AdminClient) error {
-			change.toldAt[k] = time.Now()
+		tell := func(ctx context.Context, limiter int, client adminpb.AdminClient) error {
+			change.toldAt[limiter] = time.Now()
 			_, err := client.ApplyPlans(ctx, &adminpb.ApplyPlansRequest{Version: admin.VersionOut(change.version)})
 			return err
 		}
-		for k := range limiterCount {
-			if k != lateLimiter && k != skippedLimiter {
-				if err := r.adminCall(k, tell); err != nil {
-					return changes, fmt.Errorf("version %d at limiter %d: %w", n+1, k, err)
+		for limiter := range limiterCount {
+			if limiter != lateLimiter && limiter != skippedLimiter {
+				if err := r.adminCall(limiter, tell); err != nil {
+					return changes, fmt.Errorf("apply version %d at limiter %d: %w", step+1, limiter, err)
 				}
 			}
 		}
@@ -346,11 +353,11 @@
 			delay := min(3*time.Second, interval/2)
 			time.Sleep(time.Until(effectiveAt.Add(delay)))
 			if err := r.adminCall(lateLimiter, tell); err != nil {
-				return changes, fmt.Errorf("version %d late at limiter %d: %w", n+1, lateLimiter, err)
+				return changes, fmt.Errorf("apply version %d late at limiter %d: %w", step+1, lateLimiter, err)
 			}
 		}
 		changes = append(changes, change)
-		r.Logf("version %d: scale %g", n+1, change.scale)
+		r.Logf("version %d: scale %g", step+1, change.scale)
 		if ctx.Err() != nil {
 			break
 		}
@@ -358,7 +365,8 @@
 	return changes, nil
 }
 
-// planTimeline reads from the limiters' logs when each had which plan figures in force, and sets inForceDelay of the changes.
+// planTimeline reads from the limiters' logs when each had which plan figures in force, and sets inForceDelay of the
+// changes.
 func (r *plansRun) planTimeline(began time.Time, changes []planChange) (timeline PlanTimeline) {
 	for _, limiter := range r.fleet.Limiters {
 		periods := []PlanPeriod{{began.Add(-time.Minute), scaledTiers(1)}}
@@ -402,45 +410,45 @@
 	worstPercent, worstCeilingUnits, ceilingDetails := 0.0, 0.0, ""
 	chartLines := map[string]plotter.XYs{}
 	tierNames := []string{"associate", "regular", "full"}
-	sentInWindow, beyondInWindow, firmsByTier := map[string][]float64{}, map[string][]float64{}, map[string]float64{}
+	unitsSentInWindow, unitsBeyondInWindow, firmCountByTier := map[string][]float64{}, map[string][]float64{}, map[string]float64{}
 	for _, tier := range tierNames {
 		var tierUse QuotaUse
 		tierUse.BeyondQuotaInWindow, tierUse.SentInWindow = make([]float64, len(windows)), make([]float64, len(windows))
-		refusedTries, refusedWithRoom := 0, 0
+		refusedCount, refusedWithRoomCount := 0, 0
 		for i, firm := range r.fleet.Load.Firms {
 			if firm.Tier != tier {
 				continue
 			}
-			firmsByTier[tier]++
-			reserved := 0.0
+			firmCountByTier[tier]++
+			reservedUsed := 0.0
 			if firm == reservedFirm {
-				reserved = usedUnits
+				reservedUsed = usedUnits
 			}
-			use := r.sendLog.Evaluate(i, tier, timeline, began, propagationGrace, reserved, windows)
+			use := r.sendLog.Evaluate(i, tier, timeline, began, propagationGrace, reservedUsed, windows)
 			tierUse.Sent, tierUse.BeyondQuota, tierUse.OverCeiling = tierUse.Sent+use.Sent, tierUse.BeyondQuota+use.BeyondQuota, max(tierUse.OverCeiling, use.OverCeiling)
 			if use.OverCeiling > 0 {
 				ceilingDetails += r.diagnostics.describeWorstSend(firm, use)
 			}
-			for w := range windows {
-				tierUse.BeyondQuotaInWindow[w] += use.BeyondQuotaInWindow[w]
-				tierUse.SentInWindow[w] += use.SentInWindow[w]
+			for window := range windows {
+				tierUse.BeyondQuotaInWindow[window] += use.BeyondQuotaInWindow[window]
+				tierUse.SentInWindow[window] += use.SentInWindow[window]
 			}
-			firmRefused, firmRefusedWithRoom := r.countRefusals(i, tier, timeline, began)
-			refusedTries, refusedWithRoom = refusedTries+firmRefused, refusedWithRoom+firmRefusedWithRoom
+			firmRefusedCount, firmRefusedWithRoomCount := r.countRefusals(i, tier, timeline, began)
+			refusedCount, refusedWithRoomCount = refusedCount+firmRefusedCount, refusedWithRoomCount+firmRefusedWithRoomCount
 		}
-		tiers.Add(tier, tierUse.Sent, 100*tierUse.BeyondQuota/max(tierUse.Sent, 1), tierUse.OverCeiling, refusedTries, refusedWithRoom)
+		tiers.Add(tier, tierUse.Sent, 100*tierUse.BeyondQuota/max(tierUse.Sent, 1), tierUse.OverCeiling, refusedCount, refusedWithRoomCount)
 		worstCeilingUnits = max(worstCeilingUnits, tierUse.OverCeiling)
-		sentInWindow[tier], beyondInWindow[tier] = tierUse.SentInWindow, tierUse.BeyondQuotaInWindow
+		unitsSentInWindow[tier], unitsBeyondInWindow[tier] = tierUse.SentInWindow, tierUse.BeyondQuotaInWindow
 	}
-	for w, change := range changes {
+	for window, change := range changes {
 		for _, tier := range tierNames {
 			// The share is of what the larger of both plans grants all firms of the tier in that second.
-			now, before := timeline.LargestPlan(tier, change.effectiveAt.Add(time.Second)), timeline.LargestPlan(tier, change.effectiveAt.Add(-time.Millisecond))
-			overPercent := 100 * beyondInWindow[tier][w] / (max(now.Rate, before.Rate) * firmsByTier[tier])
-			versions.Add(change.version.Number, change.scale, tier, sentInWindow[tier][w], overPercent, float64(change.inForceDelay.Microseconds())/1000)
+			after, before := timeline.LargestPlan(tier, change.effectiveAt.Add(time.Second)), timeline.LargestPlan(tier, change.effectiveAt.Add(-time.Millisecond))
+			overPercent := 100 * unitsBeyondInWindow[tier][window] / (max(after.Rate, before.Rate) * firmCountByTier[tier])
+			versions.Add(change.version.Number, change.scale, tier, unitsSentInWindow[tier][window], overPercent, float64(change.inForceDelay.Microseconds())/1000)
 			chartLines[tier] = append(chartLines[tier], plotter.XY{X: float64(change.version.Number), Y: overPercent})
 			worstPercent = max(worstPercent, overPercent)
-			result.checkBound(overPercent <= 10 || beyondInWindow[tier][w] <= 2, "version %d, %s: %.1f%% of the larger quota was passed on beyond it in the second after; 10%% or 2 units at most are allowed", change.version.Number, tier, overPercent)
+			result.checkBound(overPercent <= 10 || unitsBeyondInWindow[tier][window] <= 2, "version %d, %s: %.1f%% of the larger quota was passed on beyond it in the second after; 10%% or 2 units at most are allowed", change.version.Number, tier, overPercent)
 		}
 		result.checkBound(change.inForceDelay <= propagationGrace, "version %d was in force at all limiters only after %s, want at most %s", change.version.Number, change.inForceDelay, propagationGrace)
 	}
@@ -494,9 +502,9 @@
 	return total, withRoom
 }
 
-// runLossyReservation draws a reservation while a limiter is killed and restarted and the counter loses all its state. It checks
-// that no more is passed on than the stated bound: the reserved units, what the plan grants in that time, one lease for each
-// limiter, and what the firm asks for within reserve.Blind before and after the counter's loss.
+// runLossyReservation draws a reservation while a limiter is killed and restarted and the counter loses all its state.
+// It checks that no more is passed on than the stated bound: the reserved units, what the plan grants in that time, one
+// lease for each limiter, and what the firm asks for within reserve.Blind before and after the counter's loss.
 func runLossyReservation(ctx context.Context, options Options, binary, dir string, length time.Duration, result *Result) error {
 	run, err := newPlansRun(options, binary, dir, 0)
 	if err != nil {
--- a/internal/lab/real.go
+++ b/internal/lab/real.go
@@ -14,8 +14,8 @@
 	"bramblefall/internal/standin"
 )
 
-// RealResult is the outcome of a scenario on real limiters. Requests that were due within the scenario's warm-up do not count,
-// except where the comment of a field says that it covers the whole run.
+// RealResult is the outcome of a scenario on real limiters. Requests that were due within the scenario's warm-up do not
+// count, except where the comment of a field says that it covers the whole run.
 type RealResult struct {
 	Requests, Tries           int                 // requests that were begun; tries that ended
 	Outcomes                  [Unanswered + 1]int // tries, by Outcome
@@ -86,14 +86,14 @@
 	requestedBuckets []tokenBucket   // by firm: the quota as drawn down by first tries, to tell which requests are inside it
 	inside           map[uint64]bool // not used
 	totals           RealResult      // counts so far; summarize fills in the shares and latencies
-	triesByTier      []int
-	refusedByTier    []int
+	triesByTier      []int           // tries that ended
+	refusedByTier    []int           // tries that were rejected
 	worthServed      float64
 	worthAsked       float64 // by requests inside the quotas
 }
 
-// RunReal runs a scenario on real limiters, at the scenario's own size and in real time. binary is the path of the limiter's
-// program; if it is empty, the program is built from the module in the current directory.
+// RunReal runs a scenario on real limiters, at the scenario's own size and in real time. binary is the path of the
+// limiter's program; if it is empty, the program is built from the module in the current directory.
 func RunReal(ctx context.Context, scenario model.Scenario, seed uint64, binary string, logf func(string, ...any)) (RealResult, error) {
 	if scenario.Units.Most > 1 || len(scenario.Machines) > 0 || scenario.Node.Reports {
 		return RealResult{}, errors.New("the scenario has units, kinds of machines or load reports: only the model supports them")
@@ -109,44 +109,44 @@
 			return RealResult{}, err
 		}
 	}
-	r := &realRun{scenario: scenario, seed: seed, nodes: map[string]*realNode{}, meanWorkByClass: model.DrawWork(scenario, seed), firmByID: map[uint64]int{},
+	run := &realRun{scenario: scenario, seed: seed, nodes: map[string]*realNode{}, meanWorkByClass: model.DrawWork(scenario, seed), firmByID: map[uint64]int{},
 		firmSpecs: model.DrawFirms(scenario, seed), inside: map[uint64]bool{}, triesByTier: make([]int, len(scenario.Tiers)), refusedByTier: make([]int, len(scenario.Tiers))}
-	r.sendLog = NewSendLog(len(r.firmSpecs))
-	for k := range scenario.Nodes {
-		r.nodes[fmt.Sprintf("s-%d", k)] = &realNode{spec: scenario.Node, rng: rand.New(rand.NewPCG(seed, uint64(k)))}
+	run.sendLog = NewSendLog(len(run.firmSpecs))
+	for i := range scenario.Nodes {
+		run.nodes[fmt.Sprintf("s-%d", i)] = &realNode{spec: scenario.Node, rng: rand.New(rand.NewPCG(seed, uint64(i)))}
 	}
-	if r.fleet, err = NewFleet(binary, dir, true, scenario.Limiters, scenario.Nodes, scenario.Tiers, r.handleRequest); err != nil {
+	if run.fleet, err = NewFleet(binary, dir, true, scenario.Limiters, scenario.Nodes, scenario.Tiers, run.handleRequest); err != nil {
 		return RealResult{}, err
 	}
-	defer r.fleet.Close()
-	r.setUpLoad()
-	r.began = time.Now()
-	run, stop := context.WithTimeout(ctx, time.Duration(scenario.Seconds*float64(time.Second)))
+	defer run.fleet.Close()
+	run.setUpLoad()
+	run.began = time.Now()
+	runCtx, stop := context.WithTimeout(ctx, time.Duration(scenario.Seconds*float64(time.Second)))
 	defer stop()
-	go r.shiftPreferredLimiters(run)
-	for k, f := range scenario.Faults {
-		go r.playFault(run, f, k)
+	go run.shiftPreferredLimiters(runCtx)
+	for i, fault := range scenario.Faults {
+		go run.playFault(runCtx, fault, i)
 	}
 	logf("%s on %d real limiters for %.0f s", scenario.Name, scenario.Limiters, scenario.Seconds)
-	r.fleet.Load.Run(run, seed)
-	if err := r.fleet.CheckCrashes(); err != nil {
-		return r.totals, err
+	run.fleet.Load.Run(runCtx, seed)
+	if err := run.fleet.CheckCrashes(); err != nil {
+		return run.totals, err
 	}
-	return r.summarize(), nil
+	return run.summarize(), nil
 }
 
-// handleRequest answers a command as a node. It takes Q.DO for a request of the last class and any other command for one of the
-// first class.
-func (r *realRun) handleRequest(n *standin.Node, args [][]byte) ([]byte, bool, time.Duration) {
+// handleRequest answers a command as a node. It takes Q.DO for a request of the last class and any other command for one
+// of the first class.
+func (r *realRun) handleRequest(node *standin.Node, args [][]byte) ([]byte, bool, time.Duration) {
 	id, _ := strconv.ParseUint(string(args[1]), 16, 64)
 	class := 0
 	if string(args[0]) == "Q.DO" {
 		class = len(r.scenario.Classes) - 1
 	}
-	if k, ok := r.firmByID[id]; ok {
-		r.sendLog.Record(k, string(args[2]))
+	if firm, ok := r.firmByID[id]; ok {
+		r.sendLog.Record(firm, string(args[2]))
 	}
-	if !r.nodes[n.ID].serve(r.meanWorkByClass[class]) {
+	if !r.nodes[node.ID].serve(r.meanWorkByClass[class]) {
 		return []byte("-BUSY\r\n"), false, 0
 	}
 	return standin.Value("v"), true, 0
@@ -154,71 +154,71 @@
 
 // setUpLoad configures the load generator with the scenario's classes, retry policy and firms.
 func (r *realRun) setUpLoad() {
-	l := r.fleet.Load
+	load := r.fleet.Load
 	r.fleet.World.Unchecked = true
-	for _, c := range r.scenario.Classes {
-		l.Classes = append(l.Classes, Class{c.Name, c.Share, c.Keyed, time.Duration(c.Deadline * float64(time.Second))})
+	for _, class := range r.scenario.Classes {
+		load.Classes = append(load.Classes, Class{class.Name, class.Share, class.Keyed, time.Duration(class.Deadline * float64(time.Second))})
 	}
-	c := r.scenario.Clients
-	l.RetryPolicy = RetryPolicy{c.Retries, c.Wait, c.GiveUp, c.Honour}
-	for k, f := range r.firmSpecs {
-		r.firmByID[f.ID] = k
-		l.Firms = append(l.Firms, &Firm{ID: f.ID, Tier: r.scenario.Tiers[f.Tier].Name, RequestsPerSecond: f.Demand, Spread: f.Spread, FirstLimiter: f.First, PreferredShare: r.scenario.Firms.Skew})
-		r.requestedBuckets = append(r.requestedBuckets, tokenBucket{r.scenario.Tiers[f.Tier].Burst, time.Now()})
+	clients := r.scenario.Clients
+	load.RetryPolicy = RetryPolicy{clients.Retries, clients.Wait, clients.GiveUp, clients.Honour}
+	for i, firm := range r.firmSpecs {
+		r.firmByID[firm.ID] = i
+		load.Firms = append(load.Firms, &Firm{ID: firm.ID, Tier: r.scenario.Tiers[firm.Tier].Name, RequestsPerSecond: firm.Demand, Spread: firm.Spread, FirstLimiter: firm.First, PreferredShare: r.scenario.Firms.Skew})
+		r.requestedBuckets = append(r.requestedBuckets, tokenBucket{r.scenario.Tiers[firm.Tier].Burst, time.Now()})
 	}
-	l.BeforeRequest = func(t Try) {
-		p := r.scenario.Tiers[r.firmSpecs[t.Firm].Tier]
-		a := &r.requestedBuckets[t.Firm]
-		a.refill(time.Now(), p.Rate, p.Burst)
-		if a.tokens >= 1 {
-			a.tokens--
-			if r.afterWarmUp(t) {
-				r.worthAsked += r.scenario.Classes[t.Class].Worth * p.Price
+	load.BeforeRequest = func(try Try) {
+		plan := r.scenario.Tiers[r.firmSpecs[try.Firm].Tier]
+		bucket := &r.requestedBuckets[try.Firm]
+		bucket.refill(time.Now(), plan.Rate, plan.Burst)
+		if bucket.tokens >= 1 {
+			bucket.tokens--
+			if r.afterWarmUp(try) {
+				r.worthAsked += r.scenario.Classes[try.Class].Worth * plan.Price
 			}
 		}
-		if r.afterWarmUp(t) {
+		if r.afterWarmUp(try) {
 			r.totals.Requests++
 		}
 	}
-	l.AfterTry = r.afterTry
+	load.AfterTry = r.afterTry
 }
 
 // afterWarmUp reports whether a try's request was due after the scenario's warm-up.
 func (r *realRun) afterWarmUp(t Try) bool { return t.Due.Sub(r.began).Seconds() >= r.scenario.Warm }
 
 // afterTry counts a try's outcome and the worth of what was served.
-func (r *realRun) afterTry(e TryResult) {
-	if !r.afterWarmUp(e.Try) {
+func (r *realRun) afterTry(result TryResult) {
+	if !r.afterWarmUp(result.Try) {
 		return
 	}
-	tier := r.firmSpecs[e.Firm].Tier
+	tier := r.firmSpecs[result.Firm].Tier
 	r.totals.Tries++
 	r.triesByTier[tier]++
-	r.totals.Outcomes[e.Outcome]++
-	switch e.Outcome {
+	r.totals.Outcomes[result.Outcome]++
+	switch result.Outcome {
 	case Refused:
 		r.refusedByTier[tier]++
 	case Served:
-		worth := r.scenario.Classes[e.Class].Worth * r.scenario.Tiers[tier].Price
-		if e.EndedAt.Sub(e.Due).Seconds() > r.scenario.Classes[e.Class].Aim {
-			worth *= r.scenario.Classes[e.Class].Late
+		worth := r.scenario.Classes[result.Class].Worth * r.scenario.Tiers[tier].Price
+		if result.EndedAt.Sub(result.Due).Seconds() > r.scenario.Classes[result.Class].Aim {
+			worth *= r.scenario.Classes[result.Class].Late
 		}
 		r.worthServed += worth
 	}
 }
 
-// shiftPreferredLimiters draws each firm's preferred limiter anew at the intervals that the scenario names, until the context
-// ends.
+// shiftPreferredLimiters draws each firm's preferred limiter anew at the intervals that the scenario names, until the
+// context ends.
 func (r *realRun) shiftPreferredLimiters(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(r.seed, 77))
 	due := make([]time.Time, len(r.firmSpecs))
 	for ctx.Err() == nil {
 		now := time.Now()
 		r.fleet.Load.UpdateFirms(func() {
-			for k, f := range r.fleet.Load.Firms {
-				if now.After(due[k]) {
-					f.preferredOffset = rng.IntN(max(f.Spread, 1))
-					due[k] = now.Add(time.Duration((r.scenario.Firms.ShiftS[0] + (r.scenario.Firms.ShiftS[1]-r.scenario.Firms.ShiftS[0])*rng.Float64()) * float64(time.Second)))
+			for i, firm := range r.fleet.Load.Firms {
+				if now.After(due[i]) {
+					firm.preferredOffset = rng.IntN(max(firm.Spread, 1))
+					due[i] = now.Add(time.Duration((r.scenario.Firms.ShiftS[0] + (r.scenario.Firms.ShiftS[1]-r.scenario.Firms.ShiftS[0])*rng.Float64()) * float64(time.Second)))
 				}
 			}
 		})
@@ -251,8 +251,8 @@
 		hotFirms := model.Hot(r.seed, index, len(r.firmSpecs))
 		addRate := func(rate float64) {
 			r.fleet.Load.UpdateFirms(func() {
-				for _, k := range hotFirms {
-					r.fleet.Load.Firms[k].RequestsPerSecond += rate
+				for _, i := range hotFirms {
+					r.fleet.Load.Firms[i].RequestsPerSecond += rate
 				}
 			})
 		}
@@ -261,8 +261,8 @@
 			addRate(-fault.Size * totalRate / 3)
 		}
 	case model.FaultDrain:
-		for _, k := range rng.Perm(r.scenario.Nodes)[:max(1, int(fault.Part*float64(r.scenario.Nodes)+0.5))] {
-			standIn := r.fleet.World.Nodes[k]
+		for _, i := range rng.Perm(r.scenario.Nodes)[:max(1, int(fault.Part*float64(r.scenario.Nodes)+0.5))] {
+			standIn := r.fleet.World.Nodes[i]
 			standIn.State.Store("draining")
 			r.fleet.World.Discovery.Changed()
 			go func() {
@@ -277,8 +277,8 @@
 		}
 	case model.FaultHall: // the nodes' processes are killed: an unreachable hall cannot be simulated on loopback
 		var lost []*standin.Node
-		for k, standIn := range r.fleet.World.Nodes {
-			if k%r.scenario.Halls == fault.Hall%r.scenario.Halls {
+		for i, standIn := range r.fleet.World.Nodes {
+			if i%r.scenario.Halls == fault.Hall%r.scenario.Halls {
 				lost = append(lost, standIn)
 				standIn.Crash()
 				r.fleet.World.Tell(standIn, "gone", time.Time{})
@@ -297,11 +297,11 @@
 			}
 		}
 	case model.FaultLimiters:
-		for _, k := range rng.Perm(r.scenario.Limiters)[:max(1, int(fault.Part*float64(r.scenario.Limiters)+0.5))] {
-			r.fleet.KillLimiter(k)
+		for _, i := range rng.Perm(r.scenario.Limiters)[:max(1, int(fault.Part*float64(r.scenario.Limiters)+0.5))] {
+			r.fleet.KillLimiter(i)
 			go func() {
 				if sleep(fault.For) {
-					_ = r.fleet.StartLimiter(k)
+					_ = r.fleet.StartLimiter(i)
 				}
 			}()
 		}
@@ -316,7 +316,9 @@
 	for i, firm := range r.firmSpecs {
 		use := r.sendLog.Evaluate(i, r.scenario.Tiers[firm.Tier].Name, timeline, r.began, 0, 0, nil)
 		sent, beyond = sent+use.Sent, beyond+use.BeyondQuota
-		quotaCost += use.BeyondQuota * (1 + r.scenario.Tiers[firm.Tier].OverCost) * r.scenario.Tiers[firm.Tier].Price * r.scenario.Classes[0].Worth // at the worth of the first class
+		// A unit beyond the quota costs the worth of a request of the first class, which is the usual one, and OverCost times
+		// that besides.
+		quotaCost += use.BeyondQuota * (1 + r.scenario.Tiers[firm.Tier].OverCost) * r.scenario.Tiers[firm.Tier].Price * r.scenario.Classes[0].Worth
 	}
 	result.WorthShare = (r.worthServed - quotaCost) / max(r.worthAsked, 1e-9)
 	result.OverQuotaShare = beyond / max(sent, 1)
@@ -330,14 +332,14 @@
 }
 
 // AgreementTable compares the model's result of a scenario with the result on real limiters.
-func AgreementTable(s model.Scenario, modelled model.Result, measured RealResult) *Table {
-	t := &Table{Name: "agreement-" + s.Name, Head: []string{"figure", "model", "real", "difference"}}
+func AgreementTable(scenario model.Scenario, modelled model.Result, measured RealResult) *Table {
+	table := &Table{Name: "agreement-" + scenario.Name, Head: []string{"figure", "model", "real", "difference"}}
 	row := func(name string, modelValue, realValue float64) {
-		t.Add(name, modelValue, realValue, realValue-modelValue)
+		table.Add(name, modelValue, realValue, realValue-modelValue)
 	}
 	row("worth served, points", 100*modelled.Worth(), 100*measured.WorthShare)
-	for k, p := range s.Tiers {
-		row("refused of "+p.Name+", points", 100*modelled.RefusedByTier[k], 100*measured.RefusedShareByTier[k])
+	for i, tier := range scenario.Tiers {
+		row("refused of "+tier.Name+", points", 100*modelled.RefusedByTier[i], 100*measured.RefusedShareByTier[i])
 	}
 	row("tries", float64(modelled.Tries), float64(measured.Tries))
 	row("served", float64(modelled.Served), float64(measured.Outcomes[Served]))
@@ -345,8 +347,8 @@
 	row("failed", float64(modelled.Failed), float64(measured.Outcomes[Failed]))
 	row("cut off", float64(modelled.Lost), float64(measured.Outcomes[ConnectionLost]))
 	row("beyond quotas, points", 100*modelled.OverQuota(), 100*measured.OverQuotaShare)
-	t.Add("CPU us each", "-", measured.CPUMicrosPerTry, "-")
+	table.Add("CPU us each", "-", measured.CPUMicrosPerTry, "-")
 	row("median latency, s", modelled.Median, measured.MedianSeconds)
 	row("99th percentile, s", modelled.P99, measured.P99Seconds)
-	return t
+	return table
 }
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -27,12 +27,12 @@
 // Add appends a row. Floating-point numbers are written with at most four significant digits.
 func (t *Table) Add(cells ...any) {
 	row := make([]string, len(cells))
-	for k, c := range cells {
-		switch c := c.(type) {
+	for i, cell := range cells {
+		switch cell := cell.(type) {
 		case float64:
-			row[k] = strconv.FormatFloat(c, 'g', 4, 64)
+			row[i] = strconv.FormatFloat(cell, 'g', 4, 64)
 		default:
-			row[k] = fmt.Sprint(c)
+			row[i] = fmt.Sprint(cell)
 		}
 	}
 	t.Rows = append(t.Rows, row)
@@ -115,8 +115,8 @@
 	return p.Save(18*vg.Centimeter, 10*vg.Centimeter, filepath.Join(dir, b.Name+".svg"))
 }
 
-// Page writes index.html into dir, a page with all tables (*.csv) and charts (*.svg) of that directory. It returns the page's
-// path.
+// Page writes index.html into dir, a page with all tables (*.csv) and charts (*.svg) of that directory. It returns the
+// page's path.
 func Page(dir string) (string, error) {
 	var b strings.Builder
 	b.WriteString("<!doctype html><meta charset=utf-8><title>bramblelab</title><style>body{font:14px sans-serif;margin:2em}td,th{border:1px solid #bbb;padding:2px 8px;text-align:right}table{border-collapse:collapse}</style>\n")
@@ -142,9 +142,9 @@
 			return "", fmt.Errorf("%s: %w", path, err)
 		}
 		fmt.Fprintf(&b, "<h2>%s</h2><table>\n", html.EscapeString(strings.TrimSuffix(filepath.Base(path), ".csv")))
-		for k, row := range rows {
+		for i, row := range rows {
 			cell := "td"
-			if k == 0 {
+			if i == 0 {
 				cell = "th"
 			}
 			b.WriteString("<tr>")
@@ -167,7 +167,8 @@
 	return path, os.WriteFile(path, []byte(b.String()), 0o644)
 }
 
-// DrawColumn writes a bar chart of one column of the CSV table at path, beside that file. The first column gives the labels.
+// DrawColumn writes a bar chart of one column of the CSV table at path, beside that file. The first column gives the
+// labels.
 func DrawColumn(path, column, title string) error {
 	f, err := os.Open(path)
 	if err != nil {
@@ -176,7 +177,7 @@
 	defer f.Close()
 	rows, err := csv.NewReader(f).ReadAll()
 	if err != nil || len(rows) < 2 {
-		return fmt.Errorf("%s: no table: %w", path, err)
+		return fmt.Errorf("%s: not a CSV table with a heading and at least one row: %w", path, err)
 	}
 	index := slices.Index(rows[0], column)
 	if index < 0 {
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -39,14 +39,14 @@
 	return ReadScenario(filepath.Base(name), source)
 }
 
-// scaleSetting is the field "scale" of a scenario: the size to which the base scenario is scaled. model.Scenario has no such
-// field.
+// scaleSetting is the field "scale" of a scenario: the size to which the base scenario is scaled. model.Scenario has no
+// such field.
 type scaleSetting struct {
 	Scale struct {
 		Limiters int     `json:"limiters"`
 		Nodes    int     `json:"nodes"`
 		Firms    int     `json:"firms"`
-		OneOffs  float64 `json:"one_offs"`
+		OneOffs  float64 `json:"one_offs"` // firms a second that send a single request
 	} `json:"scale"`
 }
 
--- a/internal/lab/truth.go
+++ b/internal/lab/sendlog.go
@@ -53,22 +53,22 @@
 type PlanTimeline struct{ ByLimiter [][]PlanPeriod }
 
 // LargestPlan returns a plan in which each figure is the largest that any limiter had in force for the tier at time t.
-func (timeline PlanTimeline) LargestPlan(tier string, t time.Time) (p logic.Plan) {
+func (timeline PlanTimeline) LargestPlan(tier string, t time.Time) (largest logic.Plan) {
 	for _, periods := range timeline.ByLimiter {
-		k := sort.Search(len(periods), func(k int) bool { return periods[k].From.After(t) }) - 1
-		if k < 0 {
+		current := sort.Search(len(periods), func(current int) bool { return periods[current].From.After(t) }) - 1
+		if current < 0 {
 			continue
 		}
-		n := slices.IndexFunc(periods[k].Tiers, func(plan logic.Plan) bool { return plan.Name == tier })
-		if n < 0 {
+		tierIndex := slices.IndexFunc(periods[current].Tiers, func(plan logic.Plan) bool { return plan.Name == tier })
+		if tierIndex < 0 {
 			continue
 		}
-		plan := periods[k].Tiers[n]
-		p.Rate, p.Burst = max(p.Rate, plan.Rate), max(p.Burst, plan.Burst)
-		p.CeilingRate, p.CeilingBurst = max(p.CeilingRate, plan.CeilingRate), max(p.CeilingBurst, plan.CeilingBurst)
-		p.CeilingSlack = max(p.CeilingSlack, plan.CeilingSlack)
+		plan := periods[current].Tiers[tierIndex]
+		largest.Rate, largest.Burst = max(largest.Rate, plan.Rate), max(largest.Burst, plan.Burst)
+		largest.CeilingRate, largest.CeilingBurst = max(largest.CeilingRate, plan.CeilingRate), max(largest.CeilingBurst, plan.CeilingBurst)
+		largest.CeilingSlack = max(largest.CeilingSlack, plan.CeilingSlack)
 	}
-	return p
+	return largest
 }
 
 // firmSends returns a copy of the firm's recorded requests in order of time.
@@ -105,36 +105,36 @@
 // The figures before a change are still allowed for the time grace after it. A request that exceeds the quota counts as
 // inside as long as some of the reserved units are left. The result also counts units for each of the windows
 // (from, until) by itself.
-func (l *SendLog) Evaluate(firm int, tier string, timeline PlanTimeline, began time.Time, grace time.Duration, reserved float64, windows [][2]time.Time) QuotaUse {
+func (l *SendLog) Evaluate(firm int, tier string, timeline PlanTimeline, began time.Time, grace time.Duration, reservedUnits float64, windows [][2]time.Time) QuotaUse {
 	largestPlan := func(at time.Time) logic.Plan {
-		now, before := timeline.LargestPlan(tier, at), timeline.LargestPlan(tier, at.Add(-grace))
-		now.Rate, now.Burst = max(now.Rate, before.Rate), max(now.Burst, before.Burst)
-		now.CeilingRate, now.CeilingBurst = max(now.CeilingRate, before.CeilingRate), max(now.CeilingBurst, before.CeilingBurst)
-		now.CeilingSlack = max(now.CeilingSlack, before.CeilingSlack)
-		return now
+		current, previous := timeline.LargestPlan(tier, at), timeline.LargestPlan(tier, at.Add(-grace))
+		current.Rate, current.Burst = max(current.Rate, previous.Rate), max(current.Burst, previous.Burst)
+		current.CeilingRate, current.CeilingBurst = max(current.CeilingRate, previous.CeilingRate), max(current.CeilingBurst, previous.CeilingBurst)
+		current.CeilingSlack = max(current.CeilingSlack, previous.CeilingSlack)
+		return current
 	}
-	p := largestPlan(began)
-	quota, ceiling := tokenBucket{p.Burst, began}, tokenBucket{p.CeilingBurst, began}
+	plan := largestPlan(began)
+	quota, ceiling := tokenBucket{plan.Burst, began}, tokenBucket{plan.CeilingBurst, began}
 	use := QuotaUse{BeyondQuotaInWindow: make([]float64, len(windows)), SentInWindow: make([]float64, len(windows))}
 	const step = 100 * time.Millisecond
 	for _, send := range l.firmSends(firm) {
 		at := send.At
 		for quota.updatedAt.Add(step).Before(at) { // refill in steps: the figures also change between two requests
 			next := quota.updatedAt.Add(step)
-			p := largestPlan(next)
-			quota.refill(next, p.Rate, p.Burst)
-			ceiling.refill(next, p.CeilingRate, p.CeilingBurst)
+			plan := largestPlan(next)
+			quota.refill(next, plan.Rate, plan.Burst)
+			ceiling.refill(next, plan.CeilingRate, plan.CeilingBurst)
 		}
-		p := largestPlan(at)
-		quota.refill(at, p.Rate, p.Burst)
-		ceiling.refill(at, p.CeilingRate, p.CeilingBurst)
+		plan := largestPlan(at)
+		quota.refill(at, plan.Rate, plan.Burst)
+		ceiling.refill(at, plan.CeilingRate, plan.CeilingBurst)
 		use.Sent++
 		beyond := 0.0
 		switch {
 		case quota.tokens >= 1:
 			quota.tokens--
-		case reserved >= 1:
-			reserved--
+		case reservedUnits >= 1:
+			reservedUnits--
 		default:
 			beyond = 1
 		}
@@ -145,9 +145,9 @@
 				use.SentInWindow[i]++
 			}
 		}
-		if p.CeilingRate > 0 {
+		if plan.CeilingRate > 0 {
 			ceiling.tokens--
-			if over := -ceiling.tokens - p.CeilingSlack; over > use.OverCeiling {
+			if over := -ceiling.tokens - plan.CeilingSlack; over > use.OverCeiling {
 				use.OverCeiling, use.WorstSend = over, send
 			}
 		}
