--- a/cmd/bramblelab/watch.go
+++ b/cmd/bramblelab/watch.go
@@ -11,7 +11,7 @@
 	"bramblefall/internal/model"
 )
 
-// watchCommand runs a scenario in the model and shows its progress in the terminal.
+// watchCommand runs a scenario in the model, in steps of virtual time, and shows its progress in the terminal.
 func watchCommand() *cobra.Command {
 	o := &commonFlags{}
 	speed := 10.0
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -43,7 +43,8 @@
 }
 
 // NewFleet starts the given numbers of limiters and stand-in nodes, a counter and discovery. handle answers the nodes'
-// commands. With noOperatorFile the limiters get no operator.star, hence no gRPC service and no admin socket.
+// commands: it returns the answer, whether the command may have run, and the delay before the answer. With
+// noOperatorFile the limiters get no operator.star, hence no gRPC service and no admin socket.
 func NewFleet(binary, dir string, noOperatorFile bool, limiters, nodes int, tiers []logic.Plan, handle func(*standin.Node, [][]byte) ([]byte, bool, time.Duration)) (*Fleet, error) {
 	f := &Fleet{World: standin.NewWorld(fault.Plan{}), Load: NewLoad(limiters), dir: dir, binary: binary, noOperatorFile: noOperatorFile, tiers: tiers,
 		Limiters: make([]*standin.Limiter, limiters), endedCPU: make([]time.Duration, limiters)}
@@ -74,7 +75,8 @@
 	return filepath.Join(f.dir, strconv.Itoa(limiter), "admin.sock")
 }
 
-// StartLimiter starts a limiter's process and points the load at its addresses.
+// StartLimiter starts a limiter's process and points the load at its addresses. The process has no state of an earlier
+// one: no state directory is configured.
 func (f *Fleet) StartLimiter(index int) error {
 	dir := filepath.Join(f.dir, strconv.Itoa(index))
 	if err := os.MkdirAll(dir, 0o700); err != nil {
