--- a/cmd/bramblelab/main.go
+++ b/cmd/bramblelab/main.go
@@ -200,8 +200,8 @@
 	return reportOutcome(c, failedBounds, fmt.Sprintf("worth served of worth asked inside quotas %.4f, in the model %.4f", measured.WorthShare, modelled.Worth()))
 }
 
-// reportOutcome prints the bounds that do not hold and, as the last line, the main figure. It returns an error if there
-// are any.
+// reportOutcome prints the bounds that do not hold (for replay: the rules that broke) and, as the last line, the main
+// figure. It returns an error if there are such bounds or rules.
 func reportOutcome(c *cobra.Command, failedBounds []string, summary string) error {
 	for _, b := range failedBounds {
 		fmt.Fprintln(c.OutOrStdout(), "bound does not hold:", b)
--- a/cmd/bramblelab/plans_test.go
+++ b/cmd/bramblelab/plans_test.go
@@ -12,8 +12,9 @@
 )
 
 // Guards against lost requests, exceeded ceilings and overdrawn reservations. It runs three real limiters and 200 firms, an
-// eighth of them half on gRPC, while plans change, a limiter learns of a change late, a limiter is killed and the counter
-// loses its state. Bounds that depend on the machine's speed are left to `bramblelab run plans`.
+// eighth of them half on gRPC, while plans change and a limiter learns of a change late. A reservation is also drawn while
+// a limiter is killed and the counter loses its state. Bounds that depend on the machine's speed are left to
+// `bramblelab run plans`.
 func TestPlansChangeUnderRealLimiters(t *testing.T) {
 	for _, sources := range []string{"../../go.*", "../../logic/*.go", "../../internal/*/*.go", "../bramblefall*/*.go"} {
 		files, _ := filepath.Glob(sources)
--- a/cmd/bramblelab/watch.go
+++ b/cmd/bramblelab/watch.go
@@ -74,7 +74,8 @@
 func (v *view) advance() {
 	r := v.world.Play(v.playedSeconds)
 	served, refused, asked := r.Served-v.last.Served, r.Refused-v.last.Refused, r.Requests-v.last.Requests
-	// The bar is nearly 20 characters long if as much is served as was asked.
+	// If all that was asked is served, the bar has 10 to 20 characters, nearly 20 from some hundred requests in a step on
+	// and fewer than 10 below ten requests. It ends at 40.
 	v.lines = append(v.lines, fmt.Sprintf("%6.1f s  asked %5d  served %5d  refused %5d  %s", v.playedSeconds, asked, served, refused,
 		strings.Repeat("#", min(40, served/max(1, asked/20+1)))))
 	v.lines = v.lines[max(0, len(v.lines)-16):]
--- a/internal/lab/experiments.go
+++ b/internal/lab/experiments.go
@@ -107,7 +107,7 @@
 	return table
 }
 
-// Metrics maps the names that the flag --metric takes to the figures of a result.
+// Metrics maps names to the figures of a result that experiments compare. The flag --metric takes these names.
 var Metrics = map[string]func(model.Result) float64{
 	// Worth served over the worth asked inside quotas.
 	"worth": model.Result.Worth,
@@ -159,8 +159,8 @@
 	return ConfidenceInterval{mean, studentT975(len(values)-1) * math.Sqrt(squares/(n-1)/n)}
 }
 
-// studentT975 returns the 97.5% quantile of Student's t distribution. Beyond the table, up to 20 degrees of freedom, it
-// approximates it by the normal distribution's quantile and a term in 1/degreesOfFreedom.
+// studentT975 returns the 97.5% quantile of Student's t distribution. The table ends at 20 degrees of freedom; for more, the
+// result is approximated by the normal distribution's quantile and a term in 1/degreesOfFreedom.
 func studentT975(degreesOfFreedom int) float64 {
 	table := []float64{12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145, 2.131, 2.120, 2.110, 2.101, 2.093, 2.086}
 	if degreesOfFreedom <= len(table) {
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -33,8 +33,8 @@
 	require.ErrorContains(t, err, "shipped are")
 }
 
-// Every shipped scenario can be read. Those with up to 30 limiters break no rule, with more than three limiters in a run
-// cut to four seconds; those with up to three hold their bounds at full length.
+// Every shipped scenario can be read. Those with up to three limiters break no rule and hold their bounds in a run of full
+// length. Those with four to 30 limiters break no rule in a run that is cut to four seconds. Larger ones are not run.
 func TestShippedScenarios(t *testing.T) {
 	require.Contains(t, ShippedScenarios(), "hall-lost")
 	for _, name := range ShippedScenarios() {
--- a/internal/lab/plans.go
+++ b/internal/lab/plans.go
@@ -46,13 +46,15 @@
 	}
 }
 
-// checkBound records a failure if a bound does not hold that a slow machine may break.
+// checkBound records a failure if a bound does not hold. A bound that must hold on a slow machine too goes through
+// checkRule instead.
 func (r *Result) checkBound(holds bool, format string, args ...any) {
 	if !holds {
 		r.FailedBounds = append(r.FailedBounds, fmt.Sprintf(format, args...))
 	}
 }
 
+// Sizes of the experiment of RunPlans.
 const (
 	firmCount                     = 200
 	limiterCount                  = 3
@@ -61,10 +63,11 @@
 	reservedFirmRequestsPerSecond = 60.0   // of the firm that has a reservation
 )
 
-// scaledTiers returns the experiment's three tiers with all rates multiplied by scale. A burst is as many seconds at the
-// rate, but at least four units. A ceiling is a multiple of rate and burst, 0 for none, and its slack is a tenth of its
-// burst, but at least one unit.
+// scaledTiers returns the experiment's three tiers with all rates multiplied by scale.
 func scaledTiers(scale float64) []logic.Plan {
+	// The parameter burst is in seconds at the rate; the plan's burst is at least four units. The parameter ceiling is the
+	// multiple of the plan's rate and burst at which its ceiling lies, 0 for no ceiling. The slack of a ceiling is a tenth
+	// of its burst, but at least one unit.
 	tier := func(name string, rate, burst, ceiling float64) logic.Plan {
 		p := logic.Plan{Name: name, Rate: rate * scale, Burst: max(rate*scale*burst, 4), Price: 1, OverCost: 0.5}
 		if ceiling > 0 {
@@ -189,7 +192,7 @@
 	if err != nil {
 		return nil, err
 	}
-	fleet.World.Unchecked = true // the stand-ins need not check requests: the send log does, by firm
+	fleet.World.Unchecked = true // the requests are not those of the stand-ins' own clients, so nodes must take any; the send log keeps account of them by firm
 	run.fleet, run.diagnostics = fleet, newDiagnostics()
 	for i := range firms {
 		tier := tiers[[]int{0, 0, 0, 0, 1, 1, 1, 2, 2, 2}[i%10]]
@@ -320,7 +323,8 @@
 }
 
 // applyChanges applies versions that scale the plans up and down, a second before each takes effect. Every third reaches
-// one limiter only after that, and every fourth never reaches one limiter.
+// one limiter late: three seconds after it takes effect, or half the interval between versions if that is shorter. Every
+// fourth never reaches one limiter.
 func (r *plansRun) applyChanges(ctx context.Context, began time.Time, length time.Duration) (changes []planChange, err error) {
 	scales := []float64{0.5, 1.6, 0.7, 1.2, 0.4, 2, 1}
 	interval := changeInterval(r.Quick)
@@ -394,7 +398,8 @@
 }
 
 // propagationGrace is the longest time that limiters may take to put a version in force, once it is due and all have been
-// told. Until then the figures of the previous version are allowed too.
+// told. For as long after the last limiter has put the version in force, the figures of the previous version are still
+// allowed; then only the new ones are.
 const propagationGrace = 500 * time.Millisecond
 
 // evaluate compares what was passed on with the plan figures in force, checks the bounds and adds the tables. reservedUnits
--- a/internal/lab/sendlog.go
+++ b/internal/lab/sendlog.go
@@ -10,17 +10,18 @@
 )
 
 // SendLog records every request that limiters really passed on for each firm, and compares it with the plan figures that
-// were in force. A request counts once and as one unit.
+// were in force. Each try of a client has its own request id and counts once, as one unit, however often the limiter sends
+// it to nodes.
 type SendLog struct {
 	mu          sync.Mutex
-	seenIDs     map[string]struct{} // request ids: a further attempt of a request that was already recorded does not count again
+	seenIDs     map[string]struct{} // request ids: a limiter that sends a request to a further node does not count again
 	sendsByFirm [][]SentRequest     // indexed like the firms of the load
 }
 
-// SentRequest is the first attempt of a request that reached a node, or an admission over gRPC.
+// SentRequest is a request as the first node that got it saw it, or an admission over gRPC.
 type SentRequest struct {
-	At time.Time
-	ID string // the request's id as nodes see it; "" if it was admitted over gRPC, where no node sees it
+	At time.Time // when the node got it; over gRPC, when the client had the answer
+	ID string    // the request's id as nodes see it; "" if it was admitted over gRPC, where no node sees it
 }
 
 // NewSendLog returns an empty log for the given number of firms.
@@ -55,7 +56,7 @@
 // LargestPlan returns a plan in which each figure is the largest that any limiter had in force for the tier at time t.
 func (timeline PlanTimeline) LargestPlan(tier string, t time.Time) (largest logic.Plan) {
 	for _, periods := range timeline.ByLimiter {
-		current := sort.Search(len(periods), func(current int) bool { return periods[current].From.After(t) }) - 1
+		current := sort.Search(len(periods), func(i int) bool { return periods[i].From.After(t) }) - 1
 		if current < 0 {
 			continue
 		}
