--- a/internal/fault/conn.go
+++ b/internal/fault/conn.go
@@ -9,107 +9,110 @@
 	"time"
 )
 
-// ErrOver says that the script has ended the connection.
-var ErrOver = errors.New("the script has ended the connection")
+// ErrScriptEnded reports that a step of the fault script closed the connection, or its writing side.
+var ErrScriptEnded = errors.New("the fault script has ended the connection")
 
-const trickleGap = 200 * time.Microsecond
+// trickleInterval is the pause after each byte of a message that is sent byte by byte.
+const trickleInterval = 200 * time.Microsecond
 
-// Conn is a connection that follows a script. One goroutine writes and one reads, or one does both.
+// Conn is a connection that injects the faults of a Script. At most one goroutine may write and one may read at a time;
+// the same goroutine may do both.
 type Conn struct {
 	net.Conn
-	halved atomic.Bool
-	noisy  atomic.Bool // noise went out
-	seed   uint64
+	writeClosed atomic.Bool
+	noiseSent   atomic.Bool
+	seed        uint64
 
-	writing  []Step // of the writing side
-	messages int    // written
-	reading  []Step // of the reading side, in the order of their offsets
-	read     int    // bytes
+	writeSteps    []Step // all steps but those of OnOpen and OnRead, in the script's order
+	messagesBegun int    // messages whose sending has begun; the index of the next one
+	readSteps     []Step // steps of OnRead that are still due, sorted by offset
+	bytesRead     int
 }
 
-// Follow makes a connection follow a script, and takes the steps that are due when it opens.
-func Follow(conn net.Conn, s Script) (*Conn, error) {
+// NewConn wraps a connection so that it follows a script, and applies the steps of OnOpen.
+func NewConn(conn net.Conn, s Script) (*Conn, error) {
 	c := &Conn{Conn: conn, seed: s.Seed}
 	for _, s := range s.Steps {
 		switch s.When {
-		case Open:
-			if err := c.take(s); err != nil {
+		case OnOpen:
+			if err := c.apply(s); err != nil {
 				return c, err
 			}
-		case Reading:
-			c.reading = append(c.reading, s)
+		case OnRead:
+			c.readSteps = append(c.readSteps, s)
 		default:
-			c.writing = append(c.writing, s)
+			c.writeSteps = append(c.writeSteps, s)
 		}
 	}
-	slices.SortStableFunc(c.reading, func(a, b Step) int { return a.At - b.At })
+	slices.SortStableFunc(c.readSteps, func(a, b Step) int { return a.Offset - b.Offset })
 	return c, nil
 }
 
-// mostTwice is the longest message that is sent twice: it must come in one piece, since a second copy that came later
-// could not be told from the next answer.
-const mostTwice = 4 << 10
+// maxDuplicateBytes is the longest message that is sent twice. Both copies have to arrive together, because the peer could
+// not tell a second copy that arrived later from the next answer.
+const maxDuplicateBytes = 4 << 10
 
-// Twice tells whether the next message will be sent twice.
-func (c *Conn) Twice() bool {
-	return slices.ContainsFunc(c.writing, func(s Step) bool {
-		return s.When == Writing && s.Message == c.messages && s.Do == Twice
+// DuplicatesNext reports whether the script sends the next message twice.
+func (c *Conn) DuplicatesNext() bool {
+	return slices.ContainsFunc(c.writeSteps, func(s Step) bool {
+		return s.When == OnWrite && s.Message == c.messagesBegun && s.Action == Duplicate
 	})
 }
 
-// Send writes one message as the script says. times is how often it went out whole, with an error, too.
-func (c *Conn) Send(message []byte) (times int, err error) {
-	if c.halved.Load() {
-		return 0, ErrOver
+// Send writes one message and applies the steps that are due while it is written. copies is the number of complete,
+// readable copies that were sent; it is valid even if err is not nil.
+func (c *Conn) Send(message []byte) (copies int, err error) {
+	if c.writeClosed.Load() {
+		return 0, ErrScriptEnded
 	}
-	twice, n, at := c.Twice() && len(message) <= mostTwice, c.messages, 0
-	c.messages++
-	trickle, broken := false, c.Noisy()
-	if twice { // both copies in one write, whatever else the script has for this message: none comes late
-		if _, err = c.Conn.Write(append(slices.Clone(message), message...)); err == nil && !broken {
-			times = 2
+	duplicate, index, sent := c.DuplicatesNext() && len(message) <= maxDuplicateBytes, c.messagesBegun, 0
+	c.messagesBegun++
+	trickle, unreadable := false, c.NoiseSent()
+	if duplicate { // one write for both copies, ignoring other steps for this message, so that the second is not late
+		if _, err = c.Conn.Write(append(slices.Clone(message), message...)); err == nil && !unreadable {
+			copies = 2
 		}
-		return times, err
+		return copies, err
 	}
-	for _, s := range c.writing {
-		if s.When != Writing || s.Message != n || s.Do == Twice || s.At < at {
+	for _, s := range c.writeSteps {
+		if s.When != OnWrite || s.Message != index || s.Action == Duplicate || s.Offset < sent {
 			continue
 		}
-		cut := min(s.At, len(message))
-		if _, err = c.Conn.Write(message[at:cut]); err != nil {
+		cut := min(s.Offset, len(message))
+		if _, err = c.Conn.Write(message[sent:cut]); err != nil {
 			return 0, err
 		}
-		if at = cut; at == len(message) && !broken {
-			times = 1
+		if sent = cut; sent == len(message) && !unreadable {
+			copies = 1
 		}
-		broken, trickle = broken || s.Do == Noise, trickle || s.Do == Trickle
-		if err = c.take(s); err == nil && c.halved.Load() {
-			err = ErrOver
+		unreadable, trickle = unreadable || s.Action == Noise, trickle || s.Action == Trickle
+		if err = c.apply(s); err == nil && c.writeClosed.Load() {
+			err = ErrScriptEnded
 		}
 		if err != nil {
-			return times, err
+			return copies, err
 		}
 	}
-	rest := message[at:]
-	for trickle && len(rest) > 1 && len(rest) < 2*mostAt {
+	rest := message[sent:]
+	for trickle && len(rest) > 1 && len(rest) < 2*maxOffsetBytes {
 		if _, err = c.Conn.Write(rest[:1]); err != nil {
-			return times, err
+			return copies, err
 		}
 		rest = rest[1:]
-		time.Sleep(trickleGap)
+		time.Sleep(trickleInterval)
 	}
-	if _, err = c.Conn.Write(rest); err != nil || broken {
-		return times, err
+	if _, err = c.Conn.Write(rest); err != nil || unreadable {
+		return copies, err
 	}
 	return 1, nil
 }
 
-// Rest takes the steps that are due when a message has been answered and the connection is idle.
-func (c *Conn) Rest() error {
-	for _, s := range c.writing {
-		if s.When == Idle && s.Message == c.messages-1 {
-			time.Sleep(time.Duration(s.For) * time.Millisecond)
-			if err := c.take(s); err != nil {
+// RunIdleSteps applies the OnIdle steps of the message that was sent last. It is called once that message has been answered.
+func (c *Conn) RunIdleSteps() error {
+	for _, s := range c.writeSteps {
+		if s.When == OnIdle && s.Message == c.messagesBegun-1 {
+			time.Sleep(time.Duration(s.Amount) * time.Millisecond)
+			if err := c.apply(s); err != nil {
 				return err
 			}
 		}
@@ -117,10 +120,10 @@
 	return nil
 }
 
-// Noisy tells whether noise has gone out: what came behind it could not be read.
-func (c *Conn) Noisy() bool { return c.noisy.Load() }
+// NoiseSent reports whether noise has been sent. The peer cannot parse anything that follows it.
+func (c *Conn) NoiseSent() bool { return c.noiseSent.Load() }
 
-// Write implements net.Conn for libraries that write on their own: each write is a message.
+// Write implements net.Conn for libraries that do the writing themselves. Each call counts as one message.
 func (c *Conn) Write(b []byte) (int, error) {
 	if _, err := c.Send(b); err != nil {
 		return 0, err
@@ -128,48 +131,49 @@
 	return len(b), nil
 }
 
-// Read implements net.Conn. It stops at the offset of each step.
+// Read implements net.Conn. It reads no further than the offset of the next step, and applies the step there.
 func (c *Conn) Read(b []byte) (int, error) {
-	if len(c.reading) > 0 {
-		b = b[:min(len(b), max(1, c.reading[0].At-c.read))]
+	if len(c.readSteps) > 0 {
+		b = b[:min(len(b), max(1, c.readSteps[0].Offset-c.bytesRead))]
 	}
 	n, err := c.Conn.Read(b)
-	c.read += n
-	for err == nil && len(c.reading) > 0 && c.read >= c.reading[0].At {
-		s := c.reading[0]
-		c.reading = c.reading[1:]
-		err = c.take(s)
+	c.bytesRead += n
+	for err == nil && len(c.readSteps) > 0 && c.bytesRead >= c.readSteps[0].Offset {
+		s := c.readSteps[0]
+		c.readSteps = c.readSteps[1:]
+		err = c.apply(s)
 	}
 	return n, err
 }
 
-func (c *Conn) take(s Step) error {
-	switch s.Do {
+func (c *Conn) apply(s Step) error {
+	switch s.Action {
 	case Close:
 		_ = c.Conn.Close()
-		return ErrOver
+		return ErrScriptEnded
 	case Reset:
 		if tcp, ok := c.Conn.(*net.TCPConn); ok {
 			_ = tcp.SetLinger(0)
 		}
 		_ = c.Conn.Close()
-		return ErrOver
+		return ErrScriptEnded
 	case HalfClose:
 		if tcp, ok := c.Conn.(*net.TCPConn); ok {
 			_ = tcp.CloseWrite()
 		}
-		c.halved.Store(true)
+		c.writeClosed.Store(true)
 	case Stall:
-		time.Sleep(time.Duration(s.For) * time.Millisecond)
+		time.Sleep(time.Duration(s.Amount) * time.Millisecond)
 	case Noise:
-		c.noisy.Store(true)
-		_, err := c.Conn.Write(c.noise(s.For))
+		c.noiseSent.Store(true)
+		_, err := c.Conn.Write(c.noise(s.Amount))
 		return err
 	}
 	return nil
 }
 
-// noise is bytes that begin no message, end no line and are no digits, so that no peer can take them for sense.
+// noise returns n random bytes from 0x80 to 0xfe. None of them starts a message, ends a line or is a digit, so that no peer
+// can mistake them for valid input.
 func (c *Conn) noise(n int) []byte {
 	rng := rand.New(rand.NewPCG(c.seed, uint64(n)))
 	b := make([]byte, n)
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -1,5 +1,5 @@
-// Package fault holds scripts of what goes wrong on a connection, and the connection that follows one. Scripts are
-// drawn from a seed, so that the same seed gives the same scripts, and shrink to the smallest that still fails.
+// Package fault injects faults into connections. It generates fault scripts from a seed, so that the same seed always gives
+// the same scripts, wraps connections that follow them, and shrinks a failing set of scripts to a small one.
 package fault
 
 import (
@@ -9,71 +9,71 @@
 	"strings"
 )
 
-// Role is who a peer is to the limiter.
+// Role is what the scripted peer is to the limiter.
 type Role uint8
 
-// The roles.
+// The roles of peers.
 const (
 	Client Role = iota
 	Node
 	Counter
 	Discovery
 	Caller // of the gRPC front
-	Roles
+	NumRoles
 )
 
 func (r Role) String() string {
 	return [...]string{"client", "node", "counter", "discovery", "caller", "roles"}[r]
 }
 
-// Moment says when a step is taken.
-type Moment uint8
+// Trigger is the event on which a step is taken.
+type Trigger uint8
 
-// The moments. An offset counts the bytes of one message where the peer writes, and all bytes where it reads.
+// The triggers. An offset counts the bytes of one message for OnWrite, and all bytes received so far for OnRead.
 const (
-	Open    Moment = iota // when the connection is up, before a byte is read or written
-	Writing               // at an offset of the message that the peer writes
-	Reading               // at an offset of what the peer has read
-	Idle                  // after the message, with a wait before
+	OnOpen  Trigger = iota // once the connection is established, before any byte is read or written
+	OnWrite                // at an offset of a message that the peer writes
+	OnRead                 // at an offset of the bytes that the peer reads
+	OnIdle                 // after the message was answered and a further wait of Amount milliseconds
 )
 
-// Act is what goes wrong.
-type Act uint8
+// Action is the kind of a fault.
+type Action uint8
 
-// The acts. After Close and Reset the connection is over.
+// The actions. Close and Reset end the connection.
 const (
-	Close     Act = iota // both ways, with what was written delivered
-	Reset                // with a reset: what the limiter still writes fails
-	HalfClose            // no more is written, reading goes on
-	Stall                // nothing for a time
-	Trickle              // the rest of the message comes byte by byte
-	Twice                // the message is sent again right behind itself
-	Noise                // bytes that nobody can read
-	acts
+	Close     Action = iota // closes both directions after delivering what was written
+	Reset                   // closes with a TCP reset, so that further writes of the limiter fail
+	HalfClose               // closes the writing side only
+	Stall                   // pauses for Amount milliseconds
+	Trickle                 // sends the rest of the message byte by byte
+	Duplicate               // sends the message twice in a row
+	Noise                   // sends Amount bytes that no peer can parse
+	numActions
 )
 
-func (a Act) String() string {
+func (a Action) String() string {
 	return [...]string{"close", "reset", "half-close", "stall", "trickle", "twice", "noise", "acts"}[a]
 }
 
-// Step is one thing that goes wrong.
+// Step is one fault of a script.
 type Step struct {
-	When    Moment
-	Message int // that the peer writes, counted from 0
-	At      int // offset, bytes
-	Do      Act
-	For     int // milliseconds of a stall or a wait; bytes of noise
+	When    Trigger
+	Message int // index of the message that the peer writes, from 0
+	Offset  int // bytes
+	Action  Action
+	Amount  int // bytes for Noise; milliseconds for Stall and for the wait of OnIdle
 }
 
 func (s Step) String() string {
-	return fmt.Sprintf("%s(%d) at %s %d+%d", s.Do, s.For, [...]string{"open", "write", "read", "idle"}[s.When], s.Message, s.At)
+	return fmt.Sprintf("%s(%d) at %s %d+%d", s.Action, s.Amount, [...]string{"open", "write", "read", "idle"}[s.When], s.Message, s.Offset)
 }
 
-// Script is what one connection does.
+// Script is the behavior of one connection.
 type Script struct {
 	Role     Role
-	Seed     uint64 // of its own choices: commands, answers, noise
-	Messages int    // that a client sends
+	Seed     uint64 // seeds the random choices of the peer: commands, answers and noise
+	Messages int    // number of messages that a client sends
 	Steps    []Step
 }
 
@@ -85,14 +85,15 @@
 	return fmt.Sprintf("%s seed=%x messages=%d [%s]", s.Role, s.Seed, s.Messages, strings.Join(steps, "; "))
 }
 
-// Plan is the scripts of one run. Those of peers that take connections are used in turn, again and again.
+// Plan is the set of scripts of one run. Peers that accept connections take the scripts of their role in turn and start
+// over after the last.
 type Plan struct {
 	Seed    uint64
 	Scripts []Script
 }
 
-// Of gives the scripts of one role.
-func (p Plan) Of(r Role) (list []Script) {
+// ByRole returns the scripts of one role.
+func (p Plan) ByRole(r Role) (list []Script) {
 	for _, s := range p.Scripts {
 		if s.Role == r {
 			list = append(list, s)
@@ -102,22 +103,23 @@
 }
 
 const (
-	mostStall = 120  // milliseconds: a wait of hundreds of connections at once, not a test's whole time
-	mostAt    = 240  // bytes: over the length of a usual message
-	mostNoise = 64   // bytes
-	faulty    = 0.55 // share of the scripts with a step at all
+	maxStallMs     = 120 // hundreds of connections wait this long at once, well within the time of one test
+	maxOffsetBytes = 240 // longer than a usual message
+	maxNoiseBytes  = 64
+	faultyShare    = 0.55 // share of the scripts that have any step
 )
 
-// Draw makes a plan of n scripts. Clients are most of them: the others' scripts are used again.
+// Draw generates a plan of n scripts from a seed. About 70 % of them are for clients, since each client's script is used
+// once and those of the other roles are used repeatedly.
 func Draw(seed uint64, n int) Plan {
 	rng := rand.New(rand.NewPCG(seed, 0x6272616d))
 	p := Plan{Seed: seed}
 	for range n {
 		s := Script{Role: Client, Seed: rng.Uint64(), Messages: 1 + rng.IntN(4)}
 		if rng.Float64() < 0.3 {
-			s.Role = Role(1 + rng.IntN(int(Roles)-1))
+			s.Role = Role(1 + rng.IntN(int(NumRoles)-1))
 		}
-		if rng.Float64() < faulty {
+		if rng.Float64() < faultyShare {
 			for range 1 + rng.IntN(2) {
 				s.Steps = append(s.Steps, drawStep(rng, s.Role))
 			}
@@ -128,41 +130,41 @@
 }
 
 func drawStep(rng *rand.Rand, r Role) Step {
-	s := Step{When: Moment(rng.IntN(4)), Message: rng.IntN(4), At: rng.IntN(mostAt), Do: Act(rng.IntN(int(acts))),
-		For: 1 + rng.IntN(mostStall)}
+	s := Step{When: Trigger(rng.IntN(4)), Message: rng.IntN(4), Offset: rng.IntN(maxOffsetBytes), Action: Action(rng.IntN(int(numActions))),
+		Amount: 1 + rng.IntN(maxStallMs)}
 	if rng.Float64() < 0.2 {
-		s.At = rng.IntN(4) // ends and beginnings are where the hard cases are
+		s.Offset = rng.IntN(4) // the first bytes of a message are where the hard cases are
 	}
-	if s.Do == Noise {
-		s.For = 1 + rng.IntN(mostNoise)
+	if s.Action == Noise {
+		s.Amount = 1 + rng.IntN(maxNoiseBytes)
 	}
-	if s.When == Reading && r == Discovery { // it writes for long and reads little
-		s.At = rng.IntN(80)
+	if s.When == OnRead && r == Discovery { // discovery reads only a short request
+		s.Offset = rng.IntN(80)
 	}
 	return s
 }
 
-// Shrink looks for a smaller plan for which fails still holds: first with fewer scripts, then with fewer steps and
-// messages. It asks at most tries times.
-func Shrink(p Plan, tries int, fails func(Plan) bool) Plan {
-	ask := func(scripts []Script) bool {
-		if tries <= 0 {
+// Shrink returns a smaller plan for which fails still holds: first it removes scripts, then steps and messages. It calls
+// fails at most maxRuns times.
+func Shrink(p Plan, maxRuns int, fails func(Plan) bool) Plan {
+	stillFails := func(scripts []Script) bool {
+		if maxRuns <= 0 {
 			return false
 		}
-		tries--
+		maxRuns--
 		return fails(Plan{p.Seed, scripts})
 	}
-	for size := (len(p.Scripts) + 1) / 2; size > 0 && tries > 0; {
-		cut := false
-		for at := 0; at < len(p.Scripts) && len(p.Scripts) > 1; {
-			rest := slices.Concat(p.Scripts[:at], p.Scripts[min(at+size, len(p.Scripts)):])
-			if len(rest) > 0 && ask(rest) {
-				p.Scripts, cut = rest, true
+	for size := (len(p.Scripts) + 1) / 2; size > 0 && maxRuns > 0; {
+		removed := false
+		for start := 0; start < len(p.Scripts) && len(p.Scripts) > 1; {
+			remaining := slices.Concat(p.Scripts[:start], p.Scripts[min(start+size, len(p.Scripts)):])
+			if len(remaining) > 0 && stillFails(remaining) {
+				p.Scripts, removed = remaining, true
 			} else {
-				at += size
+				start += size
 			}
 		}
-		if !cut || size > len(p.Scripts) {
+		if !removed || size > len(p.Scripts) {
 			size /= 2
 		}
 	}
@@ -170,14 +172,14 @@
 		for n := len(p.Scripts[k].Steps) - 1; n >= 0; n-- {
 			smaller := slices.Clone(p.Scripts)
 			smaller[k].Steps = slices.Delete(slices.Clone(smaller[k].Steps), n, n+1)
-			if ask(smaller) {
+			if stillFails(smaller) {
 				p.Scripts = smaller
 			}
 		}
 		for p.Scripts[k].Messages > 1 {
 			smaller := slices.Clone(p.Scripts)
 			smaller[k].Messages--
-			if !ask(smaller) {
+			if !stillFails(smaller) {
 				break
 			}
 			p.Scripts = smaller
--- a/internal/fault/fault_test.go
+++ b/internal/fault/fault_test.go
@@ -13,23 +13,23 @@
 	"bramblefall/internal/loopback"
 )
 
-func TestTheSameSeedGivesTheSameScripts(t *testing.T) {
+func TestSameSeedGivesSameScripts(t *testing.T) {
 	require.Equal(t, Draw(7, 500), Draw(7, 500))
 	require.NotEqual(t, Draw(7, 500).Scripts, Draw(8, 500).Scripts)
-	for r := range Roles {
-		require.NotEmpty(t, Draw(7, 500).Of(r), r)
+	for r := range NumRoles {
+		require.NotEmpty(t, Draw(7, 500).ByRole(r), r)
 	}
 }
 
-// Whatever one script and one of its steps make a run fail, shrinking leaves just these.
-func TestShrinkFindsTheScriptAndStepThatFail(t *testing.T) {
+// If a single step of a single script makes a run fail, shrinking leaves just that script with that step.
+func TestShrinkIsolatesFailingStep(t *testing.T) {
 	for seed := range uint64(20) {
 		p := Draw(seed, 300)
-		at := slices.IndexFunc(p.Scripts, func(s Script) bool { return len(s.Steps) == 2 })
-		bad, step := p.Scripts[at].Seed, p.Scripts[at].Steps[seed%2]
-		asked := 0
+		index := slices.IndexFunc(p.Scripts, func(s Script) bool { return len(s.Steps) == 2 })
+		bad, step := p.Scripts[index].Seed, p.Scripts[index].Steps[seed%2]
+		runs := 0
 		small := Shrink(p, 400, func(p Plan) bool {
-			asked++
+			runs++
 			return slices.ContainsFunc(p.Scripts, func(s Script) bool {
 				return s.Seed == bad && slices.Contains(s.Steps, step)
 			})
@@ -37,13 +37,13 @@
 		require.Len(t, small.Scripts, 1)
 		require.Equal(t, []Step{step}, small.Scripts[0].Steps)
 		require.Equal(t, 1, small.Scripts[0].Messages)
-		require.LessOrEqual(t, asked, 400)
+		require.LessOrEqual(t, runs, 400)
 	}
 	keep := Draw(1, 10)
-	require.Equal(t, keep, Shrink(keep, 0, func(Plan) bool { return true }), "no tries, no change")
+	require.Equal(t, keep, Shrink(keep, 0, func(Plan) bool { return true }), "without runs the plan must not change")
 }
 
-// pair is two ends of a connection on loopback.
+// pair returns the two ends of a TCP connection over loopback.
 func pair(t *testing.T) (a, b net.Conn) {
 	l, err := loopback.Listen()
 	require.NoError(t, err)
@@ -56,44 +56,44 @@
 	return a, b
 }
 
-// At each offset of a message, each act leaves the other side with the bytes that it says.
-func TestEachActAtEachOffset(t *testing.T) {
+// Each action, taken at each offset of a message, leaves the peer with exactly the bytes that the action documents.
+func TestEachActionAtEachWriteOffset(t *testing.T) {
 	message := []byte("add 1f 2 3000\r\n")
-	for act := range acts {
-		for at := 0; at <= len(message)+1; at++ {
+	for action := range numActions {
+		for offset := 0; offset <= len(message)+1; offset++ {
 			a, b := pair(t)
-			c, err := Follow(a, Script{Steps: []Step{{When: Writing, Message: 1, At: at, Do: act, For: 3}}})
+			c, err := NewConn(a, Script{Steps: []Step{{When: OnWrite, Message: 1, Offset: offset, Action: action, Amount: 3}}})
 			require.NoError(t, err)
-			times, err := c.Send(message)
+			copies, err := c.Send(message)
 			require.NoError(t, err)
-			require.Equal(t, 1, times)
-			cut := min(at, len(message))
-			whole, ends := cut == len(message), act == Close || act == Reset || act == HalfClose
-			require.Equal(t, act == Twice, c.Twice())
-			times, err = c.Send(message)
-			require.Equal(t, ends, err != nil, "%s at %d: %v", act, at, err)
+			require.Equal(t, 1, copies)
+			written := min(offset, len(message))
+			complete, endsWriting := written == len(message), action == Close || action == Reset || action == HalfClose
+			require.Equal(t, action == Duplicate, c.DuplicatesNext())
+			copies, err = c.Send(message)
+			require.Equal(t, endsWriting, err != nil, "%s at %d: %v", action, offset, err)
 			want := 1
-			if act == Twice {
+			if action == Duplicate {
 				want = 2
-			} else if (ends || act == Noise) && !whole {
+			} else if (endsWriting || action == Noise) && !complete {
 				want = 0
 			}
-			require.Equal(t, want, times, "%s at %d", act, at)
+			require.Equal(t, want, copies, "%s at %d", action, offset)
 			_ = c.Conn.Close()
 			got, err := io.ReadAll(b)
-			if act == Reset && err != nil {
-				continue // what a reset overtakes is lost
+			if action == Reset && err != nil {
+				continue // a reset may discard bytes that the peer has not read yet
 			}
 			text := string(got[len(message):])
 			switch {
-			case act == Twice:
+			case action == Duplicate:
 				require.Equal(t, strings.Repeat(string(message), 2), text)
-			case act == Noise:
+			case action == Noise:
 				require.Len(t, text, len(message)+3)
-				require.Equal(t, string(message[:cut]), text[:cut])
+				require.Equal(t, string(message[:written]), text[:written])
 				require.True(t, bytes.ContainsFunc(got, func(r rune) bool { return r > 0x7f }))
-			case ends:
-				require.Equal(t, string(message[:cut]), text)
+			case endsWriting:
+				require.Equal(t, string(message[:written]), text)
 			default:
 				require.Equal(t, string(message), text)
 			}
@@ -101,38 +101,39 @@
 	}
 }
 
-// A second copy never comes late, whatever else a script has for its message: it could not be told from the next answer.
-func TestASecondCopyComesInOnePieceWithTheFirst(t *testing.T) {
-	for act := range acts {
+// The second copy of a duplicated message is never delayed by other steps for the same message: the peer could not tell a
+// late copy from the next answer.
+func TestDuplicateIsSentInOneWrite(t *testing.T) {
+	for action := range numActions {
 		a, b := pair(t)
-		c, err := Follow(a, Script{Steps: []Step{{When: Writing, At: 500, Do: act, For: 300}, {When: Writing, Do: Twice}}})
+		c, err := NewConn(a, Script{Steps: []Step{{When: OnWrite, Offset: 500, Action: action, Amount: 300}, {When: OnWrite, Action: Duplicate}}})
 		require.NoError(t, err)
-		times, err := c.Send([]byte("ok 1\r\n"))
+		copies, err := c.Send([]byte("ok 1\r\n"))
 		require.NoError(t, err)
-		require.Equal(t, 2, times, act)
+		require.Equal(t, 2, copies, action)
 		buf := make([]byte, 100)
 		n, err := b.Read(buf)
 		require.NoError(t, err)
-		require.Equal(t, "ok 1\r\nok 1\r\n", string(buf[:n]), act)
+		require.Equal(t, "ok 1\r\nok 1\r\n", string(buf[:n]), action)
 	}
 }
 
-// Reading stops at the offset, and the act comes there.
-func TestActAtAnOffsetOfWhatIsRead(t *testing.T) {
-	for at := 1; at < 6; at++ {
+// Reading stops at the offset of a step, and the action is taken there.
+func TestActionAtReadOffset(t *testing.T) {
+	for offset := 1; offset < 6; offset++ {
 		a, b := pair(t)
-		c, err := Follow(a, Script{Steps: []Step{{When: Reading, At: at, Do: Close}}})
+		c, err := NewConn(a, Script{Steps: []Step{{When: OnRead, Offset: offset, Action: Close}}})
 		require.NoError(t, err)
 		_, err = b.Write([]byte("+PONG\r\n"))
 		require.NoError(t, err)
 		buf := make([]byte, 100)
 		n, err := c.Read(buf)
-		for err == nil && n < at {
+		for err == nil && n < offset {
 			var more int
 			more, err = c.Read(buf[n:])
 			n += more
 		}
-		require.ErrorIs(t, err, ErrOver)
-		require.Equal(t, at, n)
+		require.ErrorIs(t, err, ErrScriptEnded)
+		require.Equal(t, offset, n)
 	}
 }
--- a/internal/fault/mutants.go
+++ b/internal/fault/mutants.go
@@ -7,25 +7,26 @@
 	"slices"
 )
 
-// wrong is what a value is replaced by; absent takes its place away.
-var wrong = []any{absent, nil, "text", "", true, 0, -1, 0.3, 1e18, -1e300, []any{}, map[string]any{}, []any{1, "a"}}
+// replacements are the values that Mutants puts in place of each value of a document; absent removes the value instead.
+var replacements = []any{absent, nil, "text", "", true, 0, -1, 0.3, 1e18, -1e300, []any{}, map[string]any{}, []any{1, "a"}}
 
+// absent is the replacement that stands for removing a value.
 const absent = "\x00absent"
 
-// Mutants gives copies of a JSON document in each of which one value, object or list is absent, of another type, zero,
-// negative or huge, with words on which and how.
+// Mutants yields copies of a JSON document, each with one value, object or list removed or replaced by a value of another
+// type, zero, a negative or a huge number, together with a description of the change. It yields nothing if raw is no JSON.
 func Mutants(raw []byte) iter.Seq2[string, []byte] {
 	return func(yield func(string, []byte) bool) {
-		var whole any
-		if json.Unmarshal(raw, &whole) != nil {
+		var document any
+		if json.Unmarshal(raw, &document) != nil {
 			return
 		}
-		for _, at := range places(whole, nil) {
-			for _, to := range wrong {
+		for _, path := range paths(document, nil) {
+			for _, replacement := range replacements {
 				var mutant any
-				_ = json.Unmarshal(raw, &mutant) // as the whole was
-				text, err := json.Marshal(change(mutant, at, to))
-				if err != nil || !yield(fmt.Sprintf("%v: %v", at, to), text) {
+				_ = json.Unmarshal(raw, &mutant) // cannot fail: the same text was decoded above
+				text, err := json.Marshal(replaceAt(mutant, path, replacement))
+				if err != nil || !yield(fmt.Sprintf("%v: %v", path, replacement), text) {
 					return
 				}
 			}
@@ -33,11 +34,12 @@
 	}
 }
 
-// places lists those of all values, objects and lists included, in an order that is always the same.
-func places(v any, at []any) (all [][]any) {
-	inside := func(key, x any) {
-		here := append(slices.Clone(at), key)
-		all = append(append(all, places(x, here)...), here)
+// paths returns the paths of all values below v, including objects and lists, in a deterministic order. prefix is the path
+// of v itself.
+func paths(v any, prefix []any) (all [][]any) {
+	visit := func(key, x any) {
+		path := append(slices.Clone(prefix), key)
+		all = append(append(all, paths(x, path)...), path)
 	}
 	switch v := v.(type) {
 	case map[string]any:
@@ -47,33 +49,33 @@
 		}
 		slices.Sort(keys)
 		for _, k := range keys {
-			inside(k, v[k])
+			visit(k, v[k])
 		}
 	case []any:
 		for k, x := range v {
-			inside(k, x)
+			visit(k, x)
 		}
 	}
 	return all
 }
 
-// change puts a value at a place.
-func change(v any, at []any, to any) any {
-	if len(at) == 0 {
-		return to
+// replaceAt returns v with the value at path replaced, or removed if replacement is absent. It modifies v.
+func replaceAt(v any, path []any, replacement any) any {
+	if len(path) == 0 {
+		return replacement
 	}
 	if m, ok := v.(map[string]any); ok {
-		if k := at[0].(string); len(at) == 1 && to == absent {
+		if k := path[0].(string); len(path) == 1 && replacement == absent {
 			delete(m, k)
 		} else {
-			m[k] = change(m[k], at[1:], to)
+			m[k] = replaceAt(m[k], path[1:], replacement)
 		}
 		return m
 	}
-	l, k := v.([]any), at[0].(int)
-	if len(at) == 1 && to == absent {
+	l, k := v.([]any), path[0].(int)
+	if len(path) == 1 && replacement == absent {
 		return slices.Delete(l, k, k+1)
 	}
-	l[k] = change(l[k], at[1:], to)
+	l[k] = replaceAt(l[k], path[1:], replacement)
 	return l
 }
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -1,9 +1,9 @@
-// Package loopback gives tests, stand-ins and the lab IP addresses of the loopback network that nobody else on the machine
-// is given. The limiter links none of it.
+// Package loopback allocates addresses of the loopback network that no other process of this machine uses, for tests,
+// stand-ins and the lab. The limiter does not link it.
 //
-// A port that the kernel chose on 127.0.0.1 belongs to whoever asks next once its listener has closed. Whoever goes on
-// asking that address then talks to a stranger, and a stranger's clients talk to a listener of ours. On an IP address that
-// only one owner listens on, a port that has closed refuses connections until that owner opens one again.
+// Once a listener on a kernel-chosen port of 127.0.0.1 has closed, the kernel may give the port to any other process.
+// Clients that keep connecting to the old address then reach a foreign server, and foreign clients may reach a listener of
+// ours. On an IP address with a single owner, a closed port refuses connections until that owner listens there again.
 package loopback
 
 import (
@@ -14,34 +14,35 @@
 	"sync"
 )
 
-// ErrNoBlock says that other processes hold every block of addresses.
-var ErrNoBlock = errors.New("no block of loopback addresses is left")
+// ErrNoBlock reports that other processes have claimed every block of addresses.
+var ErrNoBlock = errors.New("no block of loopback addresses is free")
 
 const (
-	// claimPort lies below the ports that the kernel chooses by itself, so only claims are made on it.
+	// claimPort lies just below the kernel's default range of ephemeral ports, so that it is used for claims only.
 	claimPort = 32767
-	// firstNetwork leaves 127.0.0.0/16 to those who use the usual address.
-	firstNetwork, lastNetwork = 1, 254
-	blocksOfNetwork           = 256
-	lastHost                  = 254
+	// firstNetwork and lastNetwork bound the second octet. 127.0.0.0/16 is left to users of 127.0.0.1.
+	firstNetwork     = 1
+	lastNetwork      = 254
+	blocksPerNetwork = 256
+	lastHost         = 254
 )
 
-// allocator hands out the addresses of blocks 127.x.y.0/24. A block is claimed by a UDP socket on its first address, which
-// the kernel gives to one process at a time and takes back when that process ends.
+// allocator hands out addresses from blocks 127.x.y.0/24. A block is claimed by binding a UDP socket to its first address:
+// the kernel allows that to one process at a time and releases the socket when the process ends.
 type allocator struct {
-	mu     sync.Mutex
-	claims []net.PacketConn
-	prefix string // of the block that was claimed last
-	host   int    // of it that was handed out last
+	mu           sync.Mutex
+	claims       []net.PacketConn
+	blockPrefix  string // first three octets of the block that was claimed last
+	lastHostUsed int    // last octet of the address that was handed out last
 }
 
-var addresses allocator
+var processAllocator allocator
 
-// NewAddress returns an IP address that no other process was given, a new one at each call. It is this process's until the
-// process ends.
-func NewAddress() (string, error) { return addresses.next() }
+// NewAddress returns an IP address that this package has given to no other process, a new one at each call. It remains
+// reserved until this process ends.
+func NewAddress() (string, error) { return processAllocator.next() }
 
-// AnyPort returns a new address with port 0, to listen on.
+// AnyPort returns a new address with port 0, for listening on a port that the kernel chooses.
 func AnyPort() (string, error) {
 	address, err := NewAddress()
 	if err != nil {
@@ -62,28 +63,28 @@
 func (a *allocator) next() (string, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if len(a.claims) == 0 || a.host == lastHost {
+	if len(a.claims) == 0 || a.lastHostUsed == lastHost {
 		if err := a.claimBlock(); err != nil {
 			return "", err
 		}
 	}
-	a.host++
-	return fmt.Sprintf("%s.%d", a.prefix, a.host), nil
+	a.lastHostUsed++
+	return fmt.Sprintf("%s.%d", a.blockPrefix, a.lastHostUsed), nil
 }
 
-// claimBlock claims a further block, beginning with one by chance.
+// claimBlock claims a further block. It begins its search at a random block, to avoid collisions with other processes.
 func (a *allocator) claimBlock() error {
-	blocks := (lastNetwork - firstNetwork + 1) * blocksOfNetwork
-	first := rand.IntN(blocks)
-	for k := range blocks {
-		block := (first + k) % blocks
-		prefix := fmt.Sprintf("127.%d.%d", firstNetwork+block/blocksOfNetwork, block%blocksOfNetwork)
+	blockCount := (lastNetwork - firstNetwork + 1) * blocksPerNetwork
+	first := rand.IntN(blockCount)
+	for k := range blockCount {
+		block := (first + k) % blockCount
+		prefix := fmt.Sprintf("127.%d.%d", firstNetwork+block/blocksPerNetwork, block%blocksPerNetwork)
 		claim, err := net.ListenPacket("udp4", fmt.Sprintf("%s.0:%d", prefix, claimPort))
 		if err != nil {
-			continue // another process has it
+			continue // another process has claimed it
 		}
 		a.claims = append(a.claims, claim)
-		a.prefix, a.host = prefix, 0
+		a.blockPrefix, a.lastHostUsed = prefix, 0
 		return nil
 	}
 	return ErrNoBlock
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -13,16 +13,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Two allocators stand for two processes: no address is given twice, in a block or beyond it.
-func TestNoAddressIsGivenTwice(t *testing.T) {
+// Two allocators represent two processes: no address is allocated twice, even after their first blocks are used up.
+func TestAllocatorsNeverShareAddress(t *testing.T) {
 	var first, second allocator
-	given := map[string]bool{}
+	allocated := map[string]bool{}
 	for range 2*lastHost + 10 {
 		for _, a := range []*allocator{&first, &second} {
 			address, err := a.next()
 			require.NoError(t, err)
-			require.False(t, given[address], address)
-			given[address] = true
+			require.False(t, allocated[address], address)
+			allocated[address] = true
 		}
 	}
 	for _, a := range []*allocator{&first, &second} {
@@ -33,8 +33,8 @@
 	}
 }
 
-// A closed port refuses connections, though listeners come and go on the address that all others use.
-func TestAClosedPortRefuses(t *testing.T) {
+// A closed port keeps refusing connections while other listeners open on kernel-chosen ports of 127.0.0.1.
+func TestClosedPortRefusesConnections(t *testing.T) {
 	listener, err := Listen()
 	require.NoError(t, err)
 	address := listener.Addr().String()
@@ -48,9 +48,9 @@
 	}
 }
 
-// Nothing in this repository listens on a port that the kernel chooses on the address that all others use, but for the test
-// above.
-func TestNothingListensOnAnyPortOfTheSharedAddress(t *testing.T) {
+// Except for the test above, no code of this repository listens on a kernel-chosen port of 127.0.0.1, where another process
+// could get the port after the listener has closed.
+func TestNoListenerOnKernelChosenPortOfSharedAddress(t *testing.T) {
 	shared := regexp.MustCompile(`127\.0\.0\.1:0\b|localhost:0\b|httptest\.NewServer\(`)
 	err := filepath.WalkDir("../..", func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() || filepath.Ext(path) != ".go" || filepath.Base(path) == "loopback_test.go" {
@@ -60,7 +60,7 @@
 		if err != nil {
 			return err
 		}
-		assert.False(t, shared.Match(text), "%s: internal/loopback gives addresses to listen on", path)
+		assert.False(t, shared.Match(text), "%s listens on a kernel-chosen port of 127.0.0.1; use an address of internal/loopback instead", path)
 		return nil
 	})
 	require.NoError(t, err)
--- a/internal/standin/audit.go
+++ b/internal/standin/audit.go
@@ -1,6 +1,7 @@
-// Package standin holds stand-ins for what a limiter meets, written from the protocol's description: exchange nodes,
-// the quota counter, discovery, clients and gRPC callers, each following fault scripts, and an auditor that sees both
-// ends. They listen on loopback only and serve the project's tests and its lab; the limiter links none of them.
+// Package standin implements stand-ins for the peers of a limiter from the description of the protocol: exchange nodes, the
+// quota counter, discovery, clients and gRPC callers. Each follows fault scripts, and an auditor compares what clients send
+// with what nodes receive and what clients are answered. Stand-ins listen on loopback only and are used by the project's
+// tests and its lab; the limiter does not link them.
 package standin
 
 import (
@@ -9,128 +10,131 @@
 	"sync"
 )
 
-const mostFindings = 20 // kept in words; the rest is counted
-
-// Audit sees what clients sent, what nodes got whole and what clients were answered.
-type Audit struct {
-	mu       sync.Mutex
-	requests map[string]*record
-	findings []string
-	found    int
-	tally    Tally
-	drains   *drains // nil: not looked at
+// maxFindings is the number of findings whose text is kept. Further ones are only counted.
+const maxFindings = 20
+
+// Auditor checks the requests that clients sent against the commands that nodes received complete and the answers that
+// clients got. It records each violation as a finding.
+type Auditor struct {
+	mu           sync.Mutex
+	requests     map[string]*record
+	findings     []string
+	findingCount int
+	tally        Tally
+	drains       *drainAudit // nil: drains are not checked
 }
 
-// Tally counts what was seen.
+// Tally counts the events that an Auditor was told of.
 type Tally struct {
-	Connections, Sent, Received, Served, Refused, Failed, Verdicts int
+	Connections, Sent, Received, Served, Refused, Failed, RateLimitAnswers int
 }
 
 type record struct {
-	args   [][]byte
-	times  int  // that it was sent whole
-	twice  bool // its client sends it twice: what is sent on is no repeat of the limiter's
-	unsure bool // whether it was: the limiter ended the connection
-	made   map[string]struct{}
-	hall   string // of the first node where it may have run
-	ran    bool
+	args          [][]byte
+	copiesSent    int  // complete copies that the client sent
+	duplicated    bool // the client sends the request twice, so a second copy at a node is no retry by the limiter
+	sendUncertain bool // copiesSent is not known yet, or not reliable because the limiter closed the connection
+	responses     map[string]struct{}
+	firstHall     string // hall of the first node where the request may have run
+	mayHaveRun    bool
 }
 
-// NewAudit makes an auditor.
-func NewAudit() *Audit { return &Audit{requests: map[string]*record{}} }
+// NewAuditor returns an auditor that does not check drains.
+func NewAuditor() *Auditor { return &Auditor{requests: map[string]*record{}} }
 
-// Find notes a broken rule.
-func (a *Audit) Find(format string, args ...any) {
+// Find records a violation.
+func (a *Auditor) Find(format string, args ...any) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.find(format, args...)
+	a.reportf(format, args...)
 }
 
-func (a *Audit) find(format string, args ...any) {
-	if a.found++; len(a.findings) < mostFindings {
+func (a *Auditor) reportf(format string, args ...any) {
+	if a.findingCount++; len(a.findings) < maxFindings {
 		a.findings = append(a.findings, fmt.Sprintf(format, args...))
 	}
 }
 
-// Findings is what broke, and how often.
-func (a *Audit) Findings() ([]string, int) {
+// Findings returns the texts of the first findings and the number of all.
+func (a *Auditor) Findings() ([]string, int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return append([]string(nil), a.findings...), a.found
+	return append([]string(nil), a.findings...), a.findingCount
 }
 
-// Tally is what was counted until now.
-func (a *Audit) Tally() Tally {
+// Tally returns the counts so far.
+func (a *Auditor) Tally() Tally {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.tally
 }
 
-// Opened counts a connection that played a script.
-func (a *Audit) Opened() {
+// ConnectionOpened counts a connection that follows a script.
+func (a *Auditor) ConnectionOpened() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.tally.Connections++
 }
 
-// Sending notes a request before its first byte leaves the client, and whether it will go out twice.
-func (a *Audit) Sending(id string, args [][]byte, twice bool) {
+// BeginSend registers a request before a client sends its first byte. duplicated says that the client will send it twice.
+func (a *Auditor) BeginSend(id string, args [][]byte, duplicated bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.requests[id] = &record{args: args, twice: twice, unsure: true, made: map[string]struct{}{}}
+	a.requests[id] = &record{args: args, duplicated: duplicated, sendUncertain: true, responses: map[string]struct{}{}}
 	a.tally.Sent++
 }
 
-// Sent notes how often it went out whole; sure is false where the limiter's end of the connection hides that.
-func (a *Audit) Sent(id string, times int, sure bool) {
+// EndSend records how many complete copies of a request the client sent. certain is false if that is not known because the
+// limiter closed the connection.
+func (a *Auditor) EndSend(id string, copies int, certain bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	r := a.requests[id]
-	r.times, r.unsure = times, !sure
-	if sure && times == 0 && len(r.made) > 0 {
-		a.find("%s reached a node and was never sent whole", id)
+	r.copiesSent, r.sendUncertain = copies, !certain
+	if certain && copies == 0 && len(r.responses) > 0 {
+		a.reportf("request %s reached a node, but its client sent no complete copy", id)
 	}
 }
 
-// Received notes a whole command at a node of a hall and the value that the node makes for it. mayRun is false where
-// the node turns it away.
-func (a *Audit) Received(args [][]byte, hall, value string, mayRun bool) {
+// Received records a complete command at a node of a hall, and the value that the node answers with. mayRun is false if the
+// node refuses the command.
+func (a *Auditor) Received(args [][]byte, hall, value string, mayRun bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.tally.Received++
 	if len(args) < 4 {
-		a.find("a node got a command of %d words", len(args))
+		a.reportf("a node received a command of %d words, want at least 4", len(args))
 		return
 	}
 	id := string(args[2])
 	r := a.requests[id]
 	if r == nil {
-		a.find("a node got %q, which no client sent", id)
+		a.reportf("a node received request %q, which no client sent", id)
 		return
 	}
 	same := len(args) == len(r.args)
 	for k := 0; same && k < len(args); k++ {
-		same = k == 3 || bytes.Equal(args[k], r.args[k]) // the terms name how long the limiter waits
+		same = k == 3 || bytes.Equal(args[k], r.args[k]) // the limiter replaces the options, which carry its own deadline
 	}
 	if !same {
-		a.find("%s came to a node changed: %q, sent as %q", id, args, r.args)
+		a.reportf("request %s was changed on its way to a node: received %q, sent as %q", id, args, r.args)
 	}
-	if !r.unsure && r.times == 0 {
-		a.find("%s reached a node and was never sent whole", id)
+	if !r.sendUncertain && r.copiesSent == 0 {
+		a.reportf("request %s reached a node, but its client sent no complete copy", id)
 	}
-	r.made[value] = struct{}{}
-	if keyed(args) && r.ran && r.hall != hall && !r.twice {
-		a.find("%s may have run in %s and was sent on to %s", id, r.hall, hall)
+	r.responses[value] = struct{}{}
+	if hasIdempotencyKey(args) && r.mayHaveRun && r.firstHall != hall && !r.duplicated {
+		a.reportf("request %s may have run in %s and was then sent to %s", id, r.firstHall, hall)
 	}
-	if mayRun && !r.ran {
-		r.ran, r.hall = true, hall
+	if mayRun && !r.mayHaveRun {
+		r.mayHaveRun, r.firstHall = true, hall
 	}
 }
 
-func keyed(args [][]byte) bool { return string(args[0]) == "Q.DO" }
+func hasIdempotencyKey(args [][]byte) bool { return string(args[0]) == "Q.DO" }
 
-// Answered checks an answer against the request that it stands for; id is "" where nothing whole was sent.
-func (a *Audit) Answered(id string, kind byte, text string) {
+// Answered checks an answer against the request with this id; id is "" if no complete request is left to be answered.
+func (a *Auditor) Answered(id string, kind byte, text string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	r := a.requests[id]
@@ -138,25 +142,25 @@
 	case kind == '-' && len(text) >= 4 && text[:4] == "BUSY":
 		a.tally.Refused++
 		if r == nil {
-			a.find("a refusal for nothing that was sent")
-		} else if keyed(r.args) && r.ran && !r.twice {
-			a.find("%s may have run in %s and was refused as harmless to repeat", id, r.hall)
+			a.reportf("a client received a refusal without a pending request")
+		} else if hasIdempotencyKey(r.args) && r.mayHaveRun && !r.duplicated {
+			a.reportf("request %s may have run in %s, but was refused with BUSY, which says that it is safe to repeat", id, r.firstHall)
 		}
 	case kind == '-':
 		a.tally.Failed++
 	case kind == '$' && r != nil:
 		a.tally.Served++
-		if _, ok := r.made[text]; !ok {
-			a.find("%s was served %.80q, which no node made for it", id, text)
+		if _, ok := r.responses[text]; !ok {
+			a.reportf("request %s was served %.80q, which no node answered", id, text)
 		}
 	default:
-		a.find("%q was answered %c%.80q", id, kind, text)
+		a.reportf("request %q got the unexpected answer %c%.80q", id, kind, text)
 	}
 }
 
-// Verdict counts the answer to a gRPC call.
-func (a *Audit) Verdict() {
+// RateLimitAnswered counts an answer to a gRPC rate limit call.
+func (a *Auditor) RateLimitAnswered() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.tally.Verdicts++
+	a.tally.RateLimitAnswers++
 }
--- a/internal/standin/ceiling.go
+++ b/internal/standin/ceiling.go
@@ -5,35 +5,35 @@
 	"time"
 )
 
-// Ceiling audits what all limiters together send on for one firm: a store that fills at the rate up to the burst, and that no
-// send may take below minus the slack.
+// Ceiling audits the units that all limiters together forward for one firm. It is a token bucket that fills at Rate units a
+// second up to Burst; the level may never fall below minus the ceiling's slack, which the caller compares with Lowest.
 type Ceiling struct {
 	Rate, Burst float64
 
-	mu    sync.Mutex
-	level float64
-	at    time.Time
-	low   float64
-	sends int
+	mu      sync.Mutex
+	level   float64
+	updated time.Time
+	lowest  float64
+	sends   int
 }
 
-// Sent takes a send of so many units, when it reaches a node.
+// Sent takes the units of a request from the bucket when the request reaches a node.
 func (c *Ceiling) Sent(units float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	if c.at.IsZero() {
+	if c.updated.IsZero() {
 		c.level = c.Burst
 	} else {
-		c.level = min(c.level+c.Rate*now.Sub(c.at).Seconds(), c.Burst)
+		c.level = min(c.level+c.Rate*now.Sub(c.updated).Seconds(), c.Burst)
 	}
-	c.at, c.level, c.sends = now, c.level-units, c.sends+1
-	c.low = min(c.low, c.level)
+	c.updated, c.level, c.sends = now, c.level-units, c.sends+1
+	c.lowest = min(c.lowest, c.level)
 }
 
-// Lowest is how far below empty the store has been, as a number of 0 or less, and how many sends there were.
+// Lowest returns the lowest level that the bucket has had, at most 0, and the number of requests that were sent.
 func (c *Ceiling) Lowest() (float64, int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.low, c.sends
+	return c.lowest, c.sends
 }
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -23,92 +23,95 @@
 )
 
 const (
-	patience = 30 * time.Second // a client that waits so long for an answer or an end has found a fault
-	firms    = 4000
+	// waitTimeout is how long stand-ins wait for the limiter. A client that gets neither an answer nor the end of the
+	// connection in this time reports a finding.
+	waitTimeout = 30 * time.Second
+	firmCount   = 4000
 )
 
-// Play runs the plan's scripts of clients and callers against a limiter, so many at once.
+// Play runs the plan's scripts of clients and gRPC callers against a limiter, at most atOnce at a time. Scripts of callers
+// are skipped if grpcAddr is empty.
 func (w *World) Play(p fault.Plan, addr, grpcAddr string, atOnce int) {
 	var wg sync.WaitGroup
-	places := make(chan struct{}, atOnce)
+	slots := make(chan struct{}, atOnce)
 	for k, s := range p.Scripts {
 		if s.Role != fault.Client && (s.Role != fault.Caller || grpcAddr == "") {
 			continue
 		}
-		places <- struct{}{}
+		slots <- struct{}{}
 		wg.Add(1)
 		go func() {
-			defer func() { <-places; wg.Done() }()
+			defer func() { <-slots; wg.Done() }()
 			if s.Role == fault.Client {
-				w.client(s, addr, fmt.Sprintf("%x-%d", p.Seed, k))
+				w.runClient(s, addr, fmt.Sprintf("%x-%d", p.Seed, k))
 			} else {
-				w.caller(s, grpcAddr)
+				w.runCaller(s, grpcAddr)
 			}
 		}()
 	}
 	wg.Wait()
 }
 
-// client sends its commands, one by one or all at once, and checks each answer.
-func (w *World) client(s fault.Script, addr, name string) {
-	raw, err := net.DialTimeout("tcp", addr, patience)
+// runClient follows a client's script: it sends commands, either one at a time or pipelined, and audits each answer.
+func (w *World) runClient(s fault.Script, addr, name string) {
+	raw, err := net.DialTimeout("tcp", addr, waitTimeout)
 	if err != nil {
-		w.Audit.Find("%s cannot connect: %v", name, err)
+		w.Audit.Find("client %s cannot connect: %v", name, err)
 		return
 	}
 	defer raw.Close()
-	w.Audit.Opened()
-	_ = raw.SetDeadline(time.Now().Add(patience))
-	conn, err := fault.Follow(raw, s)
+	w.Audit.ConnectionOpened()
+	_ = raw.SetDeadline(time.Now().Add(waitTimeout))
+	conn, err := fault.NewConn(raw, s)
 	if err != nil {
 		return
 	}
 	rng := rand.New(rand.NewPCG(s.Seed, 3))
-	a := answers{world: w, conn: conn, script: s, name: name}
-	for together, n := rng.IntN(2) == 0, 0; n < s.Messages && err == nil; n++ {
+	a := answerReader{world: w, conn: conn, script: s, name: name}
+	for pipelined, n := rng.IntN(2) == 0, 0; n < s.Messages && err == nil; n++ {
 		err = a.send(rng, fmt.Sprintf("%s-%d", name, n))
-		if !together && err == nil {
-			a.read(len(a.due))
-			err = conn.Rest()
+		if !pipelined && err == nil {
+			a.read(len(a.pending))
+			err = conn.RunIdleSteps()
 		}
 	}
-	want := len(a.due)
-	if conn.Noisy() {
-		want++ // an error, or the end, is owed to who sends what cannot be read
+	want := len(a.pending)
+	if conn.NoiseSent() {
+		want++ // the limiter owes an error reply or the end of the connection for unreadable input
 	}
 	a.read(want)
 }
 
-// answers reads what is due to a client, in order.
-type answers struct {
-	world  *World
-	conn   *fault.Conn
-	script fault.Script
-	name   string
-	parser resp.Parser
-	due    []string // ids of the commands that went out whole
-	had    int
-	over   bool
+// answerReader sends a client's commands and matches the answers to them in order.
+type answerReader struct {
+	world    *World
+	conn     *fault.Conn
+	script   fault.Script
+	name     string
+	parser   resp.Parser
+	pending  []string // ids of the commands that were sent complete, in order; kept once answered
+	received int
+	done     bool
 }
 
-func (a *answers) send(rng *rand.Rand, id string) error {
+func (a *answerReader) send(rng *rand.Rand, id string) error {
 	args := Command(rng, id)
-	a.world.Audit.Sending(id, args, a.conn.Twice())
-	times, err := a.conn.Send(resp.AppendCommand(nil, args...))
-	a.world.Audit.Sent(id, times, err == nil || errors.Is(err, fault.ErrOver))
-	for range times {
-		a.due = append(a.due, id)
+	a.world.Audit.BeginSend(id, args, a.conn.DuplicatesNext())
+	copies, err := a.conn.Send(resp.AppendCommand(nil, args...))
+	a.world.Audit.EndSend(id, copies, err == nil || errors.Is(err, fault.ErrScriptEnded))
+	for range copies {
+		a.pending = append(a.pending, id)
 	}
 	return err
 }
 
-// Command is a request by chance: a read, or a post with a body, of one of some thousand firms.
+// Command returns a random request of one of firmCount firms: a read, or, in 40 % of cases, a post with a body.
 func Command(rng *rand.Rand, id string) [][]byte {
 	name, terms := "Q.ASK", "c=balance-read,t=regular,d=4000,units=1,spread=1,first=0"
 	if rng.Float64() < 0.4 {
 		name, terms = "Q.DO", fmt.Sprintf("c=transfer-post,t=regular,d=6000,k=%016x,units=1,spread=1,first=0", rng.Uint64())
 	}
-	args := [][]byte{[]byte(name), fmt.Appendf(nil, "%016x", rng.IntN(firms)), []byte(id), []byte(terms)}
+	args := [][]byte{[]byte(name), fmt.Appendf(nil, "%016x", rng.IntN(firmCount)), []byte(id), []byte(terms)}
 	if name == "Q.DO" {
 		size := rng.IntN(100)
 		if rng.Float64() < 0.03 {
@@ -119,62 +122,62 @@
 	return args
 }
 
-// read takes answers until so many are there, or the connection ends.
-func (a *answers) read(want int) {
+// read reads answers until want of them have been received in total, or the connection ends.
+func (a *answerReader) read(want int) {
 	buf := make([]byte, 16<<10)
-	for a.had < want && !a.over {
+	for a.received < want && !a.done {
 		n, err := a.conn.Read(buf)
 		a.parser.Feed(buf[:n])
 		for {
 			r, ok, bad := a.parser.Reply()
 			if bad != nil {
-				a.world.Audit.Find("%s got bytes that are no answer: %v", a.name, bad)
-				a.over = true
+				a.world.Audit.Find("client %s received bytes that are no valid reply: %v", a.name, bad)
+				a.done = true
 			}
 			if !ok || bad != nil {
 				break
 			}
 			id := ""
-			if a.had < len(a.due) {
-				id = a.due[a.had]
+			if a.received < len(a.pending) {
+				id = a.pending[a.received]
 			}
-			a.had++
+			a.received++
 			a.world.Audit.Answered(id, r.Kind, string(r.Text))
 		}
 		if err != nil {
-			a.over = true
-			a.ended(want, err)
+			a.done = true
+			a.connectionEnded(want, err)
 		}
 	}
 }
 
-func (a *answers) ended(want int, err error) {
+func (a *answerReader) connectionEnded(want int, err error) {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		a.world.Audit.Find("%s had %d of %d answers and no end: %s", a.name, a.had, want, a.script)
-	} else if len(a.script.Steps) == 0 && a.had < want {
-		a.world.Audit.Find("%s did nothing wrong and was cut off with %d of %d answers: %v", a.name, a.had, want, err)
+		a.world.Audit.Find("client %s received %d of %d answers, and its connection did not end in time: %s", a.name, a.received, want, a.script)
+	} else if len(a.script.Steps) == 0 && a.received < want {
+		a.world.Audit.Find("client %s, which injected no faults, was cut off after %d of %d answers: %v", a.name, a.received, want, err)
 	}
 }
 
-// caller makes gRPC calls over a connection that follows its script.
-func (w *World) caller(s fault.Script, addr string) {
+// runCaller makes gRPC calls over one connection that follows the script.
+func (w *World) runCaller(s fault.Script, addr string) {
 	dialed := false
 	dial := func(ctx context.Context, addr string) (net.Conn, error) {
-		if dialed { // one script is one connection
-			return nil, fault.ErrOver
+		if dialed { // the script covers a single connection: no reconnects
+			return nil, fault.ErrScriptEnded
 		}
 		dialed = true
 		raw, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 		if err != nil {
 			return nil, err
 		}
-		w.Audit.Opened()
-		return fault.Follow(raw, s)
+		w.Audit.ConnectionOpened()
+		return fault.NewConn(raw, s)
 	}
 	client, err := grpc.NewClient("passthrough:///"+addr, grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithContextDialer(dial))
 	if err != nil {
-		w.Audit.Find("a caller: %v", err)
+		w.Audit.Find("cannot create a gRPC caller: %v", err)
 		return
 	}
 	defer client.Close()
@@ -183,15 +186,15 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 4*time.Second)
 		_, err := rlsv3.NewRateLimitServiceClient(client).ShouldRateLimit(ctx, &rlsv3.RateLimitRequest{Domain: "d",
 			Descriptors: []*entriesv3.RateLimitDescriptor{{Entries: []*entriesv3.RateLimitDescriptor_Entry{
-				{Key: "firm", Value: fmt.Sprintf("%x", rng.IntN(firms))}, {Key: "tier", Value: "regular"},
+				{Key: "firm", Value: fmt.Sprintf("%x", rng.IntN(firmCount))}, {Key: "tier", Value: "regular"},
 				{Key: "class", Value: "balance-read"}, {Key: "spread", Value: "1"}}}}})
 		cancel()
-		w.Audit.Verdict()
+		w.Audit.RateLimitAnswered()
 		if len(s.Steps) > 0 {
 			continue
 		}
 		if code := status.Code(err); code != codes.OK && code != codes.DeadlineExceeded {
-			w.Audit.Find("a caller that did nothing wrong got %v", err)
+			w.Audit.Find("a gRPC caller that injected no faults got an error: %v", err)
 		}
 	}
 }
--- a/internal/standin/counter.go
+++ b/internal/standin/counter.go
@@ -12,26 +12,26 @@
 	"bramblefall/internal/fault"
 )
 
-// Counter stands in for the quota counter. Names are forgotten when their life is up.
+// Counter is a stand-in for the quota counter. It forgets a name when the name's time to live has passed.
 type Counter struct {
 	Addr string
 
-	world *World
-	mu    sync.Mutex
-	names map[string]count
-	Calls int
+	world  *World
+	mu     sync.Mutex
+	counts map[string]count
+	Calls  int
 }
 
 type count struct {
-	total float64
-	until time.Time
+	total   float64
+	expires time.Time
 }
 
-var callForm = regexp.MustCompile(`^add [!-~]{1,64} -?[0-9.]+ [0-9]+$`)
+var addCommand = regexp.MustCompile(`^add [!-~]{1,64} -?[0-9.]+ [0-9]+$`)
 
-// AddCounter starts the counter.
+// AddCounter starts a stand-in for the quota counter.
 func (w *World) AddCounter() (*Counter, error) {
-	c := &Counter{world: w, names: map[string]count{}}
+	c := &Counter{world: w, counts: map[string]count{}}
 	var err error
 	c.Addr, err = w.listen(fault.Counter, c.serve)
 	w.Counter = c
@@ -48,7 +48,7 @@
 		if _, err := conn.Send([]byte(c.answer(strings.TrimSuffix(line, "\r\n")) + "\r\n")); err != nil {
 			return
 		}
-		if conn.Rest() != nil {
+		if conn.RunIdleSteps() != nil {
 			return
 		}
 	}
@@ -58,42 +58,42 @@
 	if line == "ping" {
 		return "pong"
 	}
-	if !callForm.MatchString(line) {
-		c.world.Audit.Find("the counter cannot read %q", line)
+	if !addCommand.MatchString(line) {
+		c.world.Audit.Find("the counter received %q, want ping or add NAME AMOUNT LIVES", line)
 		return "error"
 	}
 	words := strings.Fields(line)
 	amount, _ := strconv.ParseFloat(words[2], 64)
-	lives, _ := strconv.Atoi(words[3])
+	ttlMs, _ := strconv.Atoi(words[3])
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.Calls++
 	now := time.Now()
-	n := c.names[words[1]]
-	if now.After(n.until) {
-		n = count{until: now.Add(time.Duration(min(lives, 60000)) * time.Millisecond)}
+	current := c.counts[words[1]]
+	if now.After(current.expires) {
+		current = count{expires: now.Add(time.Duration(min(ttlMs, 60000)) * time.Millisecond)}
 	}
-	n.total += amount
-	c.names[words[1]] = n
-	return fmt.Sprintf("ok %.7g", n.total)
+	current.total += amount
+	c.counts[words[1]] = current
+	return fmt.Sprintf("ok %.7g", current.total)
 }
 
 // Wipe forgets all names.
 func (c *Counter) Wipe() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	clear(c.names)
+	clear(c.counts)
 }
 
-// Flush forgets a part of the names.
-func (c *Counter) Flush(part float64) {
+// Flush forgets a share of the names, from 0 to 1, chosen at random.
+func (c *Counter) Flush(share float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	left := int(part * float64(len(c.names)))
-	for name := range c.names { // in a map's own order: by chance
-		if left--; left < 0 {
+	remaining := int(share * float64(len(c.counts)))
+	for name := range c.counts { // map iteration order picks names at random
+		if remaining--; remaining < 0 {
 			return
 		}
-		delete(c.names, name)
+		delete(c.counts, name)
 	}
 }
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -12,62 +12,66 @@
 	"bramblefall/internal/fault"
 )
 
-// Discovery stands in for the platform's discovery, over bare sockets so that its answers can break at any byte.
+// Discovery is a stand-in for the platform's discovery. It writes HTTP to bare sockets, so that its answers can break off at
+// any byte.
 //
-// Each limiter may have an agent of its own. There the list names ports of the nodes that only that limiter knows, so
-// that the auditor can tell who sent, and answers go wrong as a hand says.
+// Each limiter may have a discovery agent of its own. The agent's list names ports of the nodes that only that limiter is
+// told, which lets the auditor attribute commands to limiters, and the agent's answers can be made to fail.
 type Discovery struct {
 	Addr string
 
-	world   *World
-	mu      sync.Mutex
-	version int
-	changed chan struct{} // closed at a change
-	hands   map[int]func(answer int) Trouble
-	answers map[int]int
+	world        *World
+	mu           sync.Mutex
+	version      int
+	changed      chan struct{} // closed and replaced when the list changes
+	troubles     map[int]func(answer int) Trouble
+	answerCounts map[int]int
 }
 
-// Trouble is what goes wrong with an answer once it has a change to tell.
+// Trouble is the fault of an answer. It takes effect on the first line that carries a list.
 type Trouble uint8
 
-// The troubles.
+// The faults of discovery's answers.
 const (
 	Fine  Trouble = iota
-	Cut           // the connection ends in the middle of the line
-	Short         // nothing follows the middle of the line
-	Mute          // nothing comes any more, not even empty lines
+	Cut           // the connection closes in the middle of the line
+	Short         // the line stops in the middle, and the connection stays open
+	Mute          // nothing is sent any more, not even empty lines; the connection stays open
 )
 
-const everybody = -1 // the place of a limiter without an agent of its own
+// sharedAgent is the limiter number of the agent and the ports that all limiters without an agent of their own share.
+const sharedAgent = -1
 
-const emptyLineEvery = 500 * time.Millisecond
+// emptyLineInterval is the time between the empty lines that keep an idle watch alive.
+const emptyLineInterval = 500 * time.Millisecond
 
-// AddDiscovery starts discovery; its list is the world's nodes.
+// AddDiscovery starts a stand-in for discovery that lists the world's nodes.
 func (w *World) AddDiscovery() (*Discovery, error) {
-	d := &Discovery{world: w, version: 1, changed: make(chan struct{}), hands: map[int]func(int) Trouble{}, answers: map[int]int{}}
+	d := &Discovery{world: w, version: 1, changed: make(chan struct{}), troubles: map[int]func(int) Trouble{}, answerCounts: map[int]int{}}
 	var err error
-	d.Addr, err = w.listen(fault.Discovery, func(c *fault.Conn, _ fault.Script) { d.serve(c, everybody) })
+	d.Addr, err = w.listen(fault.Discovery, func(c *fault.Conn, _ fault.Script) { d.serve(c, sharedAgent) })
 	w.Discovery = d
 	return d, err
 }
 
-// AddAgent starts a limiter's own agent. The hand names the trouble of each of its answers, counted from 0; nil: none.
-func (d *Discovery) AddAgent(limiter int, hand func(answer int) Trouble) (addr string, err error) {
+// AddAgent starts a discovery agent for one limiter. troubleOf returns the trouble of each of its answers, counted from 0;
+// nil stands for no trouble.
+func (d *Discovery) AddAgent(limiter int, troubleOf func(answer int) Trouble) (addr string, err error) {
 	for _, n := range d.world.Nodes {
 		if err := n.addPort(limiter); err != nil {
 			return "", err
 		}
 	}
-	if hand == nil {
-		hand = func(int) Trouble { return Fine }
+	if troubleOf == nil {
+		troubleOf = func(int) Trouble { return Fine }
 	}
 	d.mu.Lock()
-	d.hands[limiter] = hand
+	d.troubles[limiter] = troubleOf
 	d.mu.Unlock()
 	return d.world.listen(fault.Discovery, func(c *fault.Conn, _ fault.Script) { d.serve(c, limiter) })
 }
 
-// Changed tells the watches that a node's state is another. Every change is told as the whole list.
+// Changed publishes a new version after a node's state has changed. Watches get the whole list for every change.
 func (d *Discovery) Changed() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -76,29 +80,30 @@
 	d.changed = make(chan struct{})
 }
 
-// List is the list in discovery's form.
-func (d *Discovery) List() map[string]any { return d.Known(everybody) }
+// List returns the current list in discovery's JSON form, as limiters without an agent of their own get it.
+func (d *Discovery) List() map[string]any { return d.Known(sharedAgent) }
 
-// Known is the list that a limiter with an agent starts with.
+// Known returns the list that a limiter with its own agent starts with, and tells the auditor that the limiter knows it.
 func (d *Discovery) Known(limiter int) map[string]any {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.told(limiter, true)
+	d.recordTold(limiter, true)
 	return d.list(limiter)
 }
 
-// told notes for the auditor what a limiter has been told, or may have been. d.mu is held.
-func (d *Discovery) told(limiter int, whole bool) {
+// recordTold tells the auditor that the current list was sent to a limiter; complete is false if the limiter may have got
+// only a part of it. The caller holds d.mu.
+func (d *Discovery) recordTold(limiter int, complete bool) {
 	for _, n := range d.world.Nodes {
-		d.world.Audit.Told(limiter, n.name(), n.State.Load() == "ready", whole)
+		d.world.Audit.MachineListed(limiter, n.machineID(), n.State.Load() == "ready", complete)
 	}
 }
 
-// leaves notes that a machine takes nothing new from now on. d.mu is held.
-func (d *Discovery) leaves(n *Node) { d.world.Audit.Leaves(n.name()) }
+// recordLeaving tells the auditor that a machine accepts no new commands from now on. The caller holds d.mu.
+func (d *Discovery) recordLeaving(n *Node) { d.world.Audit.MachineLeft(n.machineID()) }
 
-// name is the id of the machine that now has the node's place.
-func (n *Node) name() string {
+// machineID returns the id of the machine that currently runs the node.
+func (n *Node) machineID() string {
 	if n.Renewed == 0 {
 		return n.ID
 	}
@@ -111,7 +116,7 @@
 		if n.State.Load() == "gone" {
 			continue
 		}
-		servers = append(servers, map[string]any{"id": n.name(), "addr": n.ports[limiter].addr, "zone": n.Hall, "kind": "std-3core",
+		servers = append(servers, map[string]any{"id": n.machineID(), "addr": n.ports[limiter].addr, "zone": n.Hall, "kind": "std-3core",
 			"cell": 0, "state": n.State.Load(), "weight": 1.0, "started_ms": n.Started})
 	}
 	return map[string]any{"version": d.version, "full": true, "servers": servers}
@@ -123,7 +128,7 @@
 		return
 	}
 	if req.URL.Path != "/registry/instances" {
-		d.world.Audit.Find("discovery was asked for %q", req.URL.Path)
+		d.world.Audit.Find("discovery received a request for %q, want /registry/instances", req.URL.Path)
 		return
 	}
 	if _, err := conn.Send([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")); err != nil {
@@ -131,9 +136,9 @@
 	}
 	d.mu.Lock()
 	trouble := Fine
-	if hand := d.hands[limiter]; hand != nil {
-		trouble = hand(d.answers[limiter])
-		d.answers[limiter]++
+	if troubleOf := d.troubles[limiter]; troubleOf != nil {
+		trouble = troubleOf(d.answerCounts[limiter])
+		d.answerCounts[limiter]++
 	}
 	d.mu.Unlock()
 	watch := req.FormValue("watch") == "1"
@@ -141,46 +146,46 @@
 	for {
 		d.mu.Lock()
 		list, version, changed := d.list(limiter), d.version, d.changed
-		news := version > from || !watch
-		if news && trouble != Mute {
-			d.told(limiter, trouble == Fine)
+		hasChange := version > from || !watch
+		if hasChange && trouble != Mute {
+			d.recordTold(limiter, trouble == Fine)
 		}
 		d.mu.Unlock()
 		line := []byte("\n")
-		if news {
+		if hasChange {
 			raw, _ := json.Marshal(list)
 			line, from = append(raw, '\n'), version
 		}
-		if news && trouble == Mute {
+		if hasChange && trouble == Mute {
 			_, _ = conn.Read(make([]byte, 1)) // until the limiter leaves
 			return
 		}
-		if d.broke(conn, line, news, trouble) {
+		if d.sendLine(conn, line, hasChange, trouble) {
 			return
 		}
 		if !watch {
 			_, _ = conn.Send([]byte("0\r\n\r\n"))
 			return
 		}
-		if conn.Rest() != nil {
+		if conn.RunIdleSteps() != nil {
 			return
 		}
 		select {
 		case <-changed:
-		case <-time.After(emptyLineEvery):
+		case <-time.After(emptyLineInterval):
 		}
 	}
 }
 
-// broke sends a line, as the trouble says where it holds news. It tells whether the answer is over.
-func (d *Discovery) broke(conn *fault.Conn, line []byte, news bool, trouble Trouble) bool {
+// sendLine sends a line, applying the trouble if the line carries a change. It reports whether the answer has ended.
+func (d *Discovery) sendLine(conn *fault.Conn, line []byte, hasChange bool, trouble Trouble) bool {
 	chunk := fmt.Appendf(nil, "%x\r\n%s\r\n", len(line), line)
-	if news && trouble != Fine {
+	if hasChange && trouble != Fine {
 		chunk = chunk[:len(chunk)*3/4]
 	}
 	_, err := conn.Send(chunk)
-	if news && trouble == Short && err == nil {
+	if hasChange && trouble == Short && err == nil {
 		_, _ = conn.Read(make([]byte, 1)) // until the limiter leaves
 	}
-	return err != nil || news && trouble != Fine
+	return err != nil || hasChange && trouble != Fine
 }
--- a/internal/standin/drains.go
+++ b/internal/standin/drains.go
@@ -2,59 +2,61 @@
 
 import "time"
 
-// What discovery tells counts as told so long after, whether it arrived or not.
-const toldAnyway = 6 * time.Second
+// maxPropagationDelay is the time after which a limiter counts as told of a drain, even if no answer of discovery arrived.
+const maxPropagationDelay = 6 * time.Second
 
-// drains is what limiters were told of machines, by their ids in discovery.
-type drains struct {
-	grace  time.Duration // for a send after a drain was told, with what a busy machine takes
-	left   map[string]time.Time
-	listed map[place]bool
-	told   map[place]time.Time // that it drains or is gone
-	sends  int
+// drainAudit records what limiters with an agent of their own were told of machines, by the machines' ids in discovery.
+type drainAudit struct {
+	grace       time.Duration // for commands sent after a drain was told, including delays of a busy machine
+	leftAt      map[string]time.Time
+	listed      map[limiterMachine]bool
+	drainToldAt map[limiterMachine]time.Time // since when the limiter has been told that the machine drains or is gone
+	sends       int
 }
 
-type place struct {
+type limiterMachine struct {
 	limiter int
 	id      string
 }
 
-// Drains makes the auditor hold every limiter with an agent to the rule on drains, and to the ids that it was told.
-func (a *Audit) Drains(grace time.Duration) {
+// Drains enables the checks of drains: limiters with an agent of their own must not send commands to machines that they
+// were not told of, nor to machines that they were told longer than grace ago are draining or gone.
+func (a *Auditor) Drains(grace time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.drains = &drains{grace, map[string]time.Time{}, map[place]bool{}, map[place]time.Time{}, 0}
+	a.drains = &drainAudit{grace, map[string]time.Time{}, map[limiterMachine]bool{}, map[limiterMachine]time.Time{}, 0}
 }
 
-// Told notes what a limiter has been told of a machine. Of a line that did not arrive whole only a drain counts.
-func (a *Audit) Told(limiter int, id string, ready, whole bool) {
+// MachineListed records that a limiter has been told a machine's state. If the list may not have arrived complete, the limiter
+// is not taken to know the machine's id, but it is held to a drain that the list tells.
+func (a *Auditor) MachineListed(limiter int, id string, ready, complete bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.drains == nil {
 		return
 	}
-	p := place{limiter, id}
-	if whole {
+	p := limiterMachine{limiter, id}
+	if complete {
 		a.drains.listed[p] = true
 	}
 	if ready {
-		delete(a.drains.told, p)
-	} else if a.drains.told[p].IsZero() {
-		a.drains.told[p] = time.Now()
+		delete(a.drains.drainToldAt, p)
+	} else if a.drains.drainToldAt[p].IsZero() {
+		a.drains.drainToldAt[p] = time.Now()
 	}
 }
 
-// Leaves notes that a machine drains or is gone.
-func (a *Audit) Leaves(id string) {
+// MachineLeft records the time since when a machine has been draining or gone.
+func (a *Auditor) MachineLeft(id string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.drains != nil && a.drains.left[id].IsZero() {
-		a.drains.left[id] = time.Now()
+	if a.drains != nil && a.drains.leftAt[id].IsZero() {
+		a.drains.leftAt[id] = time.Now()
 	}
 }
 
-// Came notes a command that has come from a limiter to the machine that now has this id.
-func (a *Audit) Came(limiter int, id, request string) {
+// CommandReceived checks a command that a machine received from a limiter.
+func (a *Auditor) CommandReceived(limiter int, id, request string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	d := a.drains
@@ -62,21 +64,21 @@
 		return
 	}
 	d.sends++
-	p := place{limiter, id}
+	p := limiterMachine{limiter, id}
 	if !d.listed[p] {
-		a.find("limiter %d sent %s to %s, which no list had named to it", limiter, request, id)
+		a.reportf("limiter %d sent request %s to machine %s, which no list had named to it", limiter, request, id)
 	}
-	told := d.told[p]
-	if left := d.left[id]; !left.IsZero() && (told.IsZero() || told.After(left.Add(toldAnyway))) {
-		told = left.Add(toldAnyway)
+	toldAt := d.drainToldAt[p]
+	if leftAt := d.leftAt[id]; !leftAt.IsZero() && (toldAt.IsZero() || toldAt.After(leftAt.Add(maxPropagationDelay))) {
+		toldAt = leftAt.Add(maxPropagationDelay)
 	}
-	if late := time.Since(told); !told.IsZero() && late > d.grace {
-		a.find("limiter %d sent %s to %s, %.2f s after it was told that it drains or is gone", limiter, request, id, late.Seconds())
+	if late := time.Since(toldAt); !toldAt.IsZero() && late > d.grace {
+		a.reportf("limiter %d sent request %s to machine %s, %.2f s after it was told that the machine drains or is gone", limiter, request, id, late.Seconds())
 	}
 }
 
-// Sends is how many commands were held to the rule on drains.
-func (a *Audit) Sends() int {
+// Sends returns the number of commands for which drains were checked.
+func (a *Auditor) Sends() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.drains == nil {
--- a/internal/standin/limiter.go
+++ b/internal/standin/limiter.go
@@ -15,18 +15,18 @@
 	"time"
 )
 
-// Limiter is the real program, started.
+// Limiter is a running process of the real program.
 type Limiter struct {
 	Addr, GRPCAddr string
-	Path           string // of its configuration
+	Path           string // of the configuration file
 	Cmd            *exec.Cmd
-	Ended          chan struct{} // closed when it has
+	Ended          chan struct{} // closed when the process has ended
 
 	mu  sync.Mutex
 	log []string
 }
 
-// Start runs the program with a configuration, written into dir, and waits until it serves.
+// Start writes the configuration into dir, starts the program with it and waits until the program serves.
 func Start(binary, dir string, config any, args ...string) (*Limiter, error) {
 	raw, err := json.Marshal(config)
 	if err != nil {
@@ -44,13 +44,13 @@
 	if err := l.Cmd.Start(); err != nil {
 		return nil, err
 	}
-	up := make(chan struct{})
+	ready := make(chan struct{})
 	go func() {
 		defer close(l.Ended)
 		lines := bufio.NewReaderSize(out, 64<<10)
 		for {
 			line, err := lines.ReadString('\n')
-			l.add(strings.TrimSuffix(line, "\n"), up)
+			l.appendLog(strings.TrimSuffix(line, "\n"), ready)
 			if err != nil {
 				break
 			}
@@ -58,16 +58,16 @@
 		_ = l.Cmd.Wait()
 	}()
 	select {
-	case <-up:
+	case <-ready:
 		return l, nil
 	case <-l.Ended:
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		_ = l.Cmd.Process.Kill()
 	}
-	return nil, fmt.Errorf("the limiter does not serve: %s", l.Log())
+	return nil, fmt.Errorf("the limiter did not start to serve: %s", l.Log())
 }
 
-func (l *Limiter) add(line string, up chan struct{}) {
+func (l *Limiter) appendLog(line string, ready chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.log = append(l.log, line)
@@ -77,19 +77,19 @@
 	if _, at, ok := strings.Cut(line, "msg=serving "); ok {
 		if _, at, ok = strings.Cut(at, "listen="); ok {
 			l.Addr = at
-			close(up)
+			close(ready)
 		}
 	}
 }
 
-// Log is what it has written to standard error.
+// Log returns what the process has written to standard error so far.
 func (l *Limiter) Log() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Join(l.log, "\n")
 }
 
-// Crashed is the first sign of a crash or a data race in its log; "" if there is none.
+// Crashed returns the log from the first sign of a crash or a data race on, at most 4000 bytes; "" if there is none.
 func (l *Limiter) Crashed() string {
 	log := l.Log()
 	for _, sign := range []string{"DATA RACE", "msg=panic", "panic:", "fatal error:", "unexpected signal"} {
@@ -100,41 +100,41 @@
 	return ""
 }
 
-// Descriptors is how many it holds.
+// Descriptors returns the number of file descriptors that the process has open.
 func (l *Limiter) Descriptors() (int, error) {
 	list, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", l.Cmd.Process.Pid))
 	return len(list), err
 }
 
-// Goroutines ends it with a dump of its goroutines and counts them.
+// Goroutines ends the process with a dump of its goroutines and returns their number.
 func (l *Limiter) Goroutines() (int, error) {
 	if err := l.Signal(syscall.SIGQUIT); err != nil {
 		return 0, err
 	}
 	select {
 	case <-l.Ended:
-	case <-time.After(patience):
-		return 0, errors.New("no dump of the goroutines")
+	case <-time.After(waitTimeout):
+		return 0, errors.New("the limiter did not end after SIGQUIT, so there is no goroutine dump")
 	}
 	return strings.Count("\n"+l.Log(), "\ngoroutine "), nil
 }
 
-// Signal sends it a signal.
+// Signal sends a signal to the process.
 func (l *Limiter) Signal(s syscall.Signal) error { return l.Cmd.Process.Signal(s) }
 
-// Kill ends it at once and waits for the end.
+// Kill kills the process and waits until it has ended.
 func (l *Limiter) Kill() {
 	_ = l.Cmd.Process.Kill()
 	<-l.Ended
 }
 
-// CPU is the processor time that it has used, user and system.
+// CPU returns the processor time that the process has used, user and system, over all threads that still exist.
 func (l *Limiter) CPU() (sum time.Duration) {
 	threads, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", l.Cmd.Process.Pid))
 	for _, path := range threads {
 		raw, err := os.ReadFile(path)
 		if err != nil {
-			continue // it has just ended
+			continue // the thread has just ended
 		}
 		first, _, _ := strings.Cut(string(raw), " ")
 		n, _ := strconv.ParseInt(first, 10, 64)
--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -12,14 +12,14 @@
 	"bramblefall/internal/loopback"
 )
 
-// Conditions is what a link does to the bytes on it. The zero value passes them on.
+// Conditions are the impairments of a link. The zero value forwards all bytes unimpaired.
 type Conditions struct {
-	CutUp, CutDown bool          // nothing towards the peer, nothing back from it: it waits, as for a retransmission
-	Delay          time.Duration // of each piece
-	Loss           float64       // share of the pieces that are sent again, after resend
-	Rate           int           // bytes a second; 0: any
-	Mute           bool          // new connections come up and lead nowhere
-	Refuse         bool          // new connections are closed
+	CutUp, CutDown bool          // holds back bytes towards the peer or from it until the cut ends, as TCP does while it retransmits
+	Delay          time.Duration // added to each chunk
+	Loss           float64       // share of the chunks that are delayed by retransmitDelay
+	Rate           int           // bytes a second; 0: unlimited
+	Mute           bool          // new connections are accepted, but nothing is forwarded
+	Refuse         bool          // new connections are closed at once
 }
 
 func (c Conditions) String() string {
@@ -27,60 +27,61 @@
 }
 
 const (
-	resend = 200 * time.Millisecond
-	piece  = 4 << 10
+	// retransmitDelay is the delay of a chunk that counts as lost.
+	retransmitDelay = 200 * time.Millisecond
+	chunkBytes      = 4 << 10
 )
 
-// Link leads TCP connections to a peer, under conditions that can change at any time. A process that is given its address
-// instead of the peer's has a way of its own to it.
+// Link is a TCP proxy to a peer, under conditions that can change at any time. Giving each process the address of a link of
+// its own instead of the peer's lets its connections be impaired separately.
 type Link struct {
 	Addr string
 
-	target string
-	listen net.Listener
-	back   atomic.Int64
+	target     string
+	listener   net.Listener
+	chunksBack atomic.Int64
 
 	mu         sync.Mutex
 	conditions Conditions
-	changed    chan struct{} // closed when the conditions change
+	changed    chan struct{} // closed and replaced when the conditions change
 	rng        *rand.Rand
 	conns      map[net.Conn]struct{}
-	over       bool
+	closed     bool
 }
 
-// NewLink makes a link to an address. What is lost on it follows the seed.
+// NewLink starts a link to an address. The seed determines which chunks are lost.
 func NewLink(target string, seed uint64) (*Link, error) {
-	at, err := loopback.Listen()
+	listener, err := loopback.Listen()
 	if err != nil {
 		return nil, err
 	}
-	l := &Link{Addr: at.Addr().String(), target: target, listen: at, changed: make(chan struct{}),
+	l := &Link{Addr: listener.Addr().String(), target: target, listener: listener, changed: make(chan struct{}),
 		rng: rand.New(rand.NewPCG(seed, 0x6c696e6b)), conns: map[net.Conn]struct{}{}}
 	go func() {
 		for {
-			conn, err := at.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go l.lead(conn)
+			go l.forward(conn)
 		}
 	}()
 	return l, nil
 }
 
-// Set changes the conditions, also of what is on its way.
-func (l *Link) Set(w Conditions) {
+// Set changes the conditions, also for connections that are already open. Chunks that are being delayed keep their delay.
+func (l *Link) Set(conditions Conditions) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.conditions = w
+	l.conditions = conditions
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// Back is how many pieces have come back from the peer.
-func (l *Link) Back() int64 { return l.back.Load() }
+// Back returns the number of chunks that were forwarded from the peer.
+func (l *Link) Back() int64 { return l.chunksBack.Load() }
 
-// Reset ends all connections at once, with a reset.
+// Reset closes all connections with a TCP reset.
 func (l *Link) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -92,42 +93,43 @@
 	}
 }
 
-// Close ends the link.
+// Close stops the link and resets its connections.
 func (l *Link) Close() {
-	_ = l.listen.Close()
+	_ = l.listener.Close()
 	l.mu.Lock()
-	l.over = true
+	l.closed = true
 	l.mu.Unlock()
 	l.Set(Conditions{})
 	l.Reset()
 }
 
-func (l *Link) now() (Conditions, <-chan struct{}, bool) {
+func (l *Link) state() (Conditions, <-chan struct{}, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.conditions, l.changed, l.over
+	return l.conditions, l.changed, l.closed
 }
 
-// keep notes a connection, to be ended with the link. It tells whether there is still a link.
-func (l *Link) keep(c net.Conn, is bool) bool {
+// track adds a connection to those that are closed with the link, or removes it. It reports false if the link was closed
+// before the connection was added.
+func (l *Link) track(c net.Conn, add bool) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !is {
+	if !add {
 		delete(l.conns, c)
 		return true
 	}
 	l.conns[c] = struct{}{}
-	return !l.over
+	return !l.closed
 }
 
-func (l *Link) lead(near net.Conn) {
+func (l *Link) forward(near net.Conn) {
 	defer near.Close()
-	w, _, _ := l.now()
-	if !l.keep(near, true) || w.Refuse {
+	conditions, _, _ := l.state()
+	if !l.track(near, true) || conditions.Refuse {
 		return
 	}
-	defer l.keep(near, false)
-	if w.Mute {
+	defer l.track(near, false)
+	if conditions.Mute {
 		_, _ = io.Copy(io.Discard, near)
 		return
 	}
@@ -136,31 +138,31 @@
 		return
 	}
 	defer far.Close()
-	if !l.keep(far, true) {
+	if !l.track(far, true) {
 		return
 	}
-	defer l.keep(far, false)
+	defer l.track(far, false)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		l.carry(near, far, func(w Conditions) bool { return w.CutDown }, &l.back)
+		l.pump(near, far, func(w Conditions) bool { return w.CutDown }, &l.chunksBack)
 	}()
-	l.carry(far, near, func(w Conditions) bool { return w.CutUp }, new(atomic.Int64))
+	l.pump(far, near, func(w Conditions) bool { return w.CutUp }, new(atomic.Int64))
 	<-done
 }
 
-// carry moves bytes in one direction, and ends both connections when one has ended.
-func (l *Link) carry(to, from net.Conn, cut func(Conditions) bool, pieces *atomic.Int64) {
+// pump copies bytes in one direction, and closes both connections when either has ended.
+func (l *Link) pump(to, from net.Conn, cut func(Conditions) bool, forwarded *atomic.Int64) {
 	defer to.Close()
 	defer from.Close()
-	buffer := make([]byte, piece)
+	buffer := make([]byte, chunkBytes)
 	for {
 		n, err := from.Read(buffer)
-		if n > 0 && l.pass(n, cut) {
+		if n > 0 && l.waitToForward(n, cut) {
 			if _, err := to.Write(buffer[:n]); err != nil {
 				return
 			}
-			pieces.Add(1)
+			forwarded.Add(1)
 		}
 		if err != nil {
 			return
@@ -168,41 +170,43 @@
 	}
 }
 
-// pass waits until a piece may go on. It tells whether it does.
-func (l *Link) pass(n int, cut func(Conditions) bool) bool {
+// waitToForward waits until a chunk of n bytes may be forwarded under the current conditions. It reports false if the link was
+// closed meanwhile.
+func (l *Link) waitToForward(n int, cut func(Conditions) bool) bool {
 	for {
-		w, changed, over := l.now()
-		if over {
+		conditions, changed, closed := l.state()
+		if closed {
 			return false
 		}
-		if cut(w) {
+		if cut(conditions) {
 			<-changed
 			continue
 		}
-		wait := w.Delay
-		if l.mu.Lock(); l.rng.Float64() < w.Loss {
-			wait += resend
+		wait := conditions.Delay
+		if l.mu.Lock(); l.rng.Float64() < conditions.Loss {
+			wait += retransmitDelay
 		}
 		l.mu.Unlock()
-		if w.Rate > 0 {
-			wait += time.Duration(n) * time.Second / time.Duration(w.Rate)
+		if conditions.Rate > 0 {
+			wait += time.Duration(n) * time.Second / time.Duration(conditions.Rate)
 		}
 		time.Sleep(wait)
 		return true
 	}
 }
 
-// Phase is a time under some conditions, or a reset at its beginning.
+// Phase is a period under the same conditions. Reset resets all connections at its beginning.
 type Phase struct {
 	For   time.Duration
 	Reset bool
 	Conditions
 }
 
-// DrawPhases draws a link's conditions for a time: healthy and impaired by turns, and healthy at the end.
-func DrawPhases(seed uint64, whole time.Duration) (phases []Phase) {
+// DrawPhases generates a link's conditions for at least the given time from a seed: healthy and impaired phases in turn, and
+// a healthy one at the end.
+func DrawPhases(seed uint64, total time.Duration) (phases []Phase) {
 	rng := rand.New(rand.NewPCG(seed, 0x776561))
-	for left := whole; left > 0; {
+	for remaining := total; remaining > 0; {
 		healthy := Phase{For: time.Duration(200+rng.IntN(800)) * time.Millisecond}
 		impaired := Phase{For: time.Duration(200+rng.IntN(1300)) * time.Millisecond, Reset: rng.IntN(4) == 0}
 		switch rng.IntN(7) {
@@ -222,17 +226,17 @@
 			impaired.Mute, impaired.Refuse = rng.IntN(2) == 0, rng.IntN(2) == 0
 		}
 		phases = append(phases, healthy, impaired)
-		left -= healthy.For + impaired.For
+		remaining -= healthy.For + impaired.For
 	}
 	return append(phases, Phase{})
 }
 
-// Play gives the link its phases, one after the other.
+// Play runs the phases one after the other and returns after the last.
 func (l *Link) Play(phases []Phase) {
-	for _, s := range phases {
-		if l.Set(s.Conditions); s.Reset {
+	for _, phase := range phases {
+		if l.Set(phase.Conditions); phase.Reset {
 			l.Reset()
 		}
-		time.Sleep(s.For)
+		time.Sleep(phase.For)
 	}
 }
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -14,37 +14,37 @@
 	"bramblefall/internal/resp"
 )
 
-// Node stands in for an exchange node.
+// Node is a stand-in for an exchange node.
 type Node struct {
 	ID, Hall, Addr string
-	State          atomic.Value // string: as discovery tells it
-	Renewed        int          // how often another machine took its place; under discovery's lock, as Started
+	State          atomic.Value // string: the state that discovery lists
+	Renewed        int          // number of times that another machine replaced it; guarded by discovery's lock, as Started is
 	Started        int64        // Unix milliseconds; 0: long ago
 
-	world *World
-	made  atomic.Int64
-	mu    sync.Mutex
-	ports map[int]port // by the limiter that knows it; everybody's, too
-	conns map[*fault.Conn]struct{}
-	// Handle chooses the answer to a command, after a delay; nil: a mix of values, errors and refusals by the
-	// connection's script. mayRun tells the auditor whether the command runs.
+	world       *World
+	answersMade atomic.Int64
+	mu          sync.Mutex
+	ports       map[int]port // by the limiter that is told the port; sharedAgent for the common one
+	conns       map[*fault.Conn]struct{}
+	// Handle returns the answer to a command and the delay before it is sent. mayRun tells the auditor whether the command may
+	// run. If Handle is nil, the seed of the connection's script draws a mix of values, errors and refusals.
 	Handle func(n *Node, args [][]byte) (answer []byte, mayRun bool, delay time.Duration)
 }
 
-// port is where a node listens.
+// port is an address on which a node listens.
 type port struct {
 	addr     string
 	listener net.Listener
 }
 
-// AddNode starts a node in a hall.
+// AddNode starts a node in a hall, in the state ready.
 func (w *World) AddNode(id, hall string) (*Node, error) {
 	n := &Node{ID: id, Hall: hall, world: w, conns: map[*fault.Conn]struct{}{}, ports: map[int]port{}}
 	n.State.Store("ready")
-	if err := n.addPort(everybody); err != nil {
+	if err := n.addPort(sharedAgent); err != nil {
 		return nil, err
 	}
-	n.Addr = n.ports[everybody].addr
+	n.Addr = n.ports[sharedAgent].addr
 	w.Nodes = append(w.Nodes, n)
 	return n, nil
 }
@@ -56,10 +56,10 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.open(limiter, address)
+	return n.listen(limiter, address)
 }
 
-func (n *Node) open(limiter int, addr string) error {
+func (n *Node) listen(limiter int, addr string) error {
 	l, err := n.world.listenAt(addr, fault.Node, func(c *fault.Conn, s fault.Script) { n.serve(c, s, limiter) })
 	if err == nil {
 		n.ports[limiter] = port{l.Addr().String(), l}
@@ -67,7 +67,7 @@
 	return err
 }
 
-// Crash ends the node's process: its connections are reset and new ones refused.
+// Crash simulates the death of the node's process: its connections are reset and new ones refused.
 func (n *Node) Crash() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -82,12 +82,12 @@
 	}
 }
 
-// Restart starts it again at its address.
+// Restart makes a crashed node listen again at its addresses.
 func (n *Node) Restart() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for limiter, p := range n.ports {
-		if err := n.open(limiter, p.addr); err != nil {
+		if err := n.listen(limiter, p.addr); err != nil {
 			return err
 		}
 	}
@@ -95,8 +95,8 @@
 }
 
 const (
-	slowest  = 12 // milliseconds of a node's own delay
-	mostBody = 20 << 10
+	maxDelayMs   = 12 // of the random delay before an answer
+	maxBodyBytes = 20 << 10
 )
 
 func (n *Node) serve(conn *fault.Conn, s fault.Script, limiter int) {
@@ -117,15 +117,15 @@
 		for {
 			args, ok, bad := p.Command()
 			if bad != nil {
-				n.world.Audit.Find("node %s cannot read what came: %v", n.ID, bad)
+				n.world.Audit.Find("node %s received bytes that are no valid command: %v", n.ID, bad)
 				return
 			}
 			if !ok {
 				break
 			}
-			if limiter != everybody && len(args) > 3 {
+			if limiter != sharedAgent && len(args) > 3 {
 				n.world.Discovery.mu.Lock()
-				n.world.Audit.Came(limiter, n.name(), string(args[2]))
+				n.world.Audit.CommandReceived(limiter, n.machineID(), string(args[2]))
 				n.world.Discovery.mu.Unlock()
 			}
 			if !n.answer(conn, rng, args) {
@@ -150,48 +150,48 @@
 		time.Sleep(delay)
 		text = answer
 	} else {
-		text = n.own(rng, args)
+		text = n.randomAnswer(rng, args)
 	}
 	if _, err := conn.Send(text); err != nil {
 		return false
 	}
-	return conn.Rest() == nil
+	return conn.RunIdleSteps() == nil
 }
 
-// own is the answer by chance: mostly a value that names the request and the node.
-func (n *Node) own(rng *rand.Rand, args [][]byte) []byte {
+// randomAnswer draws an answer: mostly a value that contains the id of the request, the id of the node and a serial number.
+func (n *Node) randomAnswer(rng *rand.Rand, args [][]byte) []byte {
 	value := ""
 	if len(args) > 2 {
-		value = fmt.Sprintf("%s|%s|%d|", args[2], n.ID, n.made.Add(1))
+		value = fmt.Sprintf("%s|%s|%d|", args[2], n.ID, n.answersMade.Add(1))
 	}
-	chance := rng.Float64()
-	if chance < 0.02 {
-		value += strings.Repeat("x", rng.IntN(mostBody))
+	outcome := rng.Float64()
+	if outcome < 0.02 {
+		value += strings.Repeat("x", rng.IntN(maxBodyBytes))
 	}
-	n.world.Audit.Received(args, n.Hall, value, chance < 0.94)
+	n.world.Audit.Received(args, n.Hall, value, outcome < 0.94)
 	if rng.Float64() < 0.2 {
-		time.Sleep(time.Duration(rng.IntN(slowest)) * time.Millisecond)
+		time.Sleep(time.Duration(rng.IntN(maxDelayMs)) * time.Millisecond)
 	}
 	switch {
-	case chance >= 0.94:
+	case outcome >= 0.94:
 		return []byte("-BUSY\r\n")
-	case chance >= 0.88:
+	case outcome >= 0.88:
 		return []byte("-ERR failed\r\n")
 	}
 	return Value(value)
 }
 
-// Value is a node's answer that serves a request.
+// Value returns the reply of a node that serves a request with the given text.
 func Value(text string) []byte {
 	b := resp.AppendBulk([]byte("*3\r\n"), []byte(text))
 	return append(b, "$-1\r\n$-1\r\n"...)
 }
 
-// Tell sets a node's state and start as discovery tells them.
+// Tell sets the state and the start time of a node that discovery lists. A zero start time leaves the old one.
 func (w *World) Tell(n *Node, state string, started time.Time) {
 	w.Discovery.mu.Lock()
 	if n.State.Store(state); state != "ready" {
-		w.Discovery.leaves(n)
+		w.Discovery.recordLeaving(n)
 	}
 	if !started.IsZero() {
 		n.Started = started.UnixMilli()
@@ -200,10 +200,10 @@
 	w.Discovery.Changed()
 }
 
-// Renew puts a new machine in a node's place: another id, started now, at the same address.
+// Renew replaces a node's machine by a new one at the same address, with another id and the given start time.
 func (w *World) Renew(n *Node, at time.Time) {
 	w.Discovery.mu.Lock()
-	w.Discovery.leaves(n)
+	w.Discovery.recordLeaving(n)
 	n.Renewed++
 	n.Started = at.UnixMilli()
 	n.State.Store("ready")
--- a/internal/standin/world.go
+++ b/internal/standin/world.go
@@ -8,45 +8,45 @@
 	"bramblefall/internal/loopback"
 )
 
-// World is what one or more limiters meet. Its peers follow the scripts of a plan, in turn.
+// World is the set of peers of one or more limiters. The peers take the fault scripts of a plan in turn.
 type World struct {
-	Audit     *Audit
-	Unchecked bool // clients are not this world's: nodes take any command
+	Audit     *Auditor
+	Unchecked bool // clients are not run by this world, so commands that a Handle answers are not audited
 
-	mu        sync.Mutex
-	scripts   [fault.Roles][]fault.Script
-	next      [fault.Roles]int
-	closers   []func() error
-	conns     map[net.Conn]struct{}
-	Nodes     []*Node
-	Counter   *Counter
-	Discovery *Discovery
+	mu          sync.Mutex
+	scripts     [fault.NumRoles][]fault.Script
+	nextScripts [fault.NumRoles]int
+	closers     []func() error
+	conns       map[net.Conn]struct{}
+	Nodes       []*Node
+	Counter     *Counter
+	Discovery   *Discovery
 }
 
-// NewWorld makes a world without peers. A role without scripts makes no faults.
+// NewWorld returns a world without peers. Peers of a role that has no scripts in the plan inject no faults.
 func NewWorld(p fault.Plan) *World {
-	w := &World{Audit: NewAudit(), conns: map[net.Conn]struct{}{}}
-	for r := range fault.Roles {
-		w.scripts[r] = p.Of(r)
+	w := &World{Audit: NewAuditor(), conns: map[net.Conn]struct{}{}}
+	for r := range fault.NumRoles {
+		w.scripts[r] = p.ByRole(r)
 	}
 	return w
 }
 
-// script is the next of a role.
-func (w *World) script(r fault.Role) fault.Script {
+// nextScript returns the next script of a role.
+func (w *World) nextScript(r fault.Role) fault.Script {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	n := w.next[r]
-	w.next[r]++
+	n := w.nextScripts[r]
+	w.nextScripts[r]++
 	if len(w.scripts[r]) == 0 {
 		return fault.Script{Role: r, Seed: uint64(n)}
 	}
 	s := w.scripts[r][n%len(w.scripts[r])]
-	s.Seed += uint64(n / len(w.scripts[r])) // the same faults again, with other answers
+	s.Seed += uint64(n / len(w.scripts[r])) // a script that is used again keeps its faults and draws other answers
 	return s
 }
 
-// listen takes connections on a loopback address of its own until the world is closed.
+// listen accepts connections on a loopback address of its own until the world is closed.
 func (w *World) listen(r fault.Role, serve func(*fault.Conn, fault.Script)) (string, error) {
 	address, err := loopback.AnyPort()
 	if err != nil {
@@ -89,19 +89,19 @@
 		w.mu.Unlock()
 		_ = conn.Close()
 	}()
-	w.Audit.Opened()
-	s := w.script(r)
-	if c, err := fault.Follow(conn, s); err == nil {
+	w.Audit.ConnectionOpened()
+	s := w.nextScript(r)
+	if c, err := fault.NewConn(conn, s); err == nil {
 		serve(c, s)
 	}
 }
 
-// Close ends all peers.
+// Close stops all peers.
 func (w *World) Close() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, end := range w.closers {
-		_ = end()
+	for _, closeListener := range w.closers {
+		_ = closeListener()
 	}
 	for conn := range w.conns {
 		_ = conn.Close()
