--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -133,7 +133,7 @@
 	s := Step{When: Trigger(rng.IntN(4)), Message: rng.IntN(4), Offset: rng.IntN(maxOffsetBytes), Action: Action(rng.IntN(int(numActions))),
 		Amount: 1 + rng.IntN(maxStallMs)}
 	if rng.Float64() < 0.2 {
-		s.Offset = rng.IntN(4) // the first bytes of a message are where the hard cases are
+		s.Offset = rng.IntN(4) // the hard cases are at the end of one message and the beginning of the next
 	}
 	if s.Action == Noise {
 		s.Amount = 1 + rng.IntN(maxNoiseBytes)
--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -197,8 +197,8 @@
 
 // Phase is a period under the same conditions. Reset resets all connections at its beginning.
 type Phase struct {
-	For   time.Duration
-	Reset bool
+	Duration time.Duration
+	Reset    bool
 	Conditions
 }
 
@@ -207,8 +207,8 @@
 func DrawPhases(seed uint64, total time.Duration) (phases []Phase) {
 	rng := rand.New(rand.NewPCG(seed, 0x776561))
 	for remaining := total; remaining > 0; {
-		healthy := Phase{For: time.Duration(200+rng.IntN(800)) * time.Millisecond}
-		impaired := Phase{For: time.Duration(200+rng.IntN(1300)) * time.Millisecond, Reset: rng.IntN(4) == 0}
+		healthy := Phase{Duration: time.Duration(200+rng.IntN(800)) * time.Millisecond}
+		impaired := Phase{Duration: time.Duration(200+rng.IntN(1300)) * time.Millisecond, Reset: rng.IntN(4) == 0}
 		switch rng.IntN(7) {
 		case 0:
 			impaired.CutUp = true
@@ -226,7 +226,7 @@
 			impaired.Mute, impaired.Refuse = rng.IntN(2) == 0, rng.IntN(2) == 0
 		}
 		phases = append(phases, healthy, impaired)
-		remaining -= healthy.For + impaired.For
+		remaining -= healthy.Duration + impaired.Duration
 	}
 	return append(phases, Phase{})
 }
@@ -237,6 +237,6 @@
 		if l.Set(phase.Conditions); phase.Reset {
 			l.Reset()
 		}
-		time.Sleep(phase.For)
+		time.Sleep(phase.Duration)
 	}
 }
