--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -10,8 +10,8 @@
 	"bramblefall/internal/scale"
 )
 
-// figuresOfATest are small and made by hand; no run gave them.
-func figuresOfATest() File {
+// testFigures returns a small set of invented figures.
+func testFigures() File {
 	return File{"some/where/a.json", scale.Figures{Version: 1, Cores: 4, MemoryMB: 8000,
 		Slopes: []scale.Slope{
 			{Role: "limiter", What: "memory", Unit: "bytes", Against: "servers", Sizes: []float64{1000, 5000}, Values: []float64{11e6, 15e6},
@@ -25,8 +25,8 @@
 	}}
 }
 
-// pageOfATest is written as a person would, with figures yet to be filled in.
-const pageOfATest = `# Capacity
+// pageTemplate is a page whose figures are still to be filled in.
+const pageTemplate = `# Capacity
 
 Figures: ` + "`a.json`, `b/c.json`" + `
 
@@ -112,20 +112,20 @@
 | ordinary | processor | ` + "`1`" + ` | ? | | — | | it |
 | ordinary | memory | ` + "`1`" + ` | ? | | — | | it |`
 
-// written is the page with its figures written, and by hand what only a person can say.
-func written(t *testing.T) string {
+// completedPage returns the page with its figures filled in by Check, and with the texts that authors have to write.
+func completedPage(t *testing.T) string {
 	t.Helper()
-	page := Check(strings.ReplaceAll(pageOfATest, "OTHER", otherRows), figuresOfATest()).Page
+	page := Check(strings.ReplaceAll(pageTemplate, "OTHER", otherRows), testFigures()).Page
 	page = strings.ReplaceAll(page, " |  |\n", " | a run |\n")
 	page = strings.ReplaceAll(page, " | a.json |\n", " | a run, a.json |\n")
-	review := Check(page, figuresOfATest())
+	review := Check(page, testFigures())
 	require.Empty(t, review.Findings)
-	require.Equal(t, page, review.Page, "what is written stays")
+	require.Equal(t, page, review.Page, "checking a correct page must not change it")
 	return page
 }
 
-func TestWhatFollowsIsWritten(t *testing.T) {
-	page := written(t)
+func TestDerivedCellsAreWritten(t *testing.T) {
+	page := completedPage(t)
 	for _, line := range []string{
 		"| share | 63.2 /s | `requests / limiters` | even |",
 		"| limiter | memory | servers | 1e+03 bytes | 10 | 1e+07 | 1,000; 5,000 | no tenants | a run, a.json |",
@@ -143,11 +143,11 @@
 		assert.Contains(t, page, line)
 	}
 	assert.Equal(t, "largest missing factor x25: counter, peak, messages; 2 rows have, 4 lack, 1 have no slope",
-		Check(page, figuresOfATest()).Main)
+		Check(page, testFigures()).Main)
 	assert.Equal(t, []string{"a.json", "b/c.json"}, Sources(page))
 }
 
-// Each fault is planted by itself and found by its own check.
+// Each error is planted alone in a correct page or its figures, and must be found by the check that guards against it.
 func TestPlantedErrorsAreFound(t *testing.T) {
 	for name, x := range map[string]struct {
 		old, new string
@@ -233,10 +233,10 @@
 		"no list of what is missing":              {old: "| factor | role | moment | what | what would carry it |", new: "| factors | role | moment | what | what would carry it |", want: "no table of what is missing first"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			page, f := written(t), figuresOfATest()
+			page, f := completedPage(t), testFigures()
 			if x.old != "" {
 				changed := strings.Replace(page, x.old, x.new, 1)
-				require.NotEqual(t, page, changed, "nothing was planted")
+				require.NotEqual(t, page, changed, "the planted text does not occur in the page")
 				page = changed
 			}
 			if x.figures != nil {
@@ -251,8 +251,8 @@
 	}
 }
 
-func TestFiguresAreMergedAndPartialOnesAreTold(t *testing.T) {
-	page, whole := written(t), figuresOfATest()
+func TestFiguresAreMergedAndPartialRunsAreNoted(t *testing.T) {
+	page, whole := completedPage(t), testFigures()
 	one, other := whole, whole
 	one.Slopes, other.Slopes = whole.Slopes[:1], whole.Slopes[1:]
 	one.Quota, other.Moments, other.Added = nil, nil, nil
@@ -266,8 +266,8 @@
 	assert.Equal(t, told, Check(told, one, other).Page)
 }
 
-func TestOfAddedTimesTheLargestIsTakenThatTheFormulaAllows(t *testing.T) {
-	f := figuresOfATest()
+func TestAddedTakesLargestMatchingTime(t *testing.T) {
+	f := testFigures()
 	f.Added = []scale.AddedTime{{PerSecond: 63, Control: true, P99: 2, Limiters: 100}, {PerSecond: 63, Control: true, P99: 3, Limiters: 57},
 		{PerSecond: 63, Control: true, P99: 36, Limiters: 5700}, {PerSecond: 630, Control: true, P99: 5, Limiters: 100}, {PerSecond: 63, P99: 99}}
 	r := &reviewer{figures: merge([]File{f}), names: values{"limiters": 5700, "requests": 5700 * 63, "servers": 1}}
@@ -278,12 +278,12 @@
 	} {
 		n, err := r.evaluate(formula)
 		require.NoError(t, err)
-		assert.Equal(t, want, number(n.value)+" "+n.from(), formula)
+		assert.Equal(t, want, formatNumber(n.value)+" "+n.origin(), formula)
 	}
 }
 
-func TestOfOneRunOfTheModelInTwoFilesTheLastIsTaken(t *testing.T) {
-	f := figuresOfATest()
+func TestLastFileWinsForSameModelRun(t *testing.T) {
+	f := testFigures()
 	longer := File{"b.json", scale.Figures{Version: 1, Quota: []scale.QuotaError{f.Quota[0]}}}
 	longer.Quota[0].Beyond = 0.03
 	for want, from := range map[float64][]File{0.07: {longer, f}, 0.03: {f, longer}} {
@@ -298,12 +298,12 @@
 	assert.ErrorContains(t, err, "2 runs of the model", "twice in one file")
 }
 
-func TestOfSeveralSlopesOneIsNamed(t *testing.T) {
-	f := figuresOfATest()
+func TestHeldSelectsAmongSlopes(t *testing.T) {
+	f := testFigures()
 	more := f.Slopes[1]
 	more.Held, more.Values, more.PerUnit = "300 limiters", []float64{50, 150}, 0.05
 	f.Slopes = append(f.Slopes, more)
-	page := strings.Replace(written(t), `slope("counter", "messages", "requests")`, `slope("counter", "messages", "requests", held="300")`, 1)
+	page := strings.Replace(completedPage(t), `slope("counter", "messages", "requests")`, `slope("counter", "messages", "requests", held="300")`, 1)
 	page = strings.Replace(Check(page, f).Page, " |  |\n", " | a run |\n", 1)
 	page = Check(page, f).Page
 	page = strings.Replace(page, "| 4 limiters | a run, a.json |", "| 4 limiters | the first, a.json |", 1)
@@ -313,8 +313,8 @@
 	assert.Contains(t, page, "| counter | messages | requests | 0.05 1/s | 0 | 0 | 1,000; 3,000 | 300 limiters | a.json |")
 }
 
-func TestOfMomentsAndRunsOfTheModelTheLargestFleetIsTaken(t *testing.T) {
-	f := figuresOfATest()
+func TestLargestFleetIsTakenOfMomentsAndModelRuns(t *testing.T) {
+	f := testFigures()
 	f.Moments = []scale.Moment{{Name: "zone", Limiters: 50, P99: 9}, {Name: "zone", Limiters: 100, P99: 1, Note: "gone"}, {Name: "zone", Limiters: 100, P99: 2, Note: "back"},
 		{Name: "zone", Limiters: 5700, P99: 7, Model: true, Values: map[string]float64{"late": 3}}}
 	f.Quota = []scale.QuotaError{{Plan: "all", Set: "a", Limiters: 3, Counters: 1, Speed: 1, CallsPerRequest: 0.5}, {Plan: "all", Set: "a", Limiters: 30, Counters: 1, Speed: 1, CallsPerRequest: 0.6},
@@ -337,13 +337,13 @@
 			assert.ErrorContains(t, err, want, formula)
 			continue
 		}
-		assert.Equal(t, want, number(n.value)+" "+n.from(), formula)
+		assert.Equal(t, want, formatNumber(n.value)+" "+n.origin(), formula)
 	}
 }
 
-func TestASlopeThatIsNotThereAnyMoreIsNotWrittenAgain(t *testing.T) {
-	page := written(t)
-	f := figuresOfATest()
+func TestRemovedSlopeIsDroppedFromPage(t *testing.T) {
+	page := completedPage(t)
+	f := testFigures()
 	other, more := f.Slopes[0], f.Slopes[0]
 	other.Held, more.Held = "longer lists", "many tenants"
 	f.Slopes = append(f.Slopes[1:], other, more)
@@ -358,6 +358,6 @@
 func TestDigits(t *testing.T) {
 	for v, want := range map[float64]string{0: "0", 7: "7", 5700: "5,700", 999_999: "999,999", 1_234_567: "1,230,000", 12.345: "12.3",
 		0.012345: "0.0123", 1234.5: "1,230", 99.96: "100", 1.001: "1.00"} {
-		assert.Equal(t, want, number(v))
+		assert.Equal(t, want, formatNumber(v))
 	}
 }
--- a/internal/capacity/eval.go
+++ b/internal/capacity/eval.go
@@ -17,15 +17,18 @@
 )
 
 const (
-	mostSteps = 10_000 // of one formula
-	exact     = 1e-9   // share of a figure under which there is no error
-	beyondAny = 1.005  // times the largest size measured: from there on it is extrapolated
+	// maxFormulaSteps bounds the Starlark steps of one formula.
+	maxFormulaSteps = 10_000
+	// negligibleErrorShare is the share of a figure below which its standard error is taken as zero.
+	negligibleErrorShare = 1e-9
+	// minExtrapolationFactor is the ratio to the largest measured size from which a figure counts as extrapolated.
+	minExtrapolationFactor = 1.005
 )
 
-// notReached stands in the note of a moment that limiters had not heard of when the wait for them ended.
-const notReached = "had not heard"
+// unreachedNote occurs in the note of a moment if some limiters had not heard of it before the run's wait timed out.
+const unreachedNote = "had not heard"
 
-// slopeKey names a slope.
+// slopeKey identifies the slopes that a formula names by role, quantity and variable. Several may share it.
 type slopeKey struct{ role, what, against string }
 
 func (k slopeKey) String() string { return k.role + " " + k.what + " against " + k.against }
@@ -34,24 +37,24 @@
 	return cmp.Or(cmp.Compare(k.role, o.role), cmp.Compare(k.what, o.what), cmp.Compare(k.against, o.against))
 }
 
-// usedSlope names a slope among those of one key.
-type usedSlope struct {
+// slopeID identifies one slope: among those with the same key, by the sizes that were held constant.
+type slopeID struct {
 	slopeKey
 	held string
 }
 
-func (k usedSlope) String() string { return k.slopeKey.String() + ", " + k.held }
+func (k slopeID) String() string { return k.slopeKey.String() + ", " + k.held }
 
-func keyOf(s scale.Slope) usedSlope { return usedSlope{slopeKey{s.Role, s.What, s.Against}, s.Held} }
+func slopeIDOf(s scale.Slope) slopeID { return slopeID{slopeKey{s.Role, s.What, s.Against}, s.Held} }
 
-func (k usedSlope) compare(o usedSlope) int {
+func (k slopeID) compare(o slopeID) int {
 	return cmp.Or(k.slopeKey.compare(o.slopeKey), cmp.Compare(k.held, o.held))
 }
 
-// figures are those of all files, merged.
+// figures are the merged figures of all files.
 type figures struct {
 	slopes   map[slopeKey][]scale.Slope
-	files    map[usedSlope]string // by their last names
+	files    map[slopeID]string // base names of the files
 	quota    []scale.QuotaError
 	moments  []scale.Moment
 	added    []scale.AddedTime
@@ -59,9 +62,9 @@
 }
 
 func merge(from []File) *figures {
-	f := &figures{slopes: map[slopeKey][]scale.Slope{}, files: map[usedSlope]string{}}
+	f := &figures{slopes: map[slopeKey][]scale.Slope{}, files: map[slopeID]string{}}
 	for _, x := range from {
-		var own []scale.QuotaError // of this file
+		var fileRuns []scale.QuotaError // the runs of this file
 		if x.Version != 1 {
 			f.findings = append(f.findings, Finding{0, fmt.Sprintf("figures of version %d, where 1 is known", x.Version)})
 		}
@@ -71,24 +74,24 @@
 				f.findings = append(f.findings, Finding{0, fmt.Sprintf("the slope %s has %d sizes and %d values", key, len(s.Sizes), len(s.Values))})
 				continue
 			}
-			if at, slope := line(s.Sizes, s.Values); math.Abs(slope-s.PerUnit) > 1e-6*math.Abs(slope)+1e-15 ||
-				math.Abs(at-s.Intercept) > 1e-6*(math.Abs(at)+math.Abs(slope)*slices.Max(s.Sizes)) {
+			if intercept, slope := leastSquares(s.Sizes, s.Values); math.Abs(slope-s.PerUnit) > 1e-6*math.Abs(slope)+1e-15 ||
+				math.Abs(intercept-s.Intercept) > 1e-6*(math.Abs(intercept)+math.Abs(slope)*slices.Max(s.Sizes)) {
 				f.findings = append(f.findings, Finding{0, fmt.Sprintf("the slope %s is told as %.4g + %.4g each, and its sizes and values give %.4g + %.4g",
-					key, s.Intercept, s.PerUnit, at, slope)})
+					key, s.Intercept, s.PerUnit, intercept, slope)})
 			}
 			f.slopes[key] = append(f.slopes[key], s)
-			f.files[keyOf(s)] = path.Base(filepath.ToSlash(x.Name))
+			f.files[slopeIDOf(s)] = path.Base(filepath.ToSlash(x.Name))
 		}
-		for _, q := range x.Quota { // of one run in several files the last file's is taken
-			same := func(o scale.QuotaError) bool {
+		for _, q := range x.Quota { // if several files have the same run, the last file wins
+			sameRun := func(o scale.QuotaError) bool {
 				return o.Plan == q.Plan && o.Set == q.Set && o.Limiters == q.Limiters && o.Counters == q.Counters && o.Speed == q.Speed && o.Free == q.Free
 			}
-			if at := slices.IndexFunc(f.quota, same); at >= 0 && !slices.ContainsFunc(own, same) {
+			if at := slices.IndexFunc(f.quota, sameRun); at >= 0 && !slices.ContainsFunc(fileRuns, sameRun) {
 				f.quota[at] = q
 			} else {
 				f.quota = append(f.quota, q)
 			}
-			own = append(own, q)
+			fileRuns = append(fileRuns, q)
 		}
 		f.moments = append(f.moments, x.Moments...)
 		f.added = append(f.added, x.Added...)
@@ -96,8 +99,8 @@
 	return f
 }
 
-// line is the straight line of least squares.
-func line(x, y []float64) (at, slope float64) {
+// leastSquares fits a straight line to the points by least squares.
+func leastSquares(x, y []float64) (intercept, slope float64) {
 	var mx, my, xy, xx float64
 	for k := range x {
 		mx, my = mx+x[k]/float64(len(x)), my+y[k]/float64(len(x))
@@ -111,7 +114,8 @@
 	return my - xy/xx*mx, xy / xx
 }
 
-// slope finds a slope; held is a part of what the other sizes were, where there are several.
+// slope returns the slope with the given key. If there are several, held has to be a part of the description of the sizes that
+// one of them held constant.
 func (f *figures) slope(key slopeKey, held string) (scale.Slope, error) {
 	list := slices.DeleteFunc(slices.Clone(f.slopes[key]), func(s scale.Slope) bool { return !strings.Contains(s.Held, held) })
 	switch len(list) {
@@ -123,71 +127,74 @@
 	return scale.Slope{}, fmt.Errorf("there are %d slopes %s: say which by held=", len(list), key)
 }
 
-// values are the names that a formula may use.
+// values are the named values that a formula may use.
 type values map[string]float64
 
-// noted is what a formula came to, and from what.
-type noted struct {
-	value   float64
-	spread  float64 // standard error, from those of the slopes
-	slopes  map[usedSlope]scale.Slope
-	beyond  map[string]float64 // by what: how many times beyond the largest measured size
-	tested  bool               // something measured is in it
-	model   bool               // something of the model is in it
-	cut     bool               // a moment that did not reach all limiters is in it
-	missing []slopeKey         // named as missing, and they are
+// evaluation is the value of a formula and what it was derived from.
+type evaluation struct {
+	value         float64
+	stdError      float64 // standard error that follows from the errors of the slopes
+	slopes        map[slopeID]scale.Slope
+	sizeRatios    map[string]float64 // by variable: target size divided by the largest measured one
+	measured      bool               // a measurement contributes
+	fromModel     bool               // a run of the model contributes
+	notAllReached bool               // a moment that did not reach all limiters contributes
+	missing       []slopeKey         // slopes that the formula names as missing, and that are not measured
 }
 
-// from says where a figure is from: measured, assumed, in the model, and how far beyond.
-func (n noted) from() string {
+// origin returns the text of the cell "from": whether the figure is measured, from the model or assumed, and by how much it is
+// extrapolated.
+func (n evaluation) origin() string {
 	var words []string
-	if n.tested {
+	if n.measured {
 		words = append(words, "measured")
 	}
-	if n.model {
+	if n.fromModel {
 		words = append(words, "model")
 	}
-	if n.cut {
+	if n.notAllReached {
 		words = append(words, "not all reached")
 	}
 	if len(words) == 0 {
 		words = append(words, "assumed")
 	}
-	for _, what := range slices.Sorted(maps.Keys(n.beyond)) {
-		if factor := n.beyond[what]; factor >= beyondAny {
-			words = append(words, "extrapolated x"+number(factor)+" ("+what+")")
+	for _, what := range slices.Sorted(maps.Keys(n.sizeRatios)) {
+		if factor := n.sizeRatios[what]; factor >= minExtrapolationFactor {
+			words = append(words, "extrapolated x"+formatNumber(factor)+" ("+what+")")
 		}
 	}
 	return strings.Join(words, ", ")
 }
 
-func (n *noted) size(what string, size, most float64) {
-	n.beyond[what] = max(n.beyond[what], size/most)
+func (n *evaluation) recordSize(what string, size, largestMeasured float64) {
+	n.sizeRatios[what] = max(n.sizeRatios[what], size/largestMeasured)
 }
 
-// evaluate works a formula out, and its error: each slope's own error moves the value by so much.
-func (r *reviewer) evaluate(formula string) (noted, error) {
-	n, err := r.once(formula, usedSlope{})
+// evaluate evaluates a formula and its standard error: the root of the summed squares of the changes that each slope's own
+// error causes.
+func (r *reviewer) evaluate(formula string) (evaluation, error) {
+	n, err := r.evaluateOnce(formula, slopeID{})
 	if err != nil || len(n.missing) > 0 {
 		return n, err
 	}
 	sum := 0.0
 	for key := range n.slopes {
-		m, err := r.once(formula, key)
+		m, err := r.evaluateOnce(formula, key)
 		if err != nil {
 			return n, err
 		}
 		sum += (m.value - n.value) * (m.value - n.value)
 	}
-	if n.spread = math.Sqrt(sum); n.spread < exact*n.value {
-		n.spread = 0 // of a slope that is counted, not measured: the noise of its last digit
+	if n.stdError = math.Sqrt(sum); n.stdError < negligibleErrorShare*n.value {
+		n.stdError = 0 // the slopes are exact counts: what is left is rounding noise
 	}
 	return n, nil
 }
 
-// once works a formula out with one slope steeper by its error.
-func (r *reviewer) once(formula string, steeper usedSlope) (noted, error) {
-	n := noted{slopes: map[usedSlope]scale.Slope{}, beyond: map[string]float64{}}
+// evaluateOnce evaluates a formula with the slope named by steepened increased by its standard error. The zero slopeID leaves
+// all slopes as they are.
+func (r *reviewer) evaluateOnce(formula string, steepened slopeID) (evaluation, error) {
+	n := evaluation{slopes: map[slopeID]scale.Slope{}, sizeRatios: map[string]float64{}}
 	globals := starlark.StringDict{}
 	for name, v := range r.names {
 		globals[name] = starlark.Float(v)
@@ -198,32 +205,32 @@
 			return starlark.Float(v), err
 		})
 	}
-	take := func(name string, fixed bool, args starlark.Tuple, named []starlark.Tuple) (s scale.Slope, size float64, err error) {
+	lookUpSlope := func(name string, needsSize bool, args starlark.Tuple, named []starlark.Tuple) (s scale.Slope, size float64, err error) {
 		var key slopeKey
 		var held string
-		given := starlark.Value(starlark.None)
-		if err = starlark.UnpackArgs(name, args, named, "role", &key.role, "what", &key.what, "against", &key.against, "size?", &given, "held?", &held); err != nil {
+		sizeArg := starlark.Value(starlark.None)
+		if err = starlark.UnpackArgs(name, args, named, "role", &key.role, "what", &key.what, "against", &key.against, "size?", &sizeArg, "held?", &held); err != nil {
 			return s, 0, err
 		}
 		if s, err = r.slope(key, held); err != nil {
 			return s, 0, err
 		}
-		if given == starlark.None {
+		if sizeArg == starlark.None {
 			var ok bool
 			if size, ok = r.names[key.against]; !ok {
 				return s, 0, fmt.Errorf("%s(%s): no size is given, and %q is no name of the target or the assumptions", name, key, key.against)
 			}
-		} else if size, err = float(given); err != nil {
+		} else if size, err = toFloat(sizeArg); err != nil {
 			return s, 0, err
 		}
-		if fixed && given == starlark.None {
+		if needsSize && sizeArg == starlark.None {
 			return s, 0, fmt.Errorf("%s(%s): no size is given", name, key)
 		}
-		n.slopes[keyOf(s)] = s
-		n.tested = true
-		n.size(key.against, size, slices.Max(s.Sizes))
-		if keyOf(s) == steeper {
-			// The line turns about the middle of its sizes, where it is known best.
+		n.slopes[slopeIDOf(s)] = s
+		n.measured = true
+		n.recordSize(key.against, size, slices.Max(s.Sizes))
+		if slopeIDOf(s) == steepened {
+			// The line is rotated about the mean of its sizes, where its error is smallest.
 			mean := 0.0
 			for _, x := range s.Sizes {
 				mean += x / float64(len(s.Sizes))
@@ -233,15 +240,15 @@
 		return s, size, nil
 	}
 	builtin("slope", func(args starlark.Tuple, named []starlark.Tuple) (float64, error) {
-		s, _, err := take("slope", false, args, named)
+		s, _, err := lookUpSlope("slope", false, args, named)
 		return s.PerUnit, err
 	})
 	builtin("rise", func(args starlark.Tuple, named []starlark.Tuple) (float64, error) {
-		s, size, err := take("rise", true, args, named)
+		s, size, err := lookUpSlope("rise", true, args, named)
 		return s.PerUnit * size, err
 	})
 	builtin("at", func(args starlark.Tuple, named []starlark.Tuple) (float64, error) {
-		s, size, err := take("at", true, args, named)
+		s, size, err := lookUpSlope("at", true, args, named)
 		return s.Intercept + s.PerUnit*size, err
 	})
 	builtin("missing", func(args starlark.Tuple, named []starlark.Tuple) (float64, error) {
@@ -249,7 +256,7 @@
 		if err := starlark.UnpackArgs("missing", args, named, "role", &key.role, "what", &key.what, "against", &key.against); err != nil {
 			return 0, err
 		}
-		if len(r.slopes[key]) > 0 { // a row that keeps saying so once the slope is there
+		if len(r.slopes[key]) > 0 { // a row that has not been updated since the slope was measured
 			return 0, fmt.Errorf("the slope %s is named as missing, and it is there", key)
 		}
 		n.missing = append(n.missing, key)
@@ -265,12 +272,12 @@
 		return r.addedTime(&n, args, named)
 	})
 	thread := &starlark.Thread{Name: "formula"}
-	thread.SetMaxExecutionSteps(mostSteps)
+	thread.SetMaxExecutionSteps(maxFormulaSteps)
 	v, err := starlark.EvalOptions(&syntax.FileOptions{}, thread, "formula", formula, globals)
 	if err != nil {
 		return n, fmt.Errorf("%s: %w", formula, err)
 	}
-	if n.value, err = float(v); err != nil {
+	if n.value, err = toFloat(v); err != nil {
 		return n, fmt.Errorf("%s: %w", formula, err)
 	}
 	if math.IsNaN(n.value) || math.IsInf(n.value, 0) || n.value < 0 {
@@ -279,7 +286,7 @@
 	return n, nil
 }
 
-func float(v starlark.Value) (float64, error) {
+func toFloat(v starlark.Value) (float64, error) {
 	f, ok := starlark.AsFloat(v)
 	if !ok {
 		return 0, fmt.Errorf("%s is no number", v)
@@ -287,17 +294,17 @@
 	return f, nil
 }
 
-// moment gives a field of the moment of a name with the most limiters, in the model or on sockets; of several, such as a zone
-// that goes and one that comes back, the largest.
-func (r *reviewer) moment(n *noted, args starlark.Tuple, named []starlark.Tuple) (float64, error) {
+// moment implements the formula function of that name. It returns a field of the named moment, from the model or from a run on
+// sockets, with the most limiters; of several, such as the loss and the return of a zone, the largest value.
+func (r *reviewer) moment(n *evaluation, args starlark.Tuple, named []starlark.Tuple) (float64, error) {
 	var name, field string
 	model := false
 	if err := starlark.UnpackArgs("moment", args, named, "name", &name, "field", &field, "model?", &model); err != nil {
 		return 0, err
 	}
-	most, largest, best := -1, -1.0, scale.Moment{}
+	maxLimiters, largest, best := -1, -1.0, scale.Moment{}
 	for _, m := range r.moments {
-		if m.Name != name || m.Model != model || m.Limiters < most {
+		if m.Name != name || m.Model != model || m.Limiters < maxLimiters {
 			continue
 		}
 		v, ok := map[string]float64{"p99_s": m.P99, "last_s": m.Last, "messages": m.Messages, "bytes": m.Bytes,
@@ -307,25 +314,26 @@
 				return 0, fmt.Errorf("the moment %q has no %q", name, field)
 			}
 		}
-		if m.Limiters > most || v > largest {
-			most, largest, best = m.Limiters, v, m
+		if m.Limiters > maxLimiters || v > largest {
+			maxLimiters, largest, best = m.Limiters, v, m
 		}
 	}
-	if most < 0 {
+	if maxLimiters < 0 {
 		return 0, fmt.Errorf("there is no moment %q (model: %v)", name, model)
 	}
-	n.model, n.tested, n.cut = n.model || model, n.tested || !model, n.cut || strings.Contains(best.Note, notReached)
+	n.fromModel, n.measured, n.notAllReached = n.fromModel || model, n.measured || !model, n.notAllReached || strings.Contains(best.Note, unreachedNote)
 	if target, ok := r.names["limiters"]; ok {
-		n.size("limiters", target, float64(best.Limiters))
+		n.recordSize("limiters", target, float64(best.Limiters))
 	}
 	if target, ok := r.names["servers"]; ok && best.Servers > 0 {
-		n.size("servers", target, float64(best.Servers))
+		n.recordSize("servers", target, float64(best.Servers))
 	}
 	return largest, nil
 }
 
-// quotaError gives a field of the run of the model that is named; where no number of limiters is, the one with the most.
-func (r *reviewer) quotaError(n *noted, args starlark.Tuple, named []starlark.Tuple) (float64, error) {
+// quotaError implements the formula function quota. It returns a field of the run of the model that the arguments describe. If
+// they give no number of limiters, it is the run with the most.
+func (r *reviewer) quotaError(n *evaluation, args starlark.Tuple, named []starlark.Tuple) (float64, error) {
 	var plan, field, set string
 	var limiters int
 	counters, free := 1, false
@@ -336,7 +344,7 @@
 	}
 	var found []scale.QuotaError
 	for _, q := range r.quota {
-		if s, err := float(speed); q.Plan != plan || q.Counters != counters || q.Free != free || set != "" && q.Set != set || err == nil && !near(q.Speed, s) {
+		if s, err := toFloat(speed); q.Plan != plan || q.Counters != counters || q.Free != free || set != "" && q.Set != set || err == nil && !approxEqual(q.Speed, s) {
 			continue
 		}
 		switch {
@@ -351,9 +359,9 @@
 		return 0, fmt.Errorf("%d runs of the model with plan %q, %d counters and what else is named, where one is wanted", len(found), plan, counters)
 	}
 	q := found[0]
-	n.model = true
+	n.fromModel = true
 	if target, ok := r.names["limiters"]; ok {
-		n.size("limiters", target, float64(q.Limiters))
+		n.recordSize("limiters", target, float64(q.Limiters))
 	}
 	v, ok := map[string]float64{"beyond": q.Beyond, "refused_with_room": q.RefusedWithRoom, "calls_per_request": q.CallsPerRequest,
 		"unanswered": q.Unanswered, "lost": q.Lost, "calls": q.Calls, "per_second": q.PerSecond, "limiters": float64(q.Limiters)}[field]
@@ -363,22 +371,23 @@
 	return v, nil
 }
 
-// addedTime gives a field, in seconds, of the run with so many requests a second of each limiter, or with the most, beside no
-// more than so many limiters on the machine; of several the largest.
-func (r *reviewer) addedTime(n *noted, args starlark.Tuple, named []starlark.Tuple) (float64, error) {
+// addedTime implements the formula function added. It returns a field of the run with the given rate of requests per limiter,
+// by default the highest, among the runs with at most most_limiters limiters on the machine; of several runs, the largest
+// value. Times are in seconds.
+func (r *reviewer) addedTime(n *evaluation, args starlark.Tuple, named []starlark.Tuple) (float64, error) {
 	var field string
 	var control bool
 	var rate float64
-	most := math.MaxInt
-	given := starlark.Value(starlark.None)
-	if err := starlark.UnpackArgs("added", args, named, "field", &field, "control", &control, "per_second?", &given, "most_limiters?", &most); err != nil {
+	maxLimiters := math.MaxInt
+	rateArg := starlark.Value(starlark.None)
+	if err := starlark.UnpackArgs("added", args, named, "field", &field, "control", &control, "per_second?", &rateArg, "most_limiters?", &maxLimiters); err != nil {
 		return 0, err
 	}
-	if v, err := float(given); err == nil {
+	if v, err := toFloat(rateArg); err == nil {
 		rate = v
 	} else {
 		for _, a := range r.figures.added {
-			if a.Control == control && a.Limiters <= most {
+			if a.Control == control && a.Limiters <= maxLimiters {
 				rate = max(rate, a.PerSecond)
 			}
 		}
@@ -386,7 +395,7 @@
 	largest := -1.0
 	var best scale.AddedTime
 	for _, a := range r.figures.added {
-		if a.Control != control || a.Limiters > most || !near(a.PerSecond, rate) {
+		if a.Control != control || a.Limiters > maxLimiters || !approxEqual(a.PerSecond, rate) {
 			continue
 		}
 		v, ok := map[string]float64{"p50_ms": a.P50 / 1000, "p99_ms": a.P99 / 1000, "straight_p99_ms": a.Straight / 1000, "per_second": a.PerSecond,
@@ -401,15 +410,15 @@
 	if largest < 0 {
 		return 0, fmt.Errorf("there is no added time (control: %v)", control)
 	}
-	n.tested = true
+	n.measured = true
 	if requests, limiters := r.names["requests"], r.names["limiters"]; limiters > 0 && best.PerSecond > 0 {
-		n.size("requests", requests/limiters, best.PerSecond)
+		n.recordSize("requests", requests/limiters, best.PerSecond)
 	}
 	if best.Limiters > 0 {
-		n.size("limiters", r.names["limiters"], float64(best.Limiters))
+		n.recordSize("limiters", r.names["limiters"], float64(best.Limiters))
 	}
 	if best.Servers > 0 {
-		n.size("servers", r.names["servers"], float64(best.Servers))
+		n.recordSize("servers", r.names["servers"], float64(best.Servers))
 	}
 	return largest, nil
 }
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -13,8 +13,9 @@
 	"bramblefall/internal/plans"
 )
 
-// The page in the repository follows from the figures beside it.
-func TestThePage(t *testing.T) {
+// Every figure of docs/CAPACITY.md follows from the files of figures in the repository, and the limits that it assumes are
+// those of the program.
+func TestCapacityPageFollowsFromFigures(t *testing.T) {
 	root := filepath.Join("..", "..")
 	page, err := os.ReadFile(filepath.Join(root, "docs", "CAPACITY.md"))
 	require.NoError(t, err)
@@ -33,6 +34,6 @@
 		t.Error(f)
 	}
 	for name, is := range map[string]float64{"book_firms": plans.MostFirms, "counter_bears": model.Base().Counter.PerSecond} {
-		assert.Equal(t, is, review.Names[name], "%s, as the program has it", name)
+		assert.Equal(t, is, review.Names[name], "%s of the page differs from the program's limit", name)
 	}
 }
--- a/internal/capacity/unit.go
+++ b/internal/capacity/unit.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-// unit is what a printed figure is counted in; one of it is so many of its kind's base.
+// unit is a unit of printed figures. Figures are comparable if their units are of the same kind.
 type unit struct {
 	text string
 	kind string
-	one  float64
+	base float64 // one of the unit, in the base unit of its kind
 }
 
-// units are those that a page may print. MB are 10^6 bytes, as the budgets are read.
+// units are the units that a page may use. A MB is 10^6 bytes, as in the budgets.
 var units = []unit{
 	{"", "a count", 1}, {"servers", "a count", 1}, {"limiters", "a count", 1}, {"machines", "a count", 1}, {"entries", "a count", 1},
 	{"calls", "a count", 1}, {"messages", "a count", 1}, {"names", "a count", 1}, {"groups", "a count", 1}, {"firms", "a count", 1},
@@ -26,8 +26,9 @@
 	{"µs", "seconds", 1e-6}, {"ms", "seconds", 1e-3}, {"s", "seconds", 1}, {"min", "seconds", 60}, {"h", "seconds", 3600},
 }
 
-// parse reads a figure such as "5,700", "2.9 ms" or "12.3 ± 0.4 MB"; a "?" stands for a figure that is yet to be written.
-func parse(text string) (v float64, u unit, err error) {
+// parseFigure reads a figure such as "5,700", "2.9 ms" or "12.3 ± 0.4 MB", and returns it in the base of its kind of unit. For
+// a "?", which stands for a figure that is yet to be filled in, it returns NaN and the unit.
+func parseFigure(text string) (v float64, u unit, err error) {
 	figure, rest, _ := strings.Cut(strings.TrimSpace(text), " ")
 	if after, ok := strings.CutPrefix(rest, "± "); ok {
 		_, rest, _ = strings.Cut(after, " ")
@@ -40,44 +41,47 @@
 			if figure == "?" {
 				err = nil
 			}
-			return v * x.one, x, err
+			return v * x.base, x, err
 		}
 	}
 	return v, u, fmt.Errorf("%q is in no unit that is known", text)
 }
 
-func (u unit) print(v float64) string { return strings.TrimSpace(number(v/u.one) + " " + u.text) }
+func (u unit) format(v float64) string {
+	return strings.TrimSpace(formatNumber(v/u.base) + " " + u.text)
+}
 
-// printWith prints a figure with its standard error, where that is not lost behind its third digit.
-func (u unit) printWith(v, spread float64) string {
-	if spread <= 0 {
-		return u.print(v)
+// formatWithError formats a figure with its standard error, or without it if the error is zero.
+func (u unit) formatWithError(v, stdError float64) string {
+	if stdError <= 0 {
+		return u.format(v)
 	}
-	return strings.TrimSpace(number(v/u.one) + " ± " + digits(spread/u.one, 2) + " " + u.text)
+	return strings.TrimSpace(formatNumber(v/u.base) + " ± " + formatDigits(stdError/u.base, 2) + " " + u.text)
 }
 
-// number prints three digits, whole numbers below a million with all of theirs.
-func number(v float64) string {
-	if near(v, math.Round(v)) && math.Abs(v) < 1e6 {
-		return grouped(strconv.FormatFloat(v, 'f', 0, 64))
+// formatNumber formats a number with three significant digits, and an integer below a million with all of its digits.
+func formatNumber(v float64) string {
+	if approxEqual(v, math.Round(v)) && math.Abs(v) < 1e6 {
+		return groupThousands(strconv.FormatFloat(v, 'f', 0, 64))
 	}
-	return digits(v, 3)
+	return formatDigits(v, 3)
 }
 
-func digits(v float64, n int) string {
+func formatDigits(v float64, n int) string {
 	if v == 0 || math.IsInf(v, 0) || math.IsNaN(v) {
 		return strconv.FormatFloat(v, 'g', -1, 64)
 	}
-	rounded, _ := strconv.ParseFloat(strconv.FormatFloat(math.Abs(v), 'e', n-1, 64), 64) // 99.96 has its digits of 100
+	// Rounding first gives 99.96 the decimal places of 100.
+	rounded, _ := strconv.ParseFloat(strconv.FormatFloat(math.Abs(v), 'e', n-1, 64), 64)
 	places := n - 1 - int(math.Floor(math.Log10(rounded)))
 	if places < 0 {
 		tens := math.Pow(10, float64(-places))
-		return grouped(strconv.FormatFloat(math.Round(v/tens)*tens, 'f', 0, 64))
+		return groupThousands(strconv.FormatFloat(math.Round(v/tens)*tens, 'f', 0, 64))
 	}
 	return strconv.FormatFloat(v, 'f', places, 64)
 }
 
-func grouped(s string) string {
+func groupThousands(s string) string {
 	sign := ""
 	if strings.HasPrefix(s, "-") {
 		sign, s = "-", s[1:]
@@ -88,4 +92,4 @@
 	return sign + s
 }
 
-func near(a, b float64) bool { return math.Abs(a-b) <= 1e-9*math.Max(math.Abs(a), math.Abs(b)) }
+func approxEqual(a, b float64) bool { return math.Abs(a-b) <= 1e-9*math.Max(math.Abs(a), math.Abs(b)) }
--- a/scenarios/booking.star
+++ b/scenarios/booking.star
@@ -1,5 +1,6 @@
-# Booking boxes of two kinds in three sheds: requests of one to eight units, a plan with a cap on attempts out beside its
-# ceiling, a class that must never run twice, load reports of requests a second alone, three attempts at most.
+# A booking platform with two kinds of machines in three halls: requests of one to eight units, a tier that limits both the
+# attempts in flight and the rate by a ceiling, a class that must never run twice, load reports that tell only requests a
+# second, and at most three attempts per request.
 scenario(
     name = "booking",
     limiters = 3, nodes = 13, halls = 3,
--- a/scenarios/counter-flushed.star
+++ b/scenarios/counter-flushed.star
@@ -1,4 +1,4 @@
-# The counter forgets 34, 70 and 98 per cent of its names, the last twice in five seconds, under a flood.
+# The quota counter loses 34 %, 70 % and 98 % of its names, the last twice within five seconds, while some firms flood.
 scenario(
     name = "counter-flushed",
     faults = [fault(kind = "hot", at = 8, lasts = 45, size = 0.4)] +
--- a/scenarios/counters-3.star
+++ b/scenarios/counters-3.star
@@ -1,4 +1,4 @@
-# 3 limiters whose firms flood, with four counters.
+# Four quota counters for 3 limiters whose firms flood.
 scenario(
     name = "counters-3",
     scale = scale(limiters = 3, nodes = 20, firms = 800, one_offs = 0),
--- a/scenarios/counters-30.star
+++ b/scenarios/counters-30.star
@@ -1,4 +1,4 @@
-# 30 limiters whose firms flood, with eight counters.
+# Eight quota counters for 30 limiters whose firms flood.
 scenario(
     name = "counters-30",
     scale = scale(limiters = 30, nodes = 200, firms = 10000, one_offs = 0),
--- a/scenarios/counters.star
+++ b/scenarios/counters.star
@@ -1,4 +1,5 @@
-# 300 limiters whose firms ask for more calls than 16 counters bear: each bears what the platform's does.
+# 300 limiters whose firms cause more counter calls than 16 quota counters can serve. Each counter has the capacity of the
+# platform's.
 scenario(
     name = "counters",
     scale = scale(limiters = 300, nodes = 2000, firms = 100000, one_offs = 0),
--- a/scenarios/hall-died.star
+++ b/scenarios/hall-died.star
@@ -1,4 +1,4 @@
-# The processes of a hall's nodes die, and come back cold.
+# The processes of a hall's nodes crash and come back cold.
 scenario(
     name = "hall-died",
     seconds = 60,
--- a/scenarios/hall-lost.star
+++ b/scenarios/hall-lost.star
@@ -1,4 +1,4 @@
-# A hall is lost with its limiters and the counter, and comes back cold.
+# A hall fails with its limiters and the quota counter, and comes back cold.
 scenario(
     name = "hall-lost",
     seconds = 70,
--- a/scenarios/heavy-firm.star
+++ b/scenarios/heavy-firm.star
@@ -1,4 +1,4 @@
-# Three firms ask for far more than their quotas, twice.
+# Three firms twice request far more than their quotas allow.
 scenario(
     name = "heavy-firm",
     faults = [fault(kind = "hot", at = t, lasts = 12, size = 0.6) for t in (12, 36)],
--- a/scenarios/rolling-replacement.star
+++ b/scenarios/rolling-replacement.star
@@ -1,4 +1,4 @@
-# Every few seconds a tenth of the nodes drains and is replaced by a new one, which starts cold.
+# Every nine seconds a tenth of the nodes drains and is replaced by new ones, which start cold.
 scenario(
     name = "rolling-replacement",
     seconds = 70,
--- a/scenarios/scenarios.go
+++ b/scenarios/scenarios.go
@@ -1,9 +1,9 @@
-// Package scenarios holds the scenarios that the lab ships.
+// Package scenarios embeds the scenarios that ship with the lab.
 package scenarios
 
 import "embed"
 
-// Files are the scenarios' scripts.
+// Files holds the Starlark scripts of the scenarios.
 //
 //go:embed *.star
 var Files embed.FS
