--- a/internal/fault/conn.go
+++ b/internal/fault/conn.go
@@ -107,7 +107,8 @@
 	return 1, nil
 }
 
-// RunIdleSteps applies the OnIdle steps of the message that was sent last. It is called once that message has been answered.
+// RunIdleSteps applies the OnIdle steps of the message that was sent last. It is called when the connection is idle after
+// that message: by a client once the message has been answered, by the other peers once it has been sent.
 func (c *Conn) RunIdleSteps() error {
 	for _, s := range c.writeSteps {
 		if s.When == OnIdle && s.Message == c.messagesBegun-1 {
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -34,7 +34,7 @@
 	OnOpen  Trigger = iota // once the connection is established, before any byte is read or written
 	OnWrite                // at an offset of a message that the peer writes
 	OnRead                 // at an offset of the bytes that the peer reads
-	OnIdle                 // after the message was answered and a further wait of Amount milliseconds
+	OnIdle                 // while the connection is idle after a message (a client's: once answered), after a wait of Amount milliseconds
 )
 
 // Action is the kind of a fault.
@@ -110,7 +110,7 @@
 )
 
 // Draw generates a plan of n scripts from a seed. About 70 % of them are for clients, since each client's script is used
-// once and those of the other roles are used repeatedly.
+// once, and those of the peers that accept connections are used repeatedly.
 func Draw(seed uint64, n int) Plan {
 	rng := rand.New(rand.NewPCG(seed, 0x6272616d))
 	p := Plan{Seed: seed}
@@ -133,12 +133,12 @@
 	s := Step{When: Trigger(rng.IntN(4)), Message: rng.IntN(4), Offset: rng.IntN(maxOffsetBytes), Action: Action(rng.IntN(int(numActions))),
 		Amount: 1 + rng.IntN(maxStallMs)}
 	if rng.Float64() < 0.2 {
-		s.Offset = rng.IntN(4) // the hard cases are at the end of one message and the beginning of the next
+		s.Offset = rng.IntN(4) // the hard cases are where messages begin and end
 	}
 	if s.Action == Noise {
 		s.Amount = 1 + rng.IntN(maxNoiseBytes)
 	}
-	if s.When == OnRead && r == Discovery { // discovery reads only a short request
+	if s.When == OnRead && r == Discovery { // discovery reads only a short request and then writes for long
 		s.Offset = rng.IntN(80)
 	}
 	return s
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -1,5 +1,5 @@
-// Package loopback allocates addresses of the loopback network that no other process of this machine uses, for tests,
-// stand-ins and the lab. The limiter does not link it.
+// Package loopback allocates addresses of the loopback network to tests, stand-ins and the lab, each address to one process
+// of this machine only. The limiter does not link it.
 //
 // Once a listener on a kernel-chosen port of 127.0.0.1 has closed, the kernel may give the port to any other process.
 // Clients that keep connecting to the old address then reach a foreign server, and foreign clients may reach a listener of
@@ -72,7 +72,7 @@
 	return fmt.Sprintf("%s.%d", a.blockPrefix, a.lastHostUsed), nil
 }
 
-// claimBlock claims a further block. It begins its search at a random block, to avoid collisions with other processes.
+// claimBlock claims a further block. It begins its search at a random block, most likely a free one.
 func (a *allocator) claimBlock() error {
 	blockCount := (lastNetwork - firstNetwork + 1) * blocksPerNetwork
 	first := rand.IntN(blockCount)
--- a/internal/standin/audit.go
+++ b/internal/standin/audit.go
@@ -114,7 +114,7 @@
 	}
 	same := len(args) == len(r.args)
 	for k := 0; same && k < len(args); k++ {
-		same = k == 3 || bytes.Equal(args[k], r.args[k]) // the limiter replaces the options, which carry its own deadline
+		same = k == 3 || bytes.Equal(args[k], r.args[k]) // the options differ: they say how long the limiter itself will wait
 	}
 	if !same {
 		a.reportf("request %s was changed on its way to a node: received %q, sent as %q", id, args, r.args)
--- a/internal/standin/counter.go
+++ b/internal/standin/counter.go
@@ -89,9 +89,9 @@
 func (c *Counter) Flush(share float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	remaining := int(share * float64(len(c.counts)))
+	toForget := int(share * float64(len(c.counts)))
 	for name := range c.counts { // map iteration order picks names at random
-		if remaining--; remaining < 0 {
+		if toForget--; toForget < 0 {
 			return
 		}
 		delete(c.counts, name)
--- a/internal/standin/drains.go
+++ b/internal/standin/drains.go
@@ -28,7 +28,7 @@
 }
 
 // MachineListed records that a limiter has been told a machine's state. If the list may not have arrived complete, the limiter
-// is not taken to know the machine's id, but it is held to a drain that the list tells.
+// is not taken to know the machine's id, but it is held to a drain that the list tells. A ready machine ends an earlier drain.
 func (a *Auditor) MachineListed(limiter int, id string, ready, complete bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
