--- a/internal/capacity/eval.go
+++ b/internal/capacity/eval.go
@@ -135,7 +135,7 @@
 	value         float64
 	stdError      float64 // standard error that follows from the errors of the slopes
 	slopes        map[slopeID]scale.Slope
-	sizeRatios    map[string]float64 // by variable: target size divided by the largest measured one
+	sizeRatios    map[string]float64 // by variable: size that the formula takes, divided by the largest measured one
 	measured      bool               // a measurement contributes
 	fromModel     bool               // a run of the model contributes
 	notAllReached bool               // a moment that did not reach all limiters contributes
--- a/internal/capacity/unit.go
+++ b/internal/capacity/unit.go
@@ -51,7 +51,8 @@
 	return strings.TrimSpace(formatNumber(v/u.base) + " " + u.text)
 }
 
-// formatWithError formats a figure with its standard error, or without it if the error is zero.
+// formatWithError formats a figure with its standard error, or without it if the error is zero. evaluate has already set
+// negligible errors to zero.
 func (u unit) formatWithError(v, stdError float64) string {
 	if stdError <= 0 {
 		return u.format(v)
--- a/scenarios/counter-flushed.star
+++ b/scenarios/counter-flushed.star
@@ -1,4 +1,4 @@
-# The quota counter loses 34 %, 70 % and 98 % of its names, the last twice within five seconds, while some firms flood.
+# The quota counter loses 34 %, 70 % and 98 % of its names, the last twice within five seconds, while three firms flood.
 scenario(
     name = "counter-flushed",
     faults = [fault(kind = "hot", at = 8, lasts = 45, size = 0.4)] +
--- a/scenarios/counters.star
+++ b/scenarios/counters.star
@@ -1,5 +1,5 @@
 # 300 limiters whose firms cause more counter calls than 16 quota counters can serve. Each counter has the capacity of the
-# platform's.
+# platform's. The script itself sets one counter.
 scenario(
     name = "counters",
     scale = scale(limiters = 300, nodes = 2000, firms = 100000, one_offs = 0),
