--- a/cmd/bramblefall/drain_test.go
+++ b/cmd/bramblefall/drain_test.go
@@ -35,17 +35,17 @@
 
 // startFleet starts as many limiters as there are troubles, which decide how the agent of each limiter misbehaves (nil: not at
 // all). customize changes the configuration of each limiter; nil: none is changed.
-func startFleet(t *testing.T, nodes int, customize func(f *fleet, k int, config object), troubles ...func(int) standin.Trouble) *fleet {
+func startFleet(t *testing.T, nodes int, customize func(f *fleet, k int, config object), troubles ...func(int) standin.AnswerFault) *fleet {
 	trackSources()
 	f := &fleet{peers: standin.NewWorld(fault.Plan{})}
 	t.Cleanup(f.peers.Close)
-	f.peers.Unchecked = true
-	f.peers.Audit.Drains(auditGrace)
+	f.peers.SkipAudit = true
+	f.peers.Audit.CheckDrains(auditGrace)
 	for k := range nodes {
 		n, err := f.peers.AddNode(fmt.Sprintf("s-%d", k), []string{"hall-a", "hall-b"}[k%2])
 		require.NoError(t, err)
 		n.Handle = func(_ *standin.Node, args [][]byte) ([]byte, bool, time.Duration) {
-			return standin.Value(string(args[2])), true, time.Millisecond
+			return standin.ValueReply(string(args[2])), true, time.Millisecond
 		}
 	}
 	d, err := f.peers.AddDiscovery()
@@ -58,7 +58,7 @@
 		s["rules"].(object)["drainGrace"] = drainGraceSeconds
 		config := object{"name": fmt.Sprintf("n%d", k), "listen": reservedAddress(t),
 			"seed": fmt.Sprintf("%x", k+1), "limits": object{"cores": 1.0, "memory_mb": 192, "sockets": 256},
-			"settings": s, "known": d.Known(k), "discovery": agent}
+			"settings": s, "known": d.ListFor(k), "discovery": agent}
 		if customize != nil {
 			customize(f, k, config)
 		}
@@ -74,7 +74,7 @@
 	require.NoError(t, err)
 	t.Cleanup(func() {
 		l.Kill()
-		require.Empty(t, l.Crashed())
+		require.Empty(t, l.CrashLog())
 	})
 	return l
 }
@@ -122,21 +122,21 @@
 // server that it was told drains or is gone, nor to one that no list has named to it.
 func TestDrainingIsHonouredWhileListsBreakOff(t *testing.T) {
 	t.Parallel()
-	stallEverySecond := func(answer int) standin.Trouble { // every second answer stalls; a second request made meanwhile gets the rest
+	stallEverySecond := func(answer int) standin.AnswerFault { // every second answer stalls; a second request made meanwhile gets the rest
 		if answer%2 == 0 {
-			return standin.Mute
+			return standin.SilentConnection
 		}
-		return standin.Fine
+		return standin.NoFault
 	}
-	mostly := func(bad standin.Trouble) func(int) standin.Trouble { // eight bad answers in a row, then a good one
-		return func(answer int) standin.Trouble {
+	mostly := func(bad standin.AnswerFault) func(int) standin.AnswerFault { // eight bad answers in a row, then a good one
+		return func(answer int) standin.AnswerFault {
 			if answer%9 == 8 {
-				return standin.Fine
+				return standin.NoFault
 			}
 			return bad
 		}
 	}
-	f := startFleet(t, 48, nil, mostly(standin.Cut), mostly(standin.Short), stallEverySecond, nil)
+	f := startFleet(t, 48, nil, mostly(standin.TruncatedLine), mostly(standin.StalledLine), stallEverySecond, nil)
 	stop := make(chan struct{})
 	var senders sync.WaitGroup
 	var served [4]atomic.Int64
@@ -149,11 +149,11 @@
 	var restarts sync.WaitGroup
 	for k, began := 0, time.Now(); time.Since(began) < drainTestDuration; k++ {
 		n := f.peers.Nodes[k%len(f.peers.Nodes)]
-		f.peers.Tell(n, "draining", time.Time{})
+		f.peers.SetState(n, "draining", time.Time{})
 		if time.Since(began) < drainTestDuration-restartDelay {
 			restarts.Go(func() {
 				time.Sleep(restartDelay)
-				f.peers.Renew(n, time.Now())
+				f.peers.ReplaceMachine(n, time.Now())
 			})
 		}
 		time.Sleep(drainInterval)
@@ -169,6 +169,6 @@
 	for k := range served {
 		require.Positive(t, served[k].Load(), "limiter %d", k)
 	}
-	require.Greater(t, f.peers.Audit.Sends(), 1000)
-	t.Logf("%d sends", f.peers.Audit.Sends())
+	require.Greater(t, f.peers.Audit.CheckedCommands(), 1000)
+	t.Logf("%d sends", f.peers.Audit.CheckedCommands())
 }
--- a/cmd/bramblefall/fault_test.go
+++ b/cmd/bramblefall/fault_test.go
@@ -69,18 +69,18 @@
 		"counter": c.Addr, "discovery": d.Addr}, "-ratelimit", rateLimitPath)
 	require.NoError(t, err)
 	defer l.Kill()
-	w.Play(p, l.Addr, l.GRPCAddr, concurrentScripts)
-	if crash := l.Crashed(); crash != "" {
+	w.RunClients(p, l.Addr, l.GRPCAddr, concurrentScripts)
+	if crash := l.CrashLog(); crash != "" {
 		return w.Audit.Tally(), crash
 	}
 	if findings, n := w.Audit.Findings(); n > 0 {
 		return w.Audit.Tally(), fmt.Sprintf("%d findings, want none; the first are %q", n, findings)
 	}
 	tally := w.Audit.Tally()
-	descriptors, err := l.Descriptors()
+	descriptors, err := l.OpenFiles()
 	for waited := time.Duration(0); descriptors > maxRestDescriptors && waited < testTimeout; waited += 100 * time.Millisecond {
 		time.Sleep(100 * time.Millisecond)
-		descriptors, err = l.Descriptors()
+		descriptors, err = l.OpenFiles()
 	}
 	if err != nil || descriptors > maxRestDescriptors {
 		return tally, fmt.Sprintf("%d descriptors at rest, want at most %d (error: %v)", descriptors, maxRestDescriptors, err)
--- a/cmd/bramblefall/fleet_test.go
+++ b/cmd/bramblefall/fleet_test.go
@@ -68,7 +68,7 @@
 func TestLastAnswersAreSentBeforeTheKill(t *testing.T) {
 	for deadline, want := range map[time.Duration]time.Duration{0: 400 * time.Millisecond, time.Second: 1400 * time.Millisecond,
 		2900 * time.Millisecond: 3300 * time.Millisecond, 5 * time.Second: 3400 * time.Millisecond} {
-		assert.Equal(t, want, lastAnswersAfter([]logic.Class{{Deadline: deadline / 2}, {Deadline: deadline}}), "%v", deadline)
+		assert.Equal(t, want, finalAnswersAfter([]logic.Class{{Deadline: deadline / 2}, {Deadline: deadline}}), "%v", deadline)
 	}
-	assert.Equal(t, 400*time.Millisecond, lastAnswersAfter(nil))
+	assert.Equal(t, 400*time.Millisecond, finalAnswersAfter(nil))
 }
--- a/cmd/bramblefall/links_test.go
+++ b/cmd/bramblefall/links_test.go
@@ -49,13 +49,13 @@
 		set["tariffs"] = []object{plan("regular", 1000, 4000, 0), ceilingPlan}
 		config["counter"], config["discovery"] = link(f.peers.Counter.Addr), link(config["discovery"].(string))
 	}
-	f := startFleet(t, 6, customize, make([]func(int) standin.Trouble, linkedLimiterCount)...)
+	f := startFleet(t, 6, customize, make([]func(int) standin.AnswerFault, linkedLimiterCount)...)
 	for _, n := range f.peers.Nodes {
 		n.Handle = func(_ *standin.Node, args [][]byte) ([]byte, bool, time.Duration) {
 			if strings.Contains(string(args[3]), "t=full") {
-				ceiling.Sent(1)
+				ceiling.Take(1)
 			}
-			return standin.Value(string(args[2])), true, time.Millisecond
+			return standin.ValueReply(string(args[2])), true, time.Millisecond
 		}
 	}
 	fields := fmt.Sprintf("c=balance-read,t=full,d=1000,units=1,spread=%d,first=0", linkedLimiterCount)
@@ -68,7 +68,7 @@
 	}
 	var impairments sync.WaitGroup
 	for k, l := range links {
-		impairments.Go(func() { l.Play(standin.DrawPhases(100*seed+uint64(k), impairmentDuration)) })
+		impairments.Go(func() { l.RunPhases(standin.DrawPhases(100*seed+uint64(k), impairmentDuration)) })
 	}
 	const (
 		stoppedLimiter = 1
@@ -87,11 +87,11 @@
 
 	var before [linkedLimiterCount]int64
 	for k := range f.limiters {
-		before[k] = links[2*k].Back()
+		before[k] = links[2*k].ChunksBack()
 	}
 	for k, l := range f.limiters {
-		require.Eventually(t, func() bool { return links[2*k].Back() > before[k]+2 }, testTimeout, 10*time.Millisecond, "the counter does not answer limiter %d again", k)
-		require.Empty(t, l.Crashed())
+		require.Eventually(t, func() bool { return links[2*k].ChunksBack() > before[k]+2 }, testTimeout, 10*time.Millisecond, "the counter does not answer limiter %d again", k)
+		require.Empty(t, l.CrashLog())
 	}
 	close(stop)
 	senders.Wait()
@@ -101,7 +101,7 @@
 		}
 		require.Positive(t, served[k].Load(), "limiter %d", k)
 	}
-	lowest, sends := ceiling.Lowest()
+	lowest, sends := ceiling.LowestLevel()
 	t.Logf("%d sends, units left under the ceiling at least %.1f", sends, lowest)
 	require.Greater(t, sends, int(impairmentDuration.Seconds()*ceilingRate/10), "too few sends to prove anything")
 	require.GreaterOrEqual(t, lowest, -ceilingBurst/10)
--- a/cmd/bramblefall/plans.go
+++ b/cmd/bramblefall/plans.go
@@ -198,7 +198,7 @@
 	var rows [][]string
 	err = r.call(func(ctx context.Context, client adminpb.AdminClient) error {
 		for k, v := range file.Plans {
-			answer, err := client.ApplyPlans(ctx, &adminpb.ApplyPlansRequest{Version: admin.VersionOut(v), DryRun: dryRun})
+			answer, err := client.ApplyPlans(ctx, &adminpb.ApplyPlansRequest{Version: admin.VersionToProto(v), DryRun: dryRun})
 			if err != nil {
 				return fmt.Errorf("version %d (plans[%d]; those before it were accepted): %w", v.Number, k, serviceErrorOf(err))
 			}
--- a/cmd/bramblefall/ratelimit.go
+++ b/cmd/bramblefall/ratelimit.go
@@ -59,11 +59,11 @@
 }
 
 // prepare creates the front and the caller of its upstream group, and returns the caller.
-func (r *rateLimit) prepare(set logic.Settings, eventLoop *loop.Loop, board *plans.Board, callers, endpoints int) loop.Caller {
+func (r *rateLimit) prepare(set logic.Settings, eventLoop *loop.Loop, board *plans.TierStore, callers, endpoints int) loop.Caller {
 	r.front = ratelimit.NewFront(set, eventLoop, board, r.Domain, r.Others != nil, callers)
 	r.caller = ratelimit.NewCaller(eventLoop.Post, loop.Now, endpoints)
 	if r.Others != nil {
-		r.group = xds.New(*r.Others, ratelimit.OthersGroup, set, r.caller, eventLoop.Post)
+		r.group = xds.New(*r.Others, ratelimit.ExternalGroup, set, r.caller, eventLoop.Post)
 	}
 	return r.caller
 }
--- a/cmd/bramblefall/reserve.go
+++ b/cmd/bramblefall/reserve.go
@@ -58,7 +58,7 @@
 				Until: time.Duration(until.UnixNano())}
 			return r.call(func(ctx context.Context, client adminpb.AdminClient) error {
 				b, err := client.GrantReservation(ctx, &adminpb.GrantReservationRequest{
-					Reservation: admin.ReservationOut(x, core.ReservationUse{})})
+					Reservation: admin.ReservationToProto(x, core.ReservationUse{})})
 				if err != nil {
 					return err
 				}
--- a/cmd/bramblefall/rolling_test.go
+++ b/cmd/bramblefall/rolling_test.go
@@ -92,7 +92,7 @@
 // sendRequest sends one request and reports whether its whole answer arrived.
 func (r *rolling) sendRequest(rng *rand.Rand, conn net.Conn, in *bufio.Reader) bool {
 	id := fmt.Sprintf("%016x", r.ids.Add(1))
-	args := standin.Command(rng, id)
+	args := standin.RandomCommand(rng, id)
 	_ = conn.SetDeadline(time.Now().Add(testTimeout))
 	_, err := conn.Write([]byte(encodeCommand(toStrings(args)...)))
 	line := ""
@@ -112,7 +112,7 @@
 		r.served++
 	}
 	if err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
-		r.peers.Audit.Find("request %s: %v", id, err)
+		r.peers.Audit.Reportf("request %s: %v", id, err)
 	}
 	return err == nil
 }
@@ -155,14 +155,14 @@
 func TestRollingRestartUnderLoadAnswersAllAcceptedRequests(t *testing.T) { // not in parallel: it needs the whole machine
 	r := &rolling{answered: map[string]bool{}}
 	r.fleet = startFleet(t, 8, func(f *fleet, _ int, _ object) { f.args = []string{"-log", "debug"} },
-		make([]func(int) standin.Trouble, rollingLimiters)...)
+		make([]func(int) standin.AnswerFault, rollingLimiters)...)
 	r.started = append(r.started, r.limiters...)
 	for k, n := range r.peers.Nodes {
 		n.Handle = func(_ *standin.Node, args [][]byte) ([]byte, bool, time.Duration) {
 			if k%4 == 1 {
 				return nil, true, hangDuration
 			}
-			return standin.Value(string(args[2])), true, 20 * time.Millisecond
+			return standin.ValueReply(string(args[2])), true, 20 * time.Millisecond
 		}
 	}
 	stop := make(chan struct{})
--- a/cmd/bramblefall/serve.go
+++ b/cmd/bramblefall/serve.go
@@ -47,15 +47,15 @@
 	}
 	descriptors := max(cfg.Limits.Sockets, minDescriptors) - reservedDescriptors
 	service := newRateLimit(file.RateLimit)
-	callers, endpoints := ratelimit.Descriptors(descriptors)
+	callers, endpoints := ratelimit.SplitConnections(descriptors)
 	if service != nil {
 		descriptors = max(descriptors-callers-endpoints, minDescriptors)
 	}
 	if file.Admin != nil {
 		descriptors = max(descriptors-admin.Descriptors, minDescriptors)
 	}
-	counterConns := counter.Connections(len(file.Counters), max(cfg.Limits.Sockets, minDescriptors))
-	descriptors -= min(counterConns-counter.Connections(0, 0), descriptors/2) // only those beyond the counter's connections in reservedDescriptors
+	counterConns := counter.MaxConnections(len(file.Counters), max(cfg.Limits.Sockets, minDescriptors))
+	descriptors -= min(counterConns-counter.MaxConnections(0, 0), descriptors/2) // only those beyond the counter's connections in reservedDescriptors
 	book, keeper, err := openBook(cfg, file)
 	if err != nil {
 		return err
@@ -63,10 +63,10 @@
 	if n := cfg.settings.Gateways; cfg.settings.Rank < 0 || cfg.settings.Rank >= n {
 		slog.Warn("this limiter's number is beyond the fleet: using it modulo the number of limiters", "number", cfg.settings.Rank, "limiters", n)
 	}
-	board := &plans.Board{}
+	board := &plans.TierStore{}
 	reducer := core.New(cfg.settings, cfg.seed, book)
 	if file.Counters != nil {
-		reducer.Spread(loop.Now(), file.CounterAddresses(), false)
+		reducer.ShardCounters(loop.Now(), file.CounterAddresses(), false)
 	}
 	eventLoop := loop.New(reducer)
 	pool := upstream.New(cfg.settings, descriptors/2, eventLoop.Post, loop.Now)
@@ -80,14 +80,14 @@
 		groups = append(groups, service.prepare(cfg.settings, eventLoop, board, callers, endpoints))
 	}
 	eventLoop.Connect(groups, counts, board, keeper)
-	eventLoop.Begin()
-	discoveryClient.Known(cfg.Known)
+	eventLoop.Start()
+	discoveryClient.ApplyCached(cfg.Known)
 	for _, run := range []func(context.Context){eventLoop.Run, pool.Run, counts.Run, discoveryClient.Run} {
 		crash.Go(func() { run(ctx) })
 	}
 	if cfg.Discovery != "" {
 		select {
-		case <-discoveryClient.Heard():
+		case <-discoveryClient.Synced():
 		case <-time.After(firstListTimeout):
 			slog.Info("discovery says nothing yet, serving by the list that was known", "servers", len(cfg.Known.Servers))
 		case <-received.terminate:
@@ -124,7 +124,7 @@
 		}
 	})
 	<-received.terminate
-	finalAnswers := time.After(lastAnswersAfter(cfg.settings.Classes))
+	finalAnswers := time.After(finalAnswersAfter(cfg.settings.Classes))
 	slog.Info("draining", "open", eventLoop.Open())
 	drained := make(chan struct{})
 	crash.Go(func() {
@@ -140,7 +140,7 @@
 
 // lastAnswersAfter returns how long after SIGTERM the requests that are still open get their final answers. The platform waits
 // at least the longest deadline plus 0.7 s after SIGTERM before it sends SIGKILL. It takes a deadline above 3 s as 3 s.
-func lastAnswersAfter(classes []logic.Class) time.Duration {
+func finalAnswersAfter(classes []logic.Class) time.Duration {
 	longest := time.Duration(0)
 	for _, c := range classes {
 		longest = max(longest, c.Deadline)
@@ -149,11 +149,11 @@
 }
 
 // openBook creates the plan book from the platform's tiers, the stored plans in the state directory and the operators' file.
-func openBook(cfg config, file operator.File) (*plans.Book, loop.Keeper, error) {
+func openBook(cfg config, file operator.File) (*plans.Book, loop.PlanStore, error) {
 	limits := file.Limits
-	limits.MostUnits = cfg.settings.MostUnits
+	limits.MaxRequestUnits = cfg.settings.MostUnits
 	book := plans.New(cfg.settings.Plans, limits)
-	var keeper loop.Keeper
+	var keeper loop.PlanStore
 	if file.StateDir != "" {
 		dir, err := state.Open(file.StateDir)
 		if err != nil {
@@ -213,18 +213,18 @@
 	before := c.platform
 	c.platform, c.listed = platform, listed
 	if c.hadList = c.hadList || listed != nil; !c.hadList {
-		c.Move(platform)
+		c.SetAddress(platform)
 		return
 	}
 	if listed == nil {
 		listed = []string{platform}
 	}
-	eventLoop.Post(core.Counters{Before: before, Addresses: listed})
+	eventLoop.Post(core.CounterList{Previous: before, Addresses: listed})
 }
 
 // changePlans posts a change to the reducer and logs the result.
 func changePlans(eventLoop *loop.Loop, source string, change any) {
-	eventLoop.Post(core.Ask{Question: change, Reply: func(r core.Reply) {
+	eventLoop.Post(core.PlanCommand{Command: change, Reply: func(r core.Reply) {
 		if r.Err != nil {
 			slog.Error("plans cannot be used, the old ones are kept", "from", source, "err", r.Err)
 			return
--- a/cmd/bramblefall/soak_test.go
+++ b/cmd/bramblefall/soak_test.go
@@ -94,18 +94,18 @@
 	}
 	switch {
 	case s.nodesHang && n.ID < "s-2":
-		return standin.Value(id), true, hangDuration
+		return standin.ValueReply(id), true, hangDuration
 	case chance < 0.12:
 		return []byte("-ERR failed\r\n"), true, 0
 	}
-	return standin.Value(id), true, time.Duration(chance*30) * time.Millisecond
+	return standin.ValueReply(id), true, time.Duration(chance*30) * time.Millisecond
 }
 
 // newRequest returns the id and the encoded command of a new request and records it. It is recorded before it is sent, since a
 // failed write may still have reached the limiter.
 func (s *soak) newRequest(rng *rand.Rand) (id, text string) {
 	id = fmt.Sprintf("%016x", s.ids.Add(1))
-	args := standin.Command(rng, id)
+	args := standin.RandomCommand(rng, id)
 	timeout := time.Duration(200+rng.IntN(int(s.deadline.Milliseconds())-200)) * time.Millisecond
 	args[3] = deadlineField.ReplaceAll(args[3], fmt.Appendf(nil, "d=%d", timeout.Milliseconds()))
 	s.mu.Lock()
@@ -325,7 +325,7 @@
 	if code := l.Cmd.ProcessState.ExitCode(); code != 0 {
 		s.addFinding("the limiter exited with code %d, want 0", code)
 	}
-	if crash := l.Crashed(); crash != "" {
+	if crash := l.CrashLog(); crash != "" {
 		s.addFinding("%s", crash)
 	}
 	found, _ := s.peers.Audit.Findings()
--- a/cmd/bramblelab/capacity.go
+++ b/cmd/bramblelab/capacity.go
@@ -82,17 +82,17 @@
 			binary := o.binary
 			if binary == "" {
 				o.logf(c, "building the limiter")
-				if binary, err = lab.Build(c.Context(), dir); err != nil {
+				if binary, err = lab.BuildLimiter(c.Context(), dir); err != nil {
 					return err
 				}
 			}
-			sizes := scale.FullResident()
+			sizes := scale.FullResidentSizes()
 			if o.quick {
-				sizes = scale.QuickResident()
+				sizes = scale.QuickResidentSizes()
 			}
 			slopes, rejectedListSizes, err := scale.Resident(c.Context(), binary, sizes, parts, func(format string, args ...any) { o.logf(c, format, args...) })
 			f := scale.Figures{Version: 1, Quick: o.quick, Slopes: slopes, Quota: []scale.QuotaError{}, Moments: []scale.Moment{}, Added: []scale.AddedTime{}}
-			f.Cores, f.MemoryMB = scale.Machine()
+			f.Cores, f.MemoryMB = scale.MachineSize()
 			if err != nil {
 				f.Partial = err.Error()
 			}
--- a/cmd/bramblelab/capacity_test.go
+++ b/cmd/bramblelab/capacity_test.go
@@ -32,7 +32,7 @@
 func TestCapacityRewritesPageAndReportsWhatIsMissing(t *testing.T) {
 	dir := t.TempDir()
 	figures, page := filepath.Join(dir, "figures.json"), filepath.Join(dir, "CAPACITY.md")
-	raw, err := json.Marshal(scale.Figures{Version: 1, Slopes: []scale.Slope{{Role: "limiter", What: "memory", Unit: "bytes",
+	raw, err := json.Marshal(scale.Figures{Version: 1, Slopes: []scale.Slope{{Role: "limiter", Quantity: "memory", Unit: "bytes",
 		Against: "servers", Sizes: []float64{0, 1}, Values: []float64{1e6, 3e6}, Intercept: 1e6, PerUnit: 2e6}}})
 	require.NoError(t, err)
 	require.NoError(t, os.WriteFile(figures, raw, 0o600))
--- a/cmd/bramblelab/main.go
+++ b/cmd/bramblelab/main.go
@@ -72,7 +72,7 @@
 
 func (o *commonFlags) selectedPolicies() (list []model.Policy, err error) {
 	if slices.Contains(o.policyNames, "all") {
-		return append(model.Textbook(), model.Own()), nil
+		return append(model.TextbookPolicies(), model.ProjectPolicy()), nil
 	}
 	for _, name := range o.policyNames {
 		p, ok := model.PolicyNamed(name)
@@ -104,16 +104,16 @@
 		if err := os.MkdirAll(o.out, 0o755); err != nil {
 			return err
 		}
-		if err := t.Keep(o.out); err != nil {
+		if err := t.WriteFiles(o.out); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (o *commonFlags) progressLogger(c *cobra.Command, of int) func(int, lab.Done) {
-	return func(n int, d lab.Done) {
-		o.logf(c, "%d of %d: %s, %s, seed %d, worth %.3f", n, of, d.Result.Scenario, d.Policy.Name, d.Seed, d.Result.Worth())
+func (o *commonFlags) progressLogger(c *cobra.Command, of int) func(int, lab.JobResult) {
+	return func(n int, d lab.JobResult) {
+		o.logf(c, "%d of %d: %s, %s, seed %d, worth %.3f", n, of, d.Result.Scenario, d.Policy.Name, d.Seed, d.Result.WorthShare())
 	}
 }
 
@@ -160,7 +160,7 @@
 					jobs = append(jobs, lab.Job{Scenario: s, Policy: p, Seed: o.seed + uint64(n), MeasureCPU: true})
 				}
 			}
-			list := lab.Parallel(c.Context(), jobs, o.progressLogger(c, len(jobs)))
+			list := lab.RunJobs(c.Context(), jobs, o.progressLogger(c, len(jobs)))
 			if err := o.printTables(c, lab.ResultsTable(s.Name, list)); err != nil {
 				return err
 			}
@@ -171,7 +171,7 @@
 					for _, b := range d.Result.Check(s.Bounds) {
 						failedBounds = append(failedBounds, fmt.Sprintf("seed %d: %s", d.Seed, b))
 					}
-					worth = append(worth, d.Result.Worth())
+					worth = append(worth, d.Result.WorthShare())
 				}
 			}
 			return reportOutcome(c, failedBounds, fmt.Sprintf("worth served of worth asked inside quotas %.4f", lab.MeanInterval(worth).Mean))
@@ -189,7 +189,7 @@
 	if err != nil {
 		return err
 	}
-	modelled := model.New(scenario, o.seed, model.Own(), false).Run()
+	modelled := model.New(scenario, o.seed, model.ProjectPolicy(), false).Run()
 	if err := o.printTables(c, lab.AgreementTable(scenario, modelled, measured)); err != nil {
 		return err
 	}
@@ -197,7 +197,7 @@
 	if n := measured.Outcomes[lab.Unanswered]; n > 0 {
 		failedBounds = append(failedBounds, fmt.Sprintf("%d requests without a final answer", n))
 	}
-	return reportOutcome(c, failedBounds, fmt.Sprintf("worth served of worth asked inside quotas %.4f, in the model %.4f", measured.WorthShare, modelled.Worth()))
+	return reportOutcome(c, failedBounds, fmt.Sprintf("worth served of worth asked inside quotas %.4f, in the model %.4f", measured.WorthShare, modelled.WorthShare()))
 }
 
 // reportOutcome prints the bounds that do not hold (for replay: the rules that broke) and, as the last line, the main
@@ -240,12 +240,12 @@
 					}
 				}
 			}
-			list := lab.Parallel(c.Context(), jobs, o.progressLogger(c, len(jobs)))
+			list := lab.RunJobs(c.Context(), jobs, o.progressLogger(c, len(jobs)))
 			if err := o.printTables(c, lab.ResultsTable("sweep", list)); err != nil || o.out == "" {
 				return err
 			}
 			index := -1
-			return lab.SweepChart(list, func(lab.Done) float64 { index++; return parameterValues[index] }, name, metric).Keep(o.out)
+			return lab.SweepChart(list, func(lab.JobResult) float64 { index++; return parameterValues[index] }, name, metric).WriteSVG(o.out)
 		}}
 	o.register(c, true)
 	c.Flags().StringVar(&metric, "metric", metric, "metric of the chart: worth, over, refused, room, calls, p99, cpu, ceiling or broken")
@@ -310,7 +310,7 @@
 				}
 				policy, ok := model.PolicyNamed(name)
 				if !ok {
-					policy = model.Own()
+					policy = model.ProjectPolicy()
 					if s, err = o.loadScenario(name); err != nil {
 						return err
 					}
@@ -319,7 +319,7 @@
 					sides[i] = append(sides[i], lab.Job{Scenario: s, Policy: policy, Seed: o.seed + uint64(n), MeasureCPU: true})
 				}
 			}
-			list := lab.Parallel(c.Context(), append(sides[0], sides[1]...), o.progressLogger(c, 2*o.seeds))
+			list := lab.RunJobs(c.Context(), append(sides[0], sides[1]...), o.progressLogger(c, 2*o.seeds))
 			if len(list) < 2*o.seeds {
 				return c.Context().Err()
 			}
@@ -343,13 +343,13 @@
 			if err != nil {
 				return err
 			}
-			found := lab.Search(c.Context(), s, policies[0], o.seed, o.seeds, func(n int, d lab.Done) {
-				if n%20 == 0 || d.Result.Broken > 0 {
-					o.logf(c, "%d of %d, seed %d: worth %.3f, %d broken rules", n, o.seeds, d.Seed, d.Result.Worth(), d.Result.Broken)
+			found := lab.Search(c.Context(), s, policies[0], o.seed, o.seeds, func(n int, d lab.JobResult) {
+				if n%20 == 0 || d.Result.ViolationCount > 0 {
+					o.logf(c, "%d of %d, seed %d: worth %.3f, %d broken rules", n, o.seeds, d.Seed, d.Result.WorthShare(), d.Result.ViolationCount)
 				}
 			})
 			broken := 0
-			t := &lab.Table{Name: "search", Head: []string{"seed", "worth", "faults", "broken"}}
+			t := &lab.Table{Name: "search", Columns: []string{"seed", "worth", "faults", "broken"}}
 			for _, f := range found {
 				t.Add(f.Seed, f.Worth, fmt.Sprintf("%+v", f.Scenario.Faults), strings.Join(f.Violations, "; "))
 				if len(f.Violations) > 0 {
@@ -387,11 +387,11 @@
 			if err := json.Unmarshal(raw, &f); err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
-			list := lab.Parallel(c.Context(), []lab.Job{{Scenario: f.Scenario, Policy: model.Own(), Seed: f.Seed}}, nil)
+			list := lab.RunJobs(c.Context(), []lab.Job{{Scenario: f.Scenario, Policy: model.ProjectPolicy(), Seed: f.Seed}}, nil)
 			if err := o.printTables(c, lab.ResultsTable("replay", list)); err != nil {
 				return err
 			}
-			return reportOutcome(c, list[0].Result.Violations, fmt.Sprintf("worth %.4f", list[0].Result.Worth()))
+			return reportOutcome(c, list[0].Result.Violations, fmt.Sprintf("worth %.4f", list[0].Result.WorthShare()))
 		}}
 	o.register(c, false)
 	return c
@@ -408,7 +408,7 @@
 func reportCommand() *cobra.Command {
 	return &cobra.Command{Use: "report DIR", Args: cobra.ExactArgs(1), Short: "Put a directory's tables and charts on one HTML page",
 		RunE: func(c *cobra.Command, args []string) error {
-			path, err := lab.Page(args[0])
+			path, err := lab.WriteHTMLPage(args[0])
 			if err != nil {
 				return err
 			}
--- a/cmd/bramblelab/quota.go
+++ b/cmd/bramblelab/quota.go
@@ -22,8 +22,8 @@
 			say := func(text string) { o.logf(c, "%s", text) }
 			f := scale.Figures{Version: 1, Seed: o.seed, Quick: o.quick, Cores: runtime.GOMAXPROCS(0)}
 			var err error
-			if f.Quota, err = scale.Quota(c.Context(), o.seed, o.quick, say); err == nil {
-				f.Moments, err = scale.Modelled(c.Context(), o.seed, o.quick, say)
+			if f.Quota, err = scale.MeasureQuota(c.Context(), o.seed, o.quick, say); err == nil {
+				f.Moments, err = scale.MeasureModelled(c.Context(), o.seed, o.quick, say)
 			}
 			if err != nil {
 				f.Partial = err.Error()
--- a/cmd/bramblelab/scale.go
+++ b/cmd/bramblelab/scale.go
@@ -35,19 +35,19 @@
 				return err
 			}
 			figures, err := scale.Run(c.Context(), scale.Options{Seed: o.seed, Quick: o.quick, Sizes: sizes, Model: withModel, Binary: o.binary, Listen: listen,
-				Child: func(role string) *exec.Cmd { return exec.Command(executable, scaleChildCommandName, role) },
-				Say:   func(format string, args ...any) { o.logf(c, format, args...) }})
+				ChildCommand: func(role string) *exec.Cmd { return exec.Command(executable, scaleChildCommandName, role) },
+				Progress:     func(format string, args ...any) { o.logf(c, format, args...) }})
 			if figures == nil {
 				return err
 			}
 			writeErr := o.printTables(c, figures.Tables()...)
 			if o.out != "" {
-				writeErr = errors.Join(writeErr, figures.Keep(o.out))
+				writeErr = errors.Join(writeErr, figures.Write(o.out))
 			}
 			if err := errors.Join(err, writeErr); err != nil {
 				return err
 			}
-			return reportOutcome(c, figures.Broken(), figures.Main())
+			return reportOutcome(c, figures.BrokenBars(), figures.Summary())
 		}}
 	c.Flags().Uint64Var(&o.seed, "seed", 1, "seed of the load")
 	c.Flags().BoolVar(&o.quick, "quick", false, "a short run, under 60 s")
--- a/cmd/bramblelab/watch.go
+++ b/cmd/bramblelab/watch.go
@@ -21,7 +21,7 @@
 			if err != nil {
 				return err
 			}
-			v := &view{world: model.New(s, o.seed, model.Own(), true), scenario: s, secondsPerSecond: speed}
+			v := &view{world: model.New(s, o.seed, model.ProjectPolicy(), true), scenario: s, secondsPerSecond: speed}
 			_, err = tea.NewProgram(v, tea.WithContext(c.Context())).Run()
 			return err
 		}}
@@ -72,7 +72,7 @@
 
 // advance runs the model on to playedSeconds and adds a line on what has happened since the last step.
 func (v *view) advance() {
-	r := v.world.Play(v.playedSeconds)
+	r := v.world.RunUntil(v.playedSeconds)
 	served, refused, asked := r.Served-v.last.Served, r.Refused-v.last.Refused, r.Requests-v.last.Requests
 	// If all that was asked is served, the bar has 10 to 20 characters, nearly 20 from some hundred requests in a step on
 	// and fewer than 10 below ten requests. It ends at 40.
@@ -86,8 +86,8 @@
 	r := v.last
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s: %d limiters, %d nodes, %d firms\n\n%s\n\n", v.scenario.Name, v.scenario.Limiters, v.scenario.Nodes, v.scenario.Firms.Count, strings.Join(v.lines, "\n"))
-	fmt.Fprintf(&b, "worth %.3f   beyond quotas %.2f%%   counter calls each %.2f   p99 %.2f s   broken rules %d\n", r.Worth(), 100*r.OverQuota(),
-		r.CallsEach(), r.P99, r.Broken)
+	fmt.Fprintf(&b, "worth %.3f   beyond quotas %.2f%%   counter calls each %.2f   p99 %.2f s   broken rules %d\n", r.WorthShare(), 100*r.OverQuotaShare(),
+		r.CallsPerRequest(), r.P99Seconds, r.ViolationCount)
 	for _, n := range v.world.Nodes() {
 		fmt.Fprintf(&b, "%s", nodeSymbol(n))
 	}
@@ -103,9 +103,9 @@
 		return "x"
 	case node.Draining:
 		return "-"
-	case node.Busy >= 1.5:
+	case node.JobsPerCore >= 1.5:
 		return "O"
-	case node.Busy >= 0.7:
+	case node.JobsPerCore >= 0.7:
 		return "o"
 	}
 	return "."
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -88,7 +88,7 @@
 		return fmt.Errorf("admin socket: %w", err)
 	}
 	crash.Go(func() {
-		_ = s.server.Serve(socket.Steady(l))
+		_ = s.server.Serve(socket.RetryAccept(l))
 		_ = os.Remove(path)
 	})
 	return nil
@@ -102,7 +102,7 @@
 	ctx, cancel := context.WithTimeout(ctx, replyTimeout)
 	defer cancel()
 	reply := make(chan core.Reply, 1) // buffered: the reducer does not block if the caller has given up
-	s.reducer.Post(core.Ask{Question: question, Reply: func(r core.Reply) { reply <- r }})
+	s.reducer.Post(core.PlanCommand{Command: question, Reply: func(r core.Reply) { reply <- r }})
 	select {
 	case r := <-reply:
 		if r.Err != nil {
--- a/internal/admin/convert.go
+++ b/internal/admin/convert.go
@@ -40,7 +40,7 @@
 }
 
 // VersionOut converts a version to its protobuf message.
-func VersionOut(v plans.Version) *adminpb.Version {
+func VersionToProto(v plans.Version) *adminpb.Version {
 	out := &adminpb.Version{Number: v.Number, Effective: toTimestamp(v.Effective), Note: v.Note, Author: v.Author, Source: string(v.Source)}
 	for _, t := range v.Tiers {
 		out.Tiers = append(out.Tiers, tierToProto(t))
@@ -74,7 +74,7 @@
 }
 
 // ReservationOut converts a reservation and its use to its protobuf message.
-func ReservationOut(r plans.Reservation, use core.ReservationUse) *adminpb.Reservation {
+func ReservationToProto(r plans.Reservation, use core.ReservationUse) *adminpb.Reservation {
 	return &adminpb.Reservation{Id: r.ID, Firm: r.Firm, Units: r.Units, Rate: r.Rate, Start: toTimestamp(r.From), End: toTimestamp(r.Until),
 		Note: r.Note, Source: string(r.Source), State: string(r.State), Used: use.Used, Leased: use.Leased}
 }
@@ -86,16 +86,16 @@
 }
 
 func bookToProto(r core.Reply) *adminpb.Book {
-	out := &adminpb.Book{Current: VersionOut(r.Book.Current), Now: toTimestamp(r.Now), Requests: map[uint64]uint64{}}
+	out := &adminpb.Book{Current: VersionToProto(r.Book.Current), Now: toTimestamp(r.Now), Requests: map[uint64]uint64{}}
 	for _, v := range r.Book.Pending {
-		out.Pending = append(out.Pending, VersionOut(v))
+		out.Pending = append(out.Pending, VersionToProto(v))
 	}
 	for _, e := range r.Book.History {
-		out.History = append(out.History, &adminpb.Ended{Version: VersionOut(e.Version), Began: toTimestamp(e.Began), Until: toTimestamp(e.Until),
+		out.History = append(out.History, &adminpb.Ended{Version: VersionToProto(e.Version), Began: toTimestamp(e.Began), Until: toTimestamp(e.Until),
 			Withdrawn: e.Withdrawn})
 	}
 	for _, x := range r.Book.Reservations {
-		out.Reservations = append(out.Reservations, ReservationOut(x, r.Uses[x.ID]))
+		out.Reservations = append(out.Reservations, ReservationToProto(x, r.Uses[x.ID]))
 	}
 	for _, t := range r.Tally.Versions {
 		out.Requests[t.Number] += t.Requests
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -161,7 +161,7 @@
 		}
 		for _, b := range f.Bars {
 			if !b.Holds {
-				list = append(list, noteBar+oneLine(b.Name+" (was "+b.Was+")"))
+				list = append(list, noteBar+oneLine(b.Name+" (was "+b.Measured+")"))
 			}
 		}
 	}
@@ -363,7 +363,7 @@
 		sizes = append(sizes, formatNumber(n))
 	}
 	return []string{fmt.Sprintf("%.3g %s", s.PerUnit, s.Unit), fmt.Sprintf("%.2g", s.Error), fmt.Sprintf("%.3g", s.Intercept),
-		strings.Join(sizes, "; "), s.Held}
+		strings.Join(sizes, "; "), s.HeldConstant}
 }
 
 // checkRoleRows checks the rows of one role.
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -14,14 +14,14 @@
 func testFigures() File {
 	return File{"some/where/a.json", scale.Figures{Version: 1, Cores: 4, MemoryMB: 8000,
 		Slopes: []scale.Slope{
-			{Role: "limiter", What: "memory", Unit: "bytes", Against: "servers", Sizes: []float64{1000, 5000}, Values: []float64{11e6, 15e6},
-				Intercept: 10e6, PerUnit: 1000, Error: 10, Held: "no tenants"},
-			{Role: "counter", What: "messages", Unit: "1/s", Against: "requests", Sizes: []float64{1000, 3000}, Values: []float64{500, 1500},
-				Intercept: 0, PerUnit: 0.5, Held: "4 limiters"},
+			{Role: "limiter", Quantity: "memory", Unit: "bytes", Against: "servers", Sizes: []float64{1000, 5000}, Values: []float64{11e6, 15e6},
+				Intercept: 10e6, PerUnit: 1000, Error: 10, HeldConstant: "no tenants"},
+			{Role: "counter", Quantity: "messages", Unit: "1/s", Against: "requests", Sizes: []float64{1000, 3000}, Values: []float64{500, 1500},
+				Intercept: 0, PerUnit: 0.5, HeldConstant: "4 limiters"},
 		},
-		Quota:   []scale.QuotaError{{Plan: "all", Limiters: 570, Counters: 1, Beyond: 0.07, CallsPerRequest: 0.05, Seeds: 3}},
-		Moments: []scale.Moment{{Name: "change", Limiters: 285, Servers: 57000, P99: 0.4, Last: 0.6, Messages: 285, Bytes: 36195}},
-		Added:   []scale.AddedTime{{PerSecond: 100, Control: true, P50: 0.5, P99: 1.5, Requests: 9000}},
+		Quota:   []scale.QuotaError{{Plan: "all", Limiters: 570, Counters: 1, BeyondShare: 0.07, CallsPerRequest: 0.05, Seeds: 3}},
+		Moments: []scale.Moment{{Name: "change", Limiters: 285, Servers: 57000, P99Seconds: 0.4, LastSeconds: 0.6, Messages: 285, Bytes: 36195}},
+		Added:   []scale.AddedTime{{RequestsPerSecond: 100, WithChanges: true, P50MS: 0.5, P99MS: 1.5, TimedRequests: 9000}},
 	}}
 }
 
@@ -199,12 +199,12 @@
 		"the model taken for a measurement":        {old: "| model,", new: "| measured,", want: "where it is from is"},
 		"a missing slope with a figure":            {old: "| missing | missing | — | missing |", new: "| 3 % | measured | — | has |", want: `figure is "3 %", and "missing" follows`},
 		"a missing slope that is there": {figures: func(f *File) {
-			f.Slopes = append(f.Slopes, scale.Slope{Role: "limiter", What: "processor", Against: "routes", Sizes: []float64{1, 2}, Values: []float64{1, 2}, PerUnit: 1})
+			f.Slopes = append(f.Slopes, scale.Slope{Role: "limiter", Quantity: "processor", Against: "routes", Sizes: []float64{1, 2}, Values: []float64{1, 2}, PerUnit: 1})
 		}, want: "is named as missing, and it is there"},
 		"nothing said of what carries it":         {old: "| has | a watch |", new: "| has | |", want: "nothing is said of what carries it"},
 		"partial figures, not told":               {figures: func(f *File) { f.Partial = "stopped" }, want: `no line says "- Partial: stopped"`},
 		"quick figures, not told":                 {figures: func(f *File) { f.Quick = true }, want: `no line says "- Quick:`},
-		"a broken bar, not told":                  {figures: func(f *File) { f.Bars = []scale.Bar{{Name: "all heard", Was: "no"}} }, want: `no line says "- Bar broken: all heard (was no)"`},
+		"a broken bar, not told":                  {figures: func(f *File) { f.Bars = []scale.Bar{{Name: "all heard", Measured: "no"}} }, want: `no line says "- Bar broken: all heard (was no)"`},
 		"a moment that did not reach all":         {figures: func(f *File) { f.Moments[0].Note = "3 hollow limiters had not heard of it in time" }, want: "measured, not all reached"},
 		"told as partial, and is not":             {old: "## Target", new: "- Partial: stopped\n\n## Target", want: "no run of the figures says so"},
 		"a target's value that is no figure":      {old: "| limiters | 5,700 |", new: "| limiters | many |", want: `limiters: "many" is no figure`},
@@ -259,7 +259,7 @@
 	assert.Empty(t, Check(page, one, other).Findings)
 	assert.NotEmpty(t, Check(page, one).Findings)
 	other.Partial = "stopped by hand"
-	other.Bars = []scale.Bar{{Name: "all heard", Was: "3"}, {Name: "all ran", Holds: true}}
+	other.Bars = []scale.Bar{{Name: "all heard", Measured: "3"}, {Name: "all ran", Holds: true}}
 	told := Check(page, one, other).Page
 	assert.Contains(t, told, "`b/c.json`\n\n- Bar broken: all heard (was 3)\n- Partial: stopped by hand\n\n## Target")
 	assert.Empty(t, Check(told, one, other).Findings)
@@ -268,8 +268,8 @@
 
 func TestAddedTakesLargestMatchingTime(t *testing.T) {
 	f := testFigures()
-	f.Added = []scale.AddedTime{{PerSecond: 63, Control: true, P99: 2, Limiters: 100}, {PerSecond: 63, Control: true, P99: 3, Limiters: 57},
-		{PerSecond: 63, Control: true, P99: 36, Limiters: 5700}, {PerSecond: 630, Control: true, P99: 5, Limiters: 100}, {PerSecond: 63, P99: 99}}
+	f.Added = []scale.AddedTime{{RequestsPerSecond: 63, WithChanges: true, P99MS: 2, Limiters: 100}, {RequestsPerSecond: 63, WithChanges: true, P99MS: 3, Limiters: 57},
+		{RequestsPerSecond: 63, WithChanges: true, P99MS: 36, Limiters: 5700}, {RequestsPerSecond: 630, WithChanges: true, P99MS: 5, Limiters: 100}, {RequestsPerSecond: 63, P99MS: 99}}
 	r := &reviewer{figures: merge([]File{f}), names: values{"limiters": 5700, "requests": 5700 * 63, "servers": 1}}
 	for formula, want := range map[string]string{
 		`added("p99_ms", control=True, per_second=63)`:                    "0.0360 measured",
@@ -285,7 +285,7 @@
 func TestLastFileWinsForSameModelRun(t *testing.T) {
 	f := testFigures()
 	longer := File{"b.json", scale.Figures{Version: 1, Quota: []scale.QuotaError{f.Quota[0]}}}
-	longer.Quota[0].Beyond = 0.03
+	longer.Quota[0].BeyondShare = 0.03
 	for want, from := range map[float64][]File{0.07: {longer, f}, 0.03: {f, longer}} {
 		r := &reviewer{figures: merge(from), names: values{}}
 		n, err := r.evaluate(`quota("all", "beyond", limiters=570)`)
@@ -301,7 +301,7 @@
 func TestHeldSelectsAmongSlopes(t *testing.T) {
 	f := testFigures()
 	more := f.Slopes[1]
-	more.Held, more.Values, more.PerUnit = "300 limiters", []float64{50, 150}, 0.05
+	more.HeldConstant, more.Values, more.PerUnit = "300 limiters", []float64{50, 150}, 0.05
 	f.Slopes = append(f.Slopes, more)
 	page := strings.Replace(completedPage(t), `slope("counter", "messages", "requests")`, `slope("counter", "messages", "requests", held="300")`, 1)
 	page = strings.Replace(Check(page, f).Page, " |  |\n", " | a run |\n", 1)
@@ -315,11 +315,11 @@
 
 func TestLargestFleetIsTakenOfMomentsAndModelRuns(t *testing.T) {
 	f := testFigures()
-	f.Moments = []scale.Moment{{Name: "zone", Limiters: 50, P99: 9}, {Name: "zone", Limiters: 100, P99: 1, Note: "gone"}, {Name: "zone", Limiters: 100, P99: 2, Note: "back"},
-		{Name: "zone", Limiters: 5700, P99: 7, Model: true, Values: map[string]float64{"late": 3}}}
-	f.Quota = []scale.QuotaError{{Plan: "all", Set: "a", Limiters: 3, Counters: 1, Speed: 1, CallsPerRequest: 0.5}, {Plan: "all", Set: "a", Limiters: 30, Counters: 1, Speed: 1, CallsPerRequest: 0.6},
-		{Plan: "all", Set: "a", Limiters: 30, Counters: 1, Speed: 0, CallsPerRequest: 0.7}, {Plan: "all", Set: "b", Limiters: 30, Counters: 1, Speed: 0, CallsPerRequest: 0.8},
-		{Plan: "all", Set: "a", Limiters: 30, Counters: 1, Speed: 0, Free: true, CallsPerRequest: 0.9}, {Plan: "full", Set: "a", Limiters: 300, Counters: 1, CallsPerRequest: 1}}
+	f.Moments = []scale.Moment{{Name: "zone", Limiters: 50, P99Seconds: 9}, {Name: "zone", Limiters: 100, P99Seconds: 1, Note: "gone"}, {Name: "zone", Limiters: 100, P99Seconds: 2, Note: "back"},
+		{Name: "zone", Limiters: 5700, P99Seconds: 7, Model: true, Values: map[string]float64{"late": 3}}}
+	f.Quota = []scale.QuotaError{{Plan: "all", Load: "a", Limiters: 3, Counters: 1, CounterSpeed: 1, CallsPerRequest: 0.5}, {Plan: "all", Load: "a", Limiters: 30, Counters: 1, CounterSpeed: 1, CallsPerRequest: 0.6},
+		{Plan: "all", Load: "a", Limiters: 30, Counters: 1, CounterSpeed: 0, CallsPerRequest: 0.7}, {Plan: "all", Load: "b", Limiters: 30, Counters: 1, CounterSpeed: 0, CallsPerRequest: 0.8},
+		{Plan: "all", Load: "a", Limiters: 30, Counters: 1, CounterSpeed: 0, Unbudgeted: true, CallsPerRequest: 0.9}, {Plan: "full", Load: "a", Limiters: 300, Counters: 1, CallsPerRequest: 1}}
 	r := &reviewer{figures: merge([]File{f}), names: values{"limiters": 5700}}
 	for formula, want := range map[string]string{
 		`moment("zone", "p99_s")`:                                                      "2 measured, extrapolated x57 (limiters)",
@@ -345,7 +345,7 @@
 	page := completedPage(t)
 	f := testFigures()
 	other, more := f.Slopes[0], f.Slopes[0]
-	other.Held, more.Held = "longer lists", "many tenants"
+	other.HeldConstant, more.HeldConstant = "longer lists", "many tenants"
 	f.Slopes = append(f.Slopes[1:], other, more)
 	page = strings.ReplaceAll(page, `"servers", servers)`, `"servers", servers, held="longer")`)
 	require.NotEmpty(t, Check(page, f).Findings)
--- a/internal/capacity/eval.go
+++ b/internal/capacity/eval.go
@@ -45,7 +45,9 @@
 
 func (k slopeID) String() string { return k.slopeKey.String() + ", " + k.held }
 
-func slopeIDOf(s scale.Slope) slopeID { return slopeID{slopeKey{s.Role, s.What, s.Against}, s.Held} }
+func slopeIDOf(s scale.Slope) slopeID {
+	return slopeID{slopeKey{s.Role, s.Quantity, s.Against}, s.HeldConstant}
+}
 
 func (k slopeID) compare(o slopeID) int {
 	return cmp.Or(k.slopeKey.compare(o.slopeKey), cmp.Compare(k.held, o.held))
@@ -69,7 +71,7 @@
 			f.findings = append(f.findings, Finding{0, fmt.Sprintf("figures of version %d, where 1 is known", x.Version)})
 		}
 		for _, s := range x.Slopes {
-			key := slopeKey{s.Role, s.What, s.Against}
+			key := slopeKey{s.Role, s.Quantity, s.Against}
 			if len(s.Sizes) < 2 || len(s.Sizes) != len(s.Values) {
 				f.findings = append(f.findings, Finding{0, fmt.Sprintf("the slope %s has %d sizes and %d values", key, len(s.Sizes), len(s.Values))})
 				continue
@@ -84,7 +86,7 @@
 		}
 		for _, q := range x.Quota { // if several files have the same run, the last file wins
 			sameRun := func(o scale.QuotaError) bool {
-				return o.Plan == q.Plan && o.Set == q.Set && o.Limiters == q.Limiters && o.Counters == q.Counters && o.Speed == q.Speed && o.Free == q.Free
+				return o.Plan == q.Plan && o.Load == q.Load && o.Limiters == q.Limiters && o.Counters == q.Counters && o.CounterSpeed == q.CounterSpeed && o.Unbudgeted == q.Unbudgeted
 			}
 			if at := slices.IndexFunc(f.quota, sameRun); at >= 0 && !slices.ContainsFunc(fileRuns, sameRun) {
 				f.quota[at] = q
@@ -117,7 +119,7 @@
 // slope returns the slope with the given key. If there are several, held has to be a part of the description of the sizes that
 // one of them held constant.
 func (f *figures) slope(key slopeKey, held string) (scale.Slope, error) {
-	list := slices.DeleteFunc(slices.Clone(f.slopes[key]), func(s scale.Slope) bool { return !strings.Contains(s.Held, held) })
+	list := slices.DeleteFunc(slices.Clone(f.slopes[key]), func(s scale.Slope) bool { return !strings.Contains(s.HeldConstant, held) })
 	switch len(list) {
 	case 0:
 		return scale.Slope{}, fmt.Errorf("there is no slope %s", key)
@@ -307,7 +309,7 @@
 		if m.Name != name || m.Model != model || m.Limiters < maxLimiters {
 			continue
 		}
-		v, ok := map[string]float64{"p99_s": m.P99, "last_s": m.Last, "messages": m.Messages, "bytes": m.Bytes,
+		v, ok := map[string]float64{"p99_s": m.P99Seconds, "last_s": m.LastSeconds, "messages": m.Messages, "bytes": m.Bytes,
 			"limiters": float64(m.Limiters), "servers": float64(m.Servers)}[field]
 		if !ok {
 			if v, ok = m.Values[field]; !ok {
@@ -344,7 +346,7 @@
 	}
 	var found []scale.QuotaError
 	for _, q := range r.quota {
-		if s, err := toFloat(speed); q.Plan != plan || q.Counters != counters || q.Free != free || set != "" && q.Set != set || err == nil && !approxEqual(q.Speed, s) {
+		if s, err := toFloat(speed); q.Plan != plan || q.Counters != counters || q.Unbudgeted != free || set != "" && q.Load != set || err == nil && !approxEqual(q.CounterSpeed, s) {
 			continue
 		}
 		switch {
@@ -363,8 +365,8 @@
 	if target, ok := r.names["limiters"]; ok {
 		n.recordSize("limiters", target, float64(q.Limiters))
 	}
-	v, ok := map[string]float64{"beyond": q.Beyond, "refused_with_room": q.RefusedWithRoom, "calls_per_request": q.CallsPerRequest,
-		"unanswered": q.Unanswered, "lost": q.Lost, "calls": q.Calls, "per_second": q.PerSecond, "limiters": float64(q.Limiters)}[field]
+	v, ok := map[string]float64{"beyond": q.BeyondShare, "refused_with_room": q.RefusedWithRoomShare, "calls_per_request": q.CallsPerRequest,
+		"unanswered": q.UnansweredShare, "lost": q.LostCallShare, "calls": q.CallsPerSecond, "per_second": q.RequestsPerSecond, "limiters": float64(q.Limiters)}[field]
 	if !ok {
 		return 0, fmt.Errorf("a quota error has no %q", field)
 	}
@@ -387,19 +389,19 @@
 		rate = v
 	} else {
 		for _, a := range r.figures.added {
-			if a.Control == control && a.Limiters <= maxLimiters {
-				rate = max(rate, a.PerSecond)
+			if a.WithChanges == control && a.Limiters <= maxLimiters {
+				rate = max(rate, a.RequestsPerSecond)
 			}
 		}
 	}
 	largest := -1.0
 	var best scale.AddedTime
 	for _, a := range r.figures.added {
-		if a.Control != control || a.Limiters > maxLimiters || !approxEqual(a.PerSecond, rate) {
+		if a.WithChanges != control || a.Limiters > maxLimiters || !approxEqual(a.RequestsPerSecond, rate) {
 			continue
 		}
-		v, ok := map[string]float64{"p50_ms": a.P50 / 1000, "p99_ms": a.P99 / 1000, "straight_p99_ms": a.Straight / 1000, "per_second": a.PerSecond,
-			"refused": float64(a.Refused), "lost": float64(a.Lost), "served": float64(a.Requests)}[field]
+		v, ok := map[string]float64{"p50_ms": a.P50MS / 1000, "p99_ms": a.P99MS / 1000, "straight_p99_ms": a.DirectP99MS / 1000, "per_second": a.RequestsPerSecond,
+			"refused": float64(a.Refused), "lost": float64(a.Lost), "served": float64(a.TimedRequests)}[field]
 		if !ok {
 			return 0, fmt.Errorf("an added time has no %q", field)
 		}
@@ -411,8 +413,8 @@
 		return 0, fmt.Errorf("there is no added time (control: %v)", control)
 	}
 	n.measured = true
-	if requests, limiters := r.names["requests"], r.names["limiters"]; limiters > 0 && best.PerSecond > 0 {
-		n.recordSize("requests", requests/limiters, best.PerSecond)
+	if requests, limiters := r.names["requests"], r.names["limiters"]; limiters > 0 && best.RequestsPerSecond > 0 {
+		n.recordSize("requests", requests/limiters, best.RequestsPerSecond)
 	}
 	if best.Limiters > 0 {
 		n.recordSize("limiters", r.names["limiters"], float64(best.Limiters))
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -33,7 +33,7 @@
 	for _, f := range review.Findings {
 		t.Error(f)
 	}
-	for name, is := range map[string]float64{"book_firms": plans.MostFirms, "counter_bears": model.Base().Counter.PerSecond} {
+	for name, is := range map[string]float64{"book_firms": plans.MaxFirms, "counter_bears": model.BaseScenario().Counter.CallsPerSecond} {
 		assert.Equal(t, is, review.Names[name], "%s of the page differs from the program's limit", name)
 	}
 }
--- a/internal/core/closing_test.go
+++ b/internal/core/closing_test.go
@@ -33,7 +33,7 @@
 	request := func(id uint64) core.Event {
 		return core.RequestContext{Origin: discardOrigin{}, Request: logic.Request{ID: id, Customer: id, Units: 1, Spread: 1, TTL: time.Second}}
 	}
-	count(core.UpstreamGroup{ServerList: logic.ServerList{Whole: true, Servers: []logic.Server{{ID: 1, Weight: 1, State: logic.Ready}, {ID: 2, Weight: 1, State: logic.Ready}}}})
+	count(core.UpstreamGroup{ServerList: logic.ServerList{Complete: true, Servers: []logic.Server{{ID: 1, Weight: 1, State: logic.Ready}, {ID: 2, Weight: 1, State: logic.Ready}}}})
 	tries, answers := count(request(1))
 	require.Equal(t, []int{1, 0}, []int{tries, answers})
 	_, answers = count(core.Closing{})
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -75,14 +75,14 @@
 // Try forwards a request context to a server (effect).
 type Try struct {
 	Key
-	Group  int
-	Server logic.ServerID
-	Wait   time.Duration // timeout of the try
-	Ends   time.Duration // deadline of the try: when Wait has elapsed
+	Group    int
+	Server   logic.ServerID
+	Timeout  time.Duration // timeout of the try
+	Deadline time.Duration // deadline of the try: when Wait has elapsed
 	// Until is the time from which no byte of the try may be sent: its deadline, or the end of the window in which the
 	// request may be repeated, whichever comes first.
-	Until  time.Duration
-	Origin Origin
+	SendUntil time.Duration
+	Origin    Origin
 }
 
 // Abandon stops waiting for a try (effect). The outcome is Reason, or ConnectFailed if a timeout ends a try that has no
@@ -113,12 +113,12 @@
 
 // Count adds Amount to a name on a counter, unless the call cannot be made before Until (effect).
 type Count struct {
-	Call    uint64
-	Counter int // number of the counter; 0 is the platform's own unless a list names others
-	Name    uint64
-	Amount  float64
-	Lives   time.Duration // TTL of the name on the counter
-	Until   time.Duration // deadline of the call
+	Call     uint64
+	Counter  int // number of the counter; 0 is the platform's own unless a list names others
+	Name     uint64
+	Amount   float64
+	TTL      time.Duration // TTL of the name on the counter
+	Deadline time.Duration // deadline of the call
 }
 
 // CloseIdle closes the idle connections to a server (effect).
@@ -180,7 +180,7 @@
 	now                 time.Duration
 	wallClockAhead      time.Duration // how far the wall clock, in which plans and reservations give times, is ahead of now
 	requests            map[uint64]*requestContext
-	ring                *sharding.Ring     // nil before the first list of counters, while there is only number 0
+	ring                *sharding.Sharder  // nil before the first list of counters, while there is only number 0
 	formerListTimerAt   time.Duration      // when the timer for former lists fires; 0 if it is not set
 	partsInFlight       map[uint64]part    // by the number of the Count effect
 	unreported          map[uint64][]*call // calls whose result the module has not received, by name, in the order in which they were made
@@ -198,7 +198,7 @@
 	r := &Reducer{settings: settings, gateway: logic.New(settings, seed), requests: map[uint64]*requestContext{},
 		partsInFlight: map[uint64]part{}, unreported: map[uint64][]*call{}, groups: map[logic.ServerID]int{}, book: book,
 		reservations: reserve.New(settings.Gateways, settings.Rank, settings.MostUnits)}
-	r.gateway.Use(book, r.reservations)
+	r.gateway.SetPlanSource(book, r.reservations)
 	return r
 }
 
@@ -211,7 +211,7 @@
 	switch e := ev.(type) {
 	case RequestContext:
 		if r.closing { // its deadline may lie beyond the end of the process
-			r.emit(Reject{e.Origin, Elsewhere(r.settings)})
+			r.emit(Reject{e.Origin, ShutdownRetryAfter(r.settings)})
 			break
 		}
 		if e.At > 0 { // without this, time spent in a long inbox would not count against the TTL
@@ -230,15 +230,15 @@
 		r.handleClientGone(e.ID)
 	case ClockStepped:
 		r.wallClockAhead = e.Ahead
-		r.reservations.Ahead(e.Ahead)
+		r.reservations.SetClockOffset(e.Ahead)
 		r.notify(logic.ClockStepped(e))
 		r.advancePlans()
 	case Closing:
 		r.closing = true
 		r.notify(logic.Closing{})
-	case Ask:
+	case PlanCommand:
 		r.handleAsk(e)
-	case Counters:
+	case CounterList:
 		r.handleCounters(e)
 	case Timer:
 		r.handleTimer(e)
@@ -269,7 +269,7 @@
 
 // Elsewhere returns the retry-after time for clients that a limiter turns away while it shuts down. It is 0 if the
 // settings disable retry-after times.
-func Elsewhere(settings logic.Settings) time.Duration {
+func ShutdownRetryAfter(settings logic.Settings) time.Duration {
 	if !settings.RetryAfter {
 		return 0
 	}
@@ -279,7 +279,7 @@
 // handleServerList records the group of each listed server and forgets servers that are no longer listed, whose ids are
 // never reused.
 func (r *Reducer) handleServerList(l logic.ServerList) {
-	if l.Whole && !l.Failed {
+	if l.Complete && !l.Failed {
 		maps.DeleteFunc(r.groups, func(_ logic.ServerID, group int) bool { return group == l.Group })
 	}
 	for _, s := range l.Servers {
@@ -342,7 +342,7 @@
 	}
 	// A try for a request that is done or out of time, or one too many, is not started. The simulator does the same.
 	if q.done || timeout <= 0 || r.settings.MaxAttempts > 0 && n >= r.settings.MaxAttempts {
-		r.mootOutcomes = append(r.mootOutcomes, logic.Outcome{ID: a.ID, Attempt: n, Server: a.Server, Status: logic.Moot, Closed: q.done})
+		r.mootOutcomes = append(r.mootOutcomes, logic.Outcome{ID: a.ID, Attempt: n, Server: a.Server, Status: logic.NotAttempted, RequestOver: q.done})
 		q.tries = append(q.tries, tryState{server: a.Server, sentAt: r.now})
 		return
 	}
@@ -351,7 +351,7 @@
 	if a.Until > 0 {
 		sendUntil = min(sendUntil, a.Until)
 	}
-	r.emit(Try{Key: Key{a.ID, n}, Group: q.group, Server: a.Server, Wait: timeout, Ends: r.now + timeout, Until: sendUntil, Origin: q.origin})
+	r.emit(Try{Key: Key{a.ID, n}, Group: q.group, Server: a.Server, Timeout: timeout, Deadline: r.now + timeout, SendUntil: sendUntil, Origin: q.origin})
 	r.emit(SetTimer{r.now + timeout, Timer{tryTimer, Key{a.ID, n}}})
 }
 
@@ -388,7 +388,7 @@
 	done := q.done
 	r.release(e.ID, q)
 	r.notify(logic.Outcome{ID: e.ID, Attempt: e.Try, Server: t.server, Status: e.Status, Latency: r.now - t.sentAt,
-		Closed: done, Load: e.Load})
+		RequestOver: done, Load: e.Load})
 }
 
 // handleClientGone also abandons the tries in flight, since nobody waits for their answers.
--- a/internal/core/count_test.go
+++ b/internal/core/count_test.go
@@ -32,7 +32,7 @@
 			}
 		}
 	}
-	reduce(core.UpstreamGroup{ServerList: logic.ServerList{Whole: true, Servers: []logic.Server{{ID: 1, Weight: 1, State: logic.Ready}}}})
+	reduce(core.UpstreamGroup{ServerList: logic.ServerList{Complete: true, Servers: []logic.Server{{ID: 1, Weight: 1, State: logic.Ready}}}})
 	for id := uint64(1); id <= 2; id++ {
 		reduce(core.RequestContext{Origin: discardOrigin{}, Request: logic.Request{ID: id, Customer: 7, Units: 1, Spread: 200, TTL: time.Second}})
 	}
--- a/internal/core/counters.go
+++ b/internal/core/counters.go
@@ -10,13 +10,13 @@
 )
 
 // Counters sets the counters over which names are sharded from now on (event).
-type Counters struct {
-	Before    string // address of the single counter, number 0, that was in use if this is the first list
+type CounterList struct {
+	Previous  string // address of the single counter, number 0, that was in use if this is the first list
 	Addresses []string
 }
 
 // Reach sets which counters may be called (effect).
-type Reach struct {
+type SetCounters struct {
 	Counters    map[int]string // addresses by number, including those of former lists
 	ListedCount int            // on the newest list
 	Fingerprint string         // of the newest list
@@ -48,18 +48,18 @@
 // Spread shards names over several counters from the start. It must be called before Begin. settled says that the list has
 // been in force for long. A process that starts in service passes false, since it cannot know whether the list has just
 // changed.
-func (r *Reducer) Spread(now time.Duration, addresses []string, settled bool) {
-	if r.ring = sharding.Start(now, addresses); settled {
+func (r *Reducer) ShardCounters(now time.Duration, addresses []string, settled bool) {
+	if r.ring = sharding.NewUnsynced(now, addresses); settled {
 		r.ring = sharding.New(addresses)
 	}
-	r.gateway.Spread(r.ring)
+	r.gateway.SetCounterMap(r.ring)
 }
 
 // handleCounters takes a new list of counters into use.
-func (r *Reducer) handleCounters(e Counters) {
+func (r *Reducer) handleCounters(e CounterList) {
 	if r.ring == nil {
-		r.ring = sharding.New([]string{e.Before})
-		r.gateway.Spread(r.ring)
+		r.ring = sharding.New([]string{e.Previous})
+		r.gateway.SetCounterMap(r.ring)
 	}
 	if r.ring.Set(r.now, e.Addresses) {
 		r.announceCounters()
@@ -69,8 +69,8 @@
 // announceCounters reports the list of counters to the loop and to the module, and sets the timer for former lists.
 func (r *Reducer) announceCounters() {
 	all := r.ring.Addresses()
-	r.emit(Reach{all, r.ring.Len(), r.ring.Fingerprint()})
-	r.notify(logic.CountersChanged{Listed: slices.Sorted(maps.Keys(all)), Among: r.ring.Len()})
+	r.emit(SetCounters{all, r.ring.Len(), r.ring.Fingerprint()})
+	r.notify(logic.CountersChanged{Numbers: slices.Sorted(maps.Keys(all)), SpreadOver: r.ring.Len()})
 	if at, due := r.ring.Next(); due && (r.formerListTimerAt == 0 || at < r.formerListTimerAt) {
 		r.formerListTimerAt = at
 		r.emit(SetTimer{at, Timer{kind: formerListTimer}})
@@ -88,21 +88,21 @@
 }
 
 func (r *Reducer) startCount(a logic.Count) {
-	r.startCall(&call{name: a.Name, amount: a.Amount, ttl: a.Lives, startedAt: r.now, deadline: r.now + max(r.settings.CounterLimit, a.Wait)},
-		a.Began, a.Spared)
+	r.startCall(&call{name: a.Name, amount: a.Amount, ttl: a.TTL, startedAt: r.now, deadline: r.now + max(r.settings.CounterLimit, a.Wait)},
+		a.Since, a.SkippedMask)
 }
 
 // startCall calls the counters that hold the name, except those whose bit in spared is set.
 func (r *Reducer) startCall(c *call, began time.Duration, spared uint8) {
-	if c.targets = (sharding.Targets{To: []int{0}}); r.ring != nil {
-		c.targets = r.ring.Of(r.now, c.name, began)
+	if c.targets = (sharding.Targets{Counters: []int{0}}); r.ring != nil {
+		c.targets = r.ring.Targets(r.now, c.name, began)
 	} else {
 		c.singleCounter = true
 	}
 	if !c.forReservation {
 		r.unreported[c.name] = append(r.unreported[c.name], c)
 	}
-	for k, counter := range c.targets.To {
+	for k, counter := range c.targets.Counters {
 		if spared&(1<<k) != 0 {
 			continue
 		}
@@ -142,9 +142,9 @@
 	switch {
 	case c.singleCounter:
 		c.result.Total = c.answers[0].Total
-	case len(c.targets.To) > 0:
+	case len(c.targets.Counters) > 0:
 		c.result.Parts = c.parts
-		total, known := r.ring.Join(r.now, c.name, c.amount, c.targets, c.answers)
+		total, known := r.ring.Merge(r.now, c.name, c.amount, c.targets, c.answers)
 		if c.result.Total = total; known {
 			c.result.Status = logic.OK
 		} else if c.result.Status == logic.OK {
@@ -154,7 +154,7 @@
 		c.result.Parts = []logic.CountPart{} // not nil: no counter was called, so none is at fault
 	}
 	if c.forReservation {
-		r.reservations.Counted(r.now, c.reservationToken, c.result.Status, c.result.Total)
+		r.reservations.HandleResult(r.now, c.reservationToken, c.result.Status, c.result.Total)
 		return
 	}
 	for unreported := r.unreported[c.name]; len(unreported) > 0 && unreported[0].done; unreported = r.unreported[c.name] {
@@ -176,7 +176,7 @@
 			notAdded = logic.Full
 		case logic.ConnectFailed:
 		default:
-			if len(c.parts) == 1 && len(c.targets.To) == 1 {
+			if len(c.parts) == 1 && len(c.targets.Counters) == 1 {
 				return p.Status
 			}
 			return logic.Timeout
--- a/internal/core/counters_test.go
+++ b/internal/core/counters_test.go
@@ -51,7 +51,7 @@
 		}
 		f.limiters = append(f.limiters, core.New(set, uint64(k), book))
 		f.addresses = append(f.addresses, map[int]string{0: "a:1"})
-		f.run(k, f.limiters[k].Begin(f.now, nil))
+		f.run(k, f.limiters[k].Start(f.now, nil))
 	}
 	return f
 }
@@ -69,7 +69,7 @@
 			f.at(e.At, func() { f.post(k, e.Timer) })
 		case core.Admit:
 			e.Origin.Admitted()
-		case core.Reach:
+		case core.SetCounters:
 			f.addresses[k] = e.Counters
 		case core.Count:
 			addr := f.addresses[k][e.Counter]
@@ -113,7 +113,7 @@
 // request sends a firm's admission-only request for one unit to limiter k.
 func (f *fleet) request(k int, firm uint64, spread int) {
 	f.lastRequestID++
-	f.post(k, core.RequestContext{Origin: countingOrigin{f: f}, Request: logic.Request{ID: f.lastRequestID, Customer: firm, Units: 1, Spread: spread, TTL: time.Second, Admit: true}})
+	f.post(k, core.RequestContext{Origin: countingOrigin{f: f}, Request: logic.Request{ID: f.lastRequestID, Customer: firm, Units: 1, Spread: spread, TTL: time.Second, AdmitOnly: true}})
 }
 
 func oneTier(rate, burst float64) logic.Settings {
@@ -133,7 +133,7 @@
 		changeAt := f.now + 5*time.Second
 		for k := range 3 {
 			f.at(changeAt+time.Duration(rng.Int64N(int64(10*time.Second))), func() {
-				f.post(k, core.Counters{Before: "a:1", Addresses: []string{"b:1", "c:1", "d:1"}})
+				f.post(k, core.CounterList{Previous: "a:1", Addresses: []string{"b:1", "c:1", "d:1"}})
 			})
 		}
 		if seed%2 == 1 {
@@ -169,7 +169,7 @@
 		list = append(list, fmt.Sprintf("c%d:1", k))
 	}
 	for k := range limiters {
-		f.post(k, core.Counters{Before: list[0], Addresses: list})
+		f.post(k, core.CounterList{Previous: list[0], Addresses: list})
 	}
 	requests := 0
 	for at := f.now; at < time.Hour+10*time.Second; at += 2 * time.Millisecond {
@@ -191,9 +191,9 @@
 	set := oneTier(20, 20)
 	set.Gateways = 20
 	r := core.New(set, 1, plans.New(set.Plans, plans.DefaultLimits))
-	r.Spread(time.Hour, []string{"a:1", "b:1"}, false)
+	r.ShardCounters(time.Hour, []string{"a:1", "b:1"}, false)
 	calls := func(now time.Duration) (n int) {
-		effects := r.Reduce(now, core.RequestContext{Origin: discardOrigin{}, Request: logic.Request{ID: uint64(now), Customer: 7, Units: 1, Spread: 20, TTL: time.Second, Admit: true}}, nil)
+		effects := r.Reduce(now, core.RequestContext{Origin: discardOrigin{}, Request: logic.Request{ID: uint64(now), Customer: 7, Units: 1, Spread: 20, TTL: time.Second, AdmitOnly: true}}, nil)
 		for _, e := range effects {
 			if _, ok := e.(core.Count); ok {
 				n++
@@ -201,9 +201,9 @@
 		}
 		return n
 	}
-	r.Begin(time.Hour, nil)
+	r.Start(time.Hour, nil)
 	require.Zero(t, calls(time.Hour+time.Second))
-	later := time.Hour + sharding.Slack + 5*time.Second
+	later := time.Hour + sharding.MaxListSkew + 5*time.Second
 	n := 0
 	for k := range 50 { // the module omits some calls at random
 		n += calls(later + time.Duration(k)*20*time.Millisecond)
--- a/internal/core/memory_test.go
+++ b/internal/core/memory_test.go
@@ -28,7 +28,7 @@
 		Classes: []logic.Class{{Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}, {Aim: time.Second, Deadline: 4 * time.Second, Worth: 5}},
 		Plans:   []logic.Plan{{Name: "small", Rate: 2, Burst: 16, Price: 1}, {Name: "large", Rate: 8, Burst: 32, Price: 2, CeilingRate: 16, CeilingBurst: 64, Open: 4}}}
 	limits := plans.DefaultLimits
-	limits.MostUnits = 8
+	limits.MaxRequestUnits = 8
 	rng := rand.New(rand.NewPCG(1, 2))
 	r := core.New(set, 1, plans.New(set.Plans, limits))
 	var sim model.Sim
@@ -46,7 +46,7 @@
 				postAfter(e.At-sim.Now(), e.Timer)
 			case core.Try:
 				if sent++; rng.IntN(20) == 0 { // lost: the try times out
-					postAfter(e.Wait, core.Outcome{Key: e.Key, Status: logic.Timeout})
+					postAfter(e.Timeout, core.Outcome{Key: e.Key, Status: logic.Timeout})
 				} else {
 					postAfter(latency, core.Outcome{Key: e.Key, Status: logic.OK})
 				}
--- a/internal/core/plans.go
+++ b/internal/core/plans.go
@@ -9,9 +9,9 @@
 )
 
 // Ask queries or changes the plan book (event). It is answered by a SendReply effect.
-type Ask struct {
-	Question any         // a Replace, Reread, Propose, Withdraw, Grant, Revoke or Show
-	Reply    func(Reply) // called in the loop's goroutine; must not block
+type PlanCommand struct {
+	Command any         // a Replace, Reread, Propose, Withdraw, Grant, Revoke or Show
+	Reply   func(Reply) // called in the loop's goroutine; must not block
 }
 
 // Replace is a question that replaces all versions and reservations from a source.
@@ -54,7 +54,7 @@
 
 // ReservationUse is what this limiter knows of the use of a reservation, in units: Used by this limiter, in Hand here
 // (leased and not yet used), and Leased by all limiters.
-type ReservationUse struct{ Used, Hand, Leased float64 }
+type ReservationUse struct{ Used, Unused, Leased float64 }
 
 // Tally counts request contexts by the plan version that governed them. It keeps the newest maxTalliedVersions versions.
 type Tally struct{ Versions []VersionTally }
@@ -106,11 +106,11 @@
 
 // Begin brings into force the plans and reservations that are due at the start and publishes them to the fronts. It is called
 // before the first event.
-func (r *Reducer) Begin(now time.Duration, effects []Effect) []Effect {
+func (r *Reducer) Start(now time.Duration, effects []Effect) []Effect {
 	r.now, r.effects = max(r.now, now), effects
 	r.book.Advance(r.wallClock())
-	r.book.Turn(r.wallClock())
-	r.reservations.Set(r.book.Reservations())
+	r.book.AdvanceReservations(r.wallClock())
+	r.reservations.SetReservations(r.book.Reservations())
 	r.publishPlans()
 	r.setPlanTimer()
 	if r.ring != nil {
@@ -121,14 +121,14 @@
 }
 
 // handleAsk answers a question. A change is applied completely or not at all.
-func (r *Reducer) handleAsk(e Ask) {
+func (r *Reducer) handleAsk(e PlanCommand) {
 	reply := Reply{Now: r.wallClock()}
 	changed := true
-	switch q := e.Question.(type) {
+	switch q := e.Command.(type) {
 	case Replace:
 		reply.Err = r.book.Replace(q.Source, q.Versions, q.Reservations, r.wallClock(), r.gateway.InUse(r.book.Tiers()))
 	case Reread:
-		reply.Err = r.book.Reread(q.Tiers, r.wallClock(), r.gateway.InUse(r.book.Tiers()))
+		reply.Err = r.book.UpdatePlatform(q.Tiers, r.wallClock(), r.gateway.InUse(r.book.Tiers()))
 	case Propose:
 		inUse := r.gateway.InUse(r.book.Tiers())
 		reply.Effects = plans.Diff(r.book.Current().Tiers, q.Version.Tiers, inUse)
@@ -175,8 +175,8 @@
 		r.emit(SavePlans{Book: r.book.Snapshot()})
 		r.notify(logic.PlansChanged{})
 	}
-	r.book.Turn(r.wallClock())
-	r.reservations.Set(r.book.Reservations())
+	r.book.AdvanceReservations(r.wallClock())
+	r.reservations.SetReservations(r.book.Reservations())
 	r.setPlanTimer()
 }
 
@@ -187,7 +187,7 @@
 // setPlanTimer sets a timer for the next version or reservation that is due, unless an earlier plan timer is set.
 func (r *Reducer) setPlanTimer() {
 	at, due := r.book.Next()
-	if reservationAt, ok := r.book.NextTurn(); ok && (!due || reservationAt < at) {
+	if reservationAt, ok := r.book.NextReservationChange(); ok && (!due || reservationAt < at) {
 		at, due = reservationAt, true
 	}
 	if !due {
@@ -205,17 +205,17 @@
 // or the reservation is gone. Those may request more calls, so it repeats until nothing is left.
 func (r *Reducer) serveReservations() {
 	for {
-		calls, woken, spent := r.reservations.Calls(), r.reservations.Woken(), r.reservations.Spent()
+		calls, woken, spent := r.reservations.TakeCalls(), r.reservations.TakeWokenFirms(), r.reservations.TakeSpent()
 		if len(calls)+len(woken)+len(spent) == 0 {
 			break
 		}
 		for _, c := range calls {
-			r.startCall(&call{name: c.Name, amount: c.Amount, ttl: c.Lives, startedAt: r.now, deadline: r.now + c.Wait, forReservation: true, reservationToken: c.Token},
-				c.Began, 0)
+			r.startCall(&call{name: c.Name, amount: c.Amount, ttl: c.TTL, startedAt: r.now, deadline: r.now + c.Timeout, forReservation: true, reservationToken: c.Token},
+				c.BeganAt, 0)
 		}
 		for _, id := range spent {
-			r.book.Spend(id, r.wallClock())
-			r.reservations.Set(r.book.Reservations())
+			r.book.MarkSpent(id, r.wallClock())
+			r.reservations.SetReservations(r.book.Reservations())
 		}
 		for _, firm := range woken {
 			r.notify(logic.Leased{Customer: firm})
--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -191,7 +191,7 @@
 // sendAdd sends a call, unless its deadline has passed: the reducer no longer waits for it, and it must not be counted
 // after that.
 func (conn *connection) sendAdd(e core.Count) {
-	if conn.client.set.now() >= e.Until {
+	if conn.client.set.now() >= e.Deadline {
 		return
 	}
 	if len(conn.pending) >= maxPendingCalls {
@@ -200,7 +200,7 @@
 	}
 	b := strconv.AppendUint([]byte("add "), e.Name, 16)
 	b = strconv.AppendFloat(append(b, ' '), e.Amount, 'f', -1, 64)
-	b = strconv.AppendInt(append(b, ' '), max(1, e.Lives.Milliseconds()), 10)
+	b = strconv.AppendInt(append(b, ' '), max(1, e.TTL.Milliseconds()), 10)
 	conn.send(append(b, "\r\n"...), call{e.Call, time.Now()})
 }
 
--- a/internal/counter/set.go
+++ b/internal/counter/set.go
@@ -30,7 +30,7 @@
 }
 
 // Connections is how many connections a limiter may keep to the given number of counters, with sockets descriptors in all.
-func Connections(counters, sockets int) int {
+func MaxConnections(counters, sockets int) int {
 	return max(minConnectionLimit, min(2*counters, sockets/4))
 }
 
@@ -76,7 +76,7 @@
 }
 
 // Move changes the address of counter 0.
-func (s *Set) Move(addr string) {
+func (s *Set) SetAddress(addr string) {
 	s.mu.Lock()
 	c := s.clients[0]
 	s.mu.Unlock()
@@ -87,7 +87,7 @@
 
 // Reach sets the addresses of the counters that may be called from now on, by number. The client of a counter that is not
 // listed, or has another address now, is stopped. From then on counters are connected only while they are called.
-func (s *Set) Reach(list map[int]string) {
+func (s *Set) SetAddresses(list map[int]string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for number, c := range s.clients {
--- a/internal/counter/set_test.go
+++ b/internal/counter/set_test.go
@@ -107,7 +107,7 @@
 }
 
 func (c *testSet) call(id uint64, counter int) {
-	c.Count(core.Count{Call: id, Counter: counter, Name: id, Amount: 1, Lives: time.Second, Until: time.Hour})
+	c.Count(core.Count{Call: id, Counter: counter, Name: id, Amount: 1, TTL: time.Second, Deadline: time.Hour})
 }
 
 func (c *testSet) answered() int {
@@ -122,7 +122,7 @@
 	var all []*testSet
 	for range 300 {
 		c := newTestSet(t, minConnectionLimit, old.addr)
-		c.Reach(map[int]string{0: old.addr, 1: next.addr})
+		c.SetAddresses(map[int]string{0: old.addr, 1: next.addr})
 		all = append(all, c)
 	}
 	for _, c := range all {
@@ -147,7 +147,7 @@
 		fakes, list[k] = append(fakes, f), f.addr
 	}
 	c := newTestSet(t, maxOpen, list[0])
-	c.Reach(list)
+	c.SetAddresses(list)
 	id := uint64(0)
 	reached := map[int]bool{}
 	require.Eventually(t, func() bool {
@@ -164,7 +164,7 @@
 		return len(reached) == counters && allTrue(reached)
 	}, testTimeout, 20*time.Millisecond)
 	require.Eventually(t, func() bool { return c.answered() == int(id) }, testTimeout, time.Millisecond, "every call has a result")
-	c.Reach(map[int]string{0: list[0]})
+	c.SetAddresses(map[int]string{0: list[0]})
 	require.Eventually(t, func() bool {
 		open := int64(0)
 		for _, f := range fakes[1:] {
@@ -202,7 +202,7 @@
 				c := newTestSet(b, minConnectionLimit, list[0])
 				next := func() {
 					if id := uint64(made.Add(1)); id <= uint64(b.N) {
-						c.call(id, ring.Of(0, id, 0).To[0])
+						c.call(id, ring.Targets(0, id, 0).Counters[0])
 					}
 				}
 				c.onResult = func(e core.CountResult) {
@@ -212,7 +212,7 @@
 					done <- struct{}{}
 					go next() // onResult runs under the client's lock
 				}
-				c.Reach(ring.Addresses())
+				c.SetAddresses(ring.Addresses())
 				for range 16 * n {
 					next()
 				}
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -51,8 +51,8 @@
 
 // Client follows discovery's list and posts it as the upstream group of the platform's servers.
 type Client struct {
-	zones     *wire.Names
-	kinds     *wire.Names
+	zones     *wire.NameIndex
+	kinds     *wire.NameIndex
 	addresses Addresses
 	post      func(core.Event)
 	timing    timing
@@ -90,8 +90,8 @@
 func New(addr string, set logic.Settings, addresses Addresses, post func(core.Event)) *Client {
 	synced := make(chan struct{})
 	return &Client{
-		zones:        wire.NewNames(set.ZoneNames),
-		kinds:        wire.NewNames(set.KindNames),
+		zones:        wire.NewNameIndex(set.ZoneNames),
+		kinds:        wire.NewNameIndex(set.KindNames),
 		addresses:    addresses,
 		post:         post,
 		timing:       timingOf(set),
@@ -107,12 +107,12 @@
 }
 
 // Known applies the list that this limiter held before it was restarted, which may be out of date.
-func (c *Client) Known(l List) { c.apply(l, true) }
+func (c *Client) ApplyCached(l List) { c.apply(l, true) }
 
 // Heard is closed once a complete message from discovery (a list, or an empty line between lists) has been received and
 // applied. A new process that waits for it does not serve by an old list: it is bound from its first moment by what the
 // discovery agent has.
-func (c *Client) Heard() <-chan struct{} { return c.synced }
+func (c *Client) Synced() <-chan struct{} { return c.synced }
 
 // Reload follows the list at the given address from now on. A watch at the former address, which may send nothing more
 // without ending, is closed at once, and the first request to the new address does not wait for the usual delay. After a
@@ -316,7 +316,7 @@
 // publish hands entries on to the addresses first and then to the reducer: from the Withdraw on, no new request is sent to
 // a draining server, whatever was chosen before.
 func (c *Client) publish(l List, cached bool) {
-	list := logic.ServerList{Whole: l.Full, Cached: cached}
+	list := logic.ServerList{Complete: l.Full, Cached: cached}
 	var unknown, stale logSummary
 	for _, s := range l.Servers {
 		id, ok := c.ids[s.ID]
@@ -346,8 +346,8 @@
 		} else if s.Addr != "" {
 			c.addresses.SetAddress(id, s.Addr)
 		}
-		e := logic.Server{ID: id, Weight: s.Weight, Cell: s.Cell, Kind: c.kinds.Number(s.Kind),
-			Zone: c.zones.Number(s.Zone), State: state}
+		e := logic.Server{ID: id, Weight: s.Weight, Cell: s.Cell, Kind: c.kinds.Index(s.Kind),
+			Zone: c.zones.Index(s.Zone), State: state}
 		if s.StartedMS > 0 {
 			e.Started = time.Duration(s.StartedMS) * time.Millisecond
 		}
--- a/internal/evaluate/file.go
+++ b/internal/evaluate/file.go
@@ -163,7 +163,7 @@
 		resolve(&out.Admin.Socket)
 	}
 	if f.Limits.Late != nil {
-		out.Limits.Late = fromSeconds(*f.Limits.Late)
+		out.Limits.MaxPastEffective = fromSeconds(*f.Limits.Late)
 	}
 	out.Limits.FleetRate = f.Limits.FleetRate
 	if f.Limits.ReservedShare > 0 {
--- a/internal/lab/experiments.go
+++ b/internal/lab/experiments.go
@@ -27,17 +27,17 @@
 }
 
 // Done is a finished job with its result.
-type Done struct {
+type JobResult struct {
 	Job
-	Result model.Result
-	Wall   time.Duration // how long the run took in real time
+	Result   model.Result
+	WallTime time.Duration // how long the run took in real time
 }
 
 // Parallel runs jobs on all cores and returns their results in the order of the jobs. It calls report, if not nil, for each
 // finished job in the same order, n counting from 1. Once the context has ended it reports no more and returns only what it
 // has reported.
-func Parallel(ctx context.Context, jobs []Job, report func(n int, d Done)) []Done {
-	results := make([]Done, len(jobs))
+func RunJobs(ctx context.Context, jobs []Job, report func(n int, d JobResult)) []JobResult {
+	results := make([]JobResult, len(jobs))
 	finished := make([]chan struct{}, len(jobs))
 	for i := range finished {
 		finished[i] = make(chan struct{})
@@ -51,7 +51,7 @@
 			for i := range next {
 				start := time.Now()
 				job := jobs[i]
-				results[i] = Done{job, model.New(job.Scenario, job.Seed, job.Policy, job.MeasureCPU).Run(), time.Since(start)}
+				results[i] = JobResult{job, model.New(job.Scenario, job.Seed, job.Policy, job.MeasureCPU).Run(), time.Since(start)}
 				close(finished[i])
 			}
 		}()
@@ -90,17 +90,17 @@
 var resultColumns = []string{"scenario", "policy", "seed", "requests", "worth served", "beyond quota %", "refused %", "refused with room %",
 	"calls each", "median s", "p99 s", "ceiling over", "broken rules", "CPU us each", "wall s", "calls borne a second", "at the busiest counter"}
 
-func addResultRow(t *Table, d Done) {
+func addResultRow(t *Table, d JobResult) {
 	result := d.Result
 	tries := float64(max(result.Tries, 1))
-	t.Add(result.Scenario, result.Policy, result.Seed, result.Requests, result.Worth(), 100*result.OverQuota(), 100*result.RefusedShare(), 100*float64(result.RoomRefused)/tries,
-		result.CallsEach(), result.Median, result.P99, result.CeilingOver, result.Broken, float64(result.CPU.Nanoseconds())/1000/tries, d.Wall.Seconds(),
+	t.Add(result.Scenario, result.Policy, result.Seed, result.Requests, result.WorthShare(), 100*result.OverQuotaShare(), 100*result.RefusedShare(), 100*float64(result.RefusedWithRoom)/tries,
+		result.CallsPerRequest(), result.MedianSeconds, result.P99Seconds, result.CeilingExcessUnits, result.ViolationCount, float64(result.DecideTime.Nanoseconds())/1000/tries, d.WallTime.Seconds(),
 		Metrics["borne"](result), Metrics["busiest"](result))
 }
 
 // ResultsTable returns a table with a row for each finished job.
-func ResultsTable(name string, results []Done) *Table {
-	table := &Table{Name: name, Head: resultColumns}
+func ResultsTable(name string, results []JobResult) *Table {
+	table := &Table{Name: name, Columns: resultColumns}
 	for _, result := range results {
 		addResultRow(table, result)
 	}
@@ -110,27 +110,29 @@
 // Metrics maps names to the figures of a result that experiments compare. The flag --metric takes these names.
 var Metrics = map[string]func(model.Result) float64{
 	// Worth served over the worth asked inside quotas.
-	"worth": model.Result.Worth,
+	"worth": model.Result.WorthShare,
 	// Units passed on beyond quotas, as a percentage of all units passed on.
-	"over": func(r model.Result) float64 { return 100 * r.OverQuota() },
+	"over": func(r model.Result) float64 { return 100 * r.OverQuotaShare() },
 	// Refused tries, as a percentage of all tries.
 	"refused": func(r model.Result) float64 { return 100 * r.RefusedShare() },
 	// Tries refused while at least half of the quota was left, as a percentage of all tries.
-	"room": func(r model.Result) float64 { return 100 * float64(r.RoomRefused) / float64(max(r.Tries, 1)) },
+	"room": func(r model.Result) float64 { return 100 * float64(r.RefusedWithRoom) / float64(max(r.Tries, 1)) },
 	// Calls to the counter per request.
-	"calls": model.Result.CallsEach,
+	"calls": model.Result.CallsPerRequest,
 	// Latency in seconds of what was served.
-	"p99": func(r model.Result) float64 { return r.P99 },
+	"p99": func(r model.Result) float64 { return r.P99Seconds },
 	// Microseconds of CPU time of the limiters' decisions per try.
-	"cpu": func(r model.Result) float64 { return float64(r.CPU.Nanoseconds()) / 1000 / float64(max(r.Tries, 1)) },
+	"cpu": func(r model.Result) float64 {
+		return float64(r.DecideTime.Nanoseconds()) / 1000 / float64(max(r.Tries, 1))
+	},
 	// The most units by which a ceiling was exceeded.
-	"ceiling": func(r model.Result) float64 { return r.CeilingOver },
+	"ceiling": func(r model.Result) float64 { return r.CeilingExcessUnits },
 	// Broken rules.
-	"broken": func(r model.Result) float64 { return float64(r.Broken) },
+	"broken": func(r model.Result) float64 { return float64(r.ViolationCount) },
 	// Calls a second that the counters answered.
-	"borne": func(r model.Result) float64 { return float64(r.Borne) / max(r.Seconds, 1) },
+	"borne": func(r model.Result) float64 { return float64(r.CallsAnswered) / max(r.Seconds, 1) },
 	// Calls a second at the busiest counter.
-	"busiest": func(r model.Result) float64 { return float64(r.BusiestCalls) / max(r.Seconds, 1) },
+	"busiest": func(r model.Result) float64 { return float64(r.BusiestCounterCalls) / max(r.Seconds, 1) },
 	// Broken rules that are described in the result.
 	"violation": func(r model.Result) float64 { return float64(len(r.Violations)) },
 }
@@ -171,8 +173,8 @@
 
 // CompareTable compares two lists of results of the same seeds in the same order. Its row for a metric gives the mean of
 // the paired differences, second less first, and whether zero lies outside their 95% confidence interval.
-func CompareTable(first, second []Done) *Table {
-	table := &Table{Name: "compare", Head: []string{"metric", "first", "second", "difference", "95% interval", "tells"}}
+func CompareTable(first, second []JobResult) *Table {
+	table := &Table{Name: "compare", Columns: []string{"metric", "first", "second", "difference", "95% interval", "tells"}}
 	for _, name := range []string{"worth", "over", "refused", "room", "calls", "p99", "ceiling", "broken", "cpu"} {
 		var firstValues, secondValues, differences []float64
 		for i := range min(len(first), len(second)) {
@@ -224,7 +226,7 @@
 
 // SweepChart returns a chart of a metric over a swept parameter: a line for each policy, whose points are the means over
 // the seeds. parameterValue is called once for each result, in order.
-func SweepChart(results []Done, parameterValue func(Done) float64, parameter, metric string) Chart {
+func SweepChart(results []JobResult, parameterValue func(JobResult) float64, parameter, metric string) Chart {
 	type chartPoint struct {
 		policy string
 		x      float64
@@ -238,7 +240,7 @@
 		}
 		values[point] = append(values[point], Metrics[metric](result.Result))
 	}
-	chart := Chart{Name: "sweep-" + metric, Title: metric + " over " + parameter, X: parameter, Y: metric, Lines: map[string]plotter.XYs{}}
+	chart := Chart{Name: "sweep-" + metric, Title: metric + " over " + parameter, XLabel: parameter, YLabel: metric, Lines: map[string]plotter.XYs{}}
 	for _, point := range points {
 		chart.Lines[point.policy] = append(chart.Lines[point.policy], plotter.XY{X: point.x, Y: MeanInterval(values[point]).Mean})
 	}
@@ -256,7 +258,7 @@
 // Search runs a scenario with random faults for a number of seeds. It returns each run that broke a rule, and last the
 // run that served the least worth. The faults of each are reduced to a minimal set that still breaks a rule or, for the
 // last, serves at most 0.02 more worth than the worst run.
-func Search(ctx context.Context, s model.Scenario, p model.Policy, firstSeed uint64, seeds int, report func(n int, d Done)) []Finding {
+func Search(ctx context.Context, s model.Scenario, p model.Policy, firstSeed uint64, seeds int, report func(n int, d JobResult)) []Finding {
 	var jobs []Job
 	for offset := range seeds {
 		seed := firstSeed + uint64(offset)
@@ -264,26 +266,26 @@
 		withFaults.Faults = model.DrawFaults(s, seed)
 		jobs = append(jobs, Job{withFaults, p, seed, false})
 	}
-	results := Parallel(ctx, jobs, report)
+	results := RunJobs(ctx, jobs, report)
 	var found []Finding
 	worstIndex := -1
 	for i, result := range results {
-		if result.Result.Broken > 0 {
-			found = append(found, shrinkFaults(result, func(r model.Result) bool { return r.Broken > 0 }))
+		if result.Result.ViolationCount > 0 {
+			found = append(found, shrinkFaults(result, func(r model.Result) bool { return r.ViolationCount > 0 }))
 		}
-		if worstIndex < 0 || result.Result.Worth() < results[worstIndex].Result.Worth() {
+		if worstIndex < 0 || result.Result.WorthShare() < results[worstIndex].Result.WorthShare() {
 			worstIndex = i
 		}
 	}
 	if worstIndex >= 0 {
-		worthLimit := results[worstIndex].Result.Worth() + 0.02
-		found = append(found, shrinkFaults(results[worstIndex], func(r model.Result) bool { return r.Worth() <= worthLimit }))
+		worthLimit := results[worstIndex].Result.WorthShare() + 0.02
+		found = append(found, shrinkFaults(results[worstIndex], func(r model.Result) bool { return r.WorthShare() <= worthLimit }))
 	}
 	return found
 }
 
 // shrinkFaults removes faults one at a time as long as a run without them still satisfies reproduces.
-func shrinkFaults(d Done, reproduces func(model.Result) bool) Finding {
+func shrinkFaults(d JobResult, reproduces func(model.Result) bool) Finding {
 	s, result := d.Scenario, d.Result
 	for removed := true; removed; {
 		removed = false
@@ -296,7 +298,7 @@
 			}
 		}
 	}
-	return Finding{s, d.Seed, result.Worth(), result.Violations}
+	return Finding{s, d.Seed, result.WorthShare(), result.Violations}
 }
 
 // WriteFindings writes each finding to a file found-N.json in dir, for the replay command.
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -33,7 +33,7 @@
 
 // Build compiles the limiter and its evaluator into dir, from the module in the current directory, and returns the path of
 // the limiter's program.
-func Build(ctx context.Context, dir string) (string, error) {
+func BuildLimiter(ctx context.Context, dir string) (string, error) {
 	path := filepath.Join(dir, "bramblefall")
 	out, err := exec.CommandContext(ctx, "go", "build", "-o", dir+"/", "bramblefall/cmd/bramblefall", "bramblefall/cmd/bramblefall-eval").CombinedOutput()
 	if err != nil {
@@ -96,7 +96,7 @@
 		args = []string{"-operator", operatorFile}
 	}
 	limiter, err := standin.Start(f.binary, dir, jsonObject{"name": "n" + strconv.Itoa(index), "listen": listen, "seed": fmt.Sprintf("%x", 4711+index),
-		"limits": jsonObject{"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": Settings(len(f.Limiters), index, f.tiers),
+		"limits": jsonObject{"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": LimiterSettings(len(f.Limiters), index, f.tiers),
 		"known": f.World.Discovery.List(), "counter": f.World.Counter.Addr, "discovery": f.World.Discovery.Addr}, args...)
 	if err != nil {
 		return err
@@ -129,8 +129,8 @@
 // CheckCrashes returns an error if the log of a running limiter shows a crash or if the stand-ins' audit has findings.
 func (f *Fleet) CheckCrashes() error {
 	for i, limiter := range f.Limiters {
-		if limiter != nil && limiter.Crashed() != "" {
-			return fmt.Errorf("limiter %d crashed: %s", i, limiter.Crashed())
+		if limiter != nil && limiter.CrashLog() != "" {
+			return fmt.Errorf("limiter %d crashed: %s", i, limiter.CrashLog())
 		}
 	}
 	if findings, n := f.World.Audit.Findings(); n > 0 {
@@ -148,7 +148,7 @@
 }
 
 // Settings returns the settings of one limiter, the one at index rank, in a small deployment of the given size.
-func Settings(limiters, rank int, tiers []logic.Plan) jsonObject {
+func LimiterSettings(limiters, rank int, tiers []logic.Plan) jsonObject {
 	var tariffs []jsonObject
 	for _, tier := range tiers {
 		tariffs = append(tariffs, jsonObject{"name": tier.Name, "perSecond": tier.Rate, "depth": tier.Burst, "concurrency": tier.Open,
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -46,7 +46,7 @@
 		if s.Limiters > 3 {
 			s.Seconds = 4
 		}
-		r := model.New(s, 3, model.Own(), false).Run()
+		r := model.New(s, 3, model.ProjectPolicy(), false).Run()
 		require.Empty(t, r.Violations, name)
 		if s.Limiters <= 3 {
 			require.Empty(t, r.Check(s.Bounds), name)
@@ -70,7 +70,7 @@
 			for i := range finding.Scenario.Faults { // without any one of the remaining faults no rule breaks
 				fewer := finding.Scenario
 				fewer.Faults = slices.Delete(slices.Clone(fewer.Faults), i, i+1)
-				require.Zero(t, model.New(fewer, finding.Seed, policy, false).Run().Broken)
+				require.Zero(t, model.New(fewer, finding.Seed, policy, false).Run().ViolationCount)
 			}
 		}
 	}
@@ -81,9 +81,9 @@
 }
 
 func TestCompareTableDetectsDifference(t *testing.T) {
-	results := func(worth float64) (list []Done) {
+	results := func(worth float64) (list []JobResult) {
 		for i := range 10 {
-			list = append(list, Done{Job{Seed: uint64(i)}, model.Result{WorthAsked: 100, WorthServed: worth + float64(i%3)}, 0})
+			list = append(list, JobResult{Job{Seed: uint64(i)}, model.Result{WorthRequested: 100, WorthServed: worth + float64(i%3)}, 0})
 		}
 		return list
 	}
@@ -97,31 +97,31 @@
 }
 
 func TestSetParameterByPath(t *testing.T) {
-	s := model.Base()
+	s := model.BaseScenario()
 	require.NoError(t, SetParameter(&s, "counter.per_second", 50))
 	require.NoError(t, SetParameter(&s, "nodes", 7))
 	require.NoError(t, SetParameter(&s, "discovery.late", 2))
-	require.Equal(t, 50.0, s.Counter.PerSecond)
+	require.Equal(t, 50.0, s.Counter.CallsPerSecond)
 	require.Equal(t, 7, s.Nodes)
-	require.Equal(t, model.Range{2, 2}, s.Discovery.Late)
+	require.Equal(t, model.Range{2, 2}, s.Discovery.DelaySeconds)
 	require.Error(t, SetParameter(&s, "counter.speed", 1))
 	require.Error(t, SetParameter(&s, "counter", 1))
 }
 
 func TestPageContainsTablesAndCharts(t *testing.T) {
 	dir := t.TempDir()
-	table := &Table{Name: "a", Head: []string{"x", "y <b>"}}
+	table := &Table{Name: "a", Columns: []string{"x", "y <b>"}}
 	table.Add(1, 2.5)
-	require.NoError(t, table.Keep(dir))
+	require.NoError(t, table.WriteFiles(dir))
 	require.NoError(t, BarChart{Name: "b", Title: "t", Labels: []string{"one", "two"}, Values: []float64{1, 2}}.WriteSVG(dir))
-	path, err := Page(dir)
+	path, err := WriteHTMLPage(dir)
 	require.NoError(t, err)
 	raw, err := os.ReadFile(path)
 	require.NoError(t, err)
 	require.Contains(t, string(raw), "<td>2.5</td>")
 	require.Contains(t, string(raw), "y &lt;b&gt;")
 	require.Contains(t, string(raw), "<svg")
-	_, err = Page(t.TempDir())
+	_, err = WriteHTMLPage(t.TempDir())
 	require.Error(t, err)
 }
 
@@ -158,15 +158,15 @@
 func TestParallelReportsNothingAfterContextEnd(t *testing.T) {
 	s, err := LoadScenario("calm")
 	require.NoError(t, err)
-	s.Seconds, s.Warm, s.Nodes, s.Firms.Count = 2, 1, 3, 10
+	s.Seconds, s.WarmupSeconds, s.Nodes, s.Firms.Count = 2, 1, 3, 10
 	jobs := make([]Job, 8)
 	for i := range jobs {
-		jobs[i] = Job{Scenario: s, Policy: model.Own(), Seed: uint64(i)}
+		jobs[i] = Job{Scenario: s, Policy: model.ProjectPolicy(), Seed: uint64(i)}
 	}
 	for range 20 {
 		ctx, cancel := context.WithCancel(t.Context())
 		reported := 0
-		done := Parallel(ctx, jobs, func(int, Done) {
+		done := RunJobs(ctx, jobs, func(int, JobResult) {
 			time.Sleep(20 * time.Millisecond) // so that the other jobs finish meanwhile
 			reported++
 			cancel()
--- a/internal/lab/plans.go
+++ b/internal/lab/plans.go
@@ -119,7 +119,7 @@
 	}
 	defer os.RemoveAll(dir)
 	options.Logf("building the limiter")
-	binary, err := Build(ctx, dir)
+	binary, err := BuildLimiter(ctx, dir)
 	if err != nil {
 		return Result{}, err
 	}
@@ -140,7 +140,7 @@
 		if err != nil {
 			return result, err
 		}
-		table := &Table{Name: "plans-cpu", Head: []string{"run", "CPU us per request"}}
+		table := &Table{Name: "plans-cpu", Columns: []string{"run", "CPU us per request"}}
 		table.Add("plans change", cpuMicros)
 		table.Add("no change", cpuMicrosUnchanged)
 		result.Tables = append(result.Tables, table)
@@ -163,7 +163,7 @@
 	}
 	var errs []error
 	for _, table := range tables {
-		errs = append(errs, table.Keep(dir))
+		errs = append(errs, table.WriteFiles(dir))
 	}
 	return errors.Join(errs...)
 }
@@ -187,12 +187,12 @@
 		if i, ok := run.firmByID[id]; ok {
 			run.sendLog.Record(i, string(args[2]))
 		}
-		return standin.Value("v"), true, 4 * time.Millisecond
+		return standin.ValueReply("v"), true, 4 * time.Millisecond
 	})
 	if err != nil {
 		return nil, err
 	}
-	fleet.World.Unchecked = true // the requests are not those of the stand-ins' own clients, so nodes must take any; the send log keeps account of them by firm
+	fleet.World.SkipAudit = true // the requests are not those of the stand-ins' own clients, so nodes must take any; the send log keeps account of them by firm
 	run.fleet, run.diagnostics = fleet, newDiagnostics()
 	for i := range firms {
 		tier := tiers[[]int{0, 0, 0, 0, 1, 1, 1, 2, 2, 2}[i%10]]
@@ -303,7 +303,7 @@
 func (r *plansRun) grantReservation(id string, firm *Firm, units float64, from, until time.Time) error {
 	reservation := plans.Reservation{ID: id, Firm: firm.ID, Units: units, From: time.Duration(from.UnixNano()), Until: time.Duration(until.UnixNano())}
 	return r.forEachLimiter(func(ctx context.Context, _ int, c adminpb.AdminClient) error {
-		_, err := c.GrantReservation(ctx, &adminpb.GrantReservationRequest{Reservation: admin.ReservationOut(reservation, core.ReservationUse{})})
+		_, err := c.GrantReservation(ctx, &adminpb.GrantReservationRequest{Reservation: admin.ReservationToProto(reservation, core.ReservationUse{})})
 		return err
 	})
 }
@@ -343,7 +343,7 @@
 		}
 		tell := func(ctx context.Context, limiter int, client adminpb.AdminClient) error {
 			change.toldAt[limiter] = time.Now()
-			_, err := client.ApplyPlans(ctx, &adminpb.ApplyPlansRequest{Version: admin.VersionOut(change.version)})
+			_, err := client.ApplyPlans(ctx, &adminpb.ApplyPlansRequest{Version: admin.VersionToProto(change.version)})
 			return err
 		}
 		for limiter := range limiterCount {
@@ -410,8 +410,8 @@
 	for _, change := range changes {
 		windows = append(windows, [2]time.Time{change.effectiveAt, change.effectiveAt.Add(time.Second)})
 	}
-	versions := &Table{Name: "plans-versions", Head: []string{"version", "scale", "tier", "units in the second after", "beyond, % of the larger plan", "in force after ms"}}
-	tiers := &Table{Name: "plans-tiers", Head: []string{"tier", "units sent on", "beyond quota %", "ceiling overshoot units", "refused", "refused with room"}}
+	versions := &Table{Name: "plans-versions", Columns: []string{"version", "scale", "tier", "units in the second after", "beyond, % of the larger plan", "in force after ms"}}
+	tiers := &Table{Name: "plans-tiers", Columns: []string{"tier", "units sent on", "beyond quota %", "ceiling overshoot units", "refused", "refused with room"}}
 	worstPercent, worstCeilingUnits, ceilingDetails := 0.0, 0.0, ""
 	chartLines := map[string]plotter.XYs{}
 	tierNames := []string{"associate", "regular", "full"}
@@ -463,7 +463,7 @@
 	result.checkBound(usedUnits >= 0.97*reservedUnits, "of a reservation of %.0f units only %.0f were drawn, want at least 97%%", reservedUnits, usedUnits)
 	result.checkRule(usedUnits <= reservedUnits+1e-6, "of a reservation of %.0f units %.0f were drawn", reservedUnits, usedUnits)
 	result.checkBound(len(changes) > 0, "no version of the plans was applied")
-	totals := &Table{Name: "plans-run", Head: []string{"figure", "value"}}
+	totals := &Table{Name: "plans-run", Columns: []string{"figure", "value"}}
 	for i, name := range []string{"served", "admitted", "refused", "failed", "cut off", "unanswered"} {
 		totals.Add(name, r.outcomes[i])
 	}
@@ -475,8 +475,8 @@
 	result.Tables = append(result.Tables, versions, tiers, totals)
 	if r.OutputDir != "" && len(changes) > 1 {
 		_ = os.MkdirAll(r.OutputDir, 0o755)
-		chart := Chart{Name: "plans-overshoot", Title: "Units beyond the larger quota in the second after a change", X: "version", Y: "per cent of the larger plan", Lines: chartLines}
-		if err := chart.Keep(r.OutputDir); err != nil {
+		chart := Chart{Name: "plans-overshoot", Title: "Units beyond the larger quota in the second after a change", XLabel: "version", YLabel: "per cent of the larger plan", Lines: chartLines}
+		if err := chart.WriteSVG(r.OutputDir); err != nil {
 			r.Logf("the chart could not be written: %v", err)
 		}
 	}
@@ -533,14 +533,14 @@
 	}
 	time.Sleep(length / 3)
 	run.fleet.KillLimiter(2)
-	run.fleet.World.Counter.Wipe()
+	run.fleet.World.Counter.Clear()
 	time.Sleep(time.Second)
 	if err := run.fleet.StartLimiter(2); err != nil {
 		return err
 	}
 	reservation := plans.Reservation{ID: "through-losses", Firm: reservedFirm.ID, Units: reservedUnits, From: time.Duration(from.UnixNano()), Until: time.Duration(until.UnixNano())}
 	err = run.adminCall(2, func(ctx context.Context, _ int, c adminpb.AdminClient) error {
-		_, err := c.GrantReservation(ctx, &adminpb.GrantReservationRequest{Reservation: admin.ReservationOut(reservation, core.ReservationUse{})})
+		_, err := c.GrantReservation(ctx, &adminpb.GrantReservationRequest{Reservation: admin.ReservationToProto(reservation, core.ReservationUse{})})
 		return err
 	})
 	<-done
@@ -551,8 +551,8 @@
 	tier := scaledTiers(1)[1]
 	elapsedSeconds := time.Since(began).Seconds()
 	quotaUnits := tier.Burst + tier.Rate*elapsedSeconds + tier.Burst/limiterCount // a limiter that restarts has its part of the burst again
-	boundUnits := reservedUnits + quotaUnits + float64(limiterCount)*reservedUnits/reserve.Part + reservedFirmRequestsPerSecond*2*reserve.Blind.Seconds()
-	table := &Table{Name: "plans-losses", Head: []string{"figure", "value"}}
+	boundUnits := reservedUnits + quotaUnits + float64(limiterCount)*reservedUnits/reserve.LeaseDivisor + reservedFirmRequestsPerSecond*2*reserve.MaxLossWindow.Seconds()
+	table := &Table{Name: "plans-losses", Columns: []string{"figure", "value"}}
 	table.Add("reserved units", reservedUnits)
 	table.Add("units of the plan in that time", quotaUnits)
 	table.Add("sent on", sentUnits)
--- a/internal/lab/real.go
+++ b/internal/lab/real.go
@@ -39,8 +39,8 @@
 // serve waits until the work of a request is done, drawn round meanSeconds. It returns false at once if the queue is full.
 func (n *realNode) serve(meanSeconds float64) bool {
 	n.mu.Lock()
-	if n.busySlots >= n.spec.Slots {
-		if len(n.waiting) >= n.spec.Queue {
+	if n.busySlots >= n.spec.MaxRunning {
+		if len(n.waiting) >= n.spec.MaxQueued {
 			n.mu.Unlock()
 			return false
 		}
@@ -54,7 +54,7 @@
 	}
 	workSeconds := n.spec.Work(n.rng, meanSeconds)
 	excess := float64(max(0, n.busySlots-n.spec.Cores))
-	speed := 1 / (1 + excess/float64(n.spec.Cores)) / (1 + n.spec.Thrash*excess)
+	speed := 1 / (1 + excess/float64(n.spec.Cores)) / (1 + n.spec.ContentionSlowdown*excess)
 	if !n.coldSince.IsZero() && n.spec.ColdSeconds > 0 {
 		speed *= min(1, n.spec.ColdShare+(1-n.spec.ColdShare)*time.Since(n.coldSince).Seconds()/n.spec.ColdSeconds)
 	}
@@ -95,7 +95,7 @@
 // RunReal runs a scenario on real limiters, at the scenario's own size and in real time. binary is the path of the
 // limiter's program; if it is empty, the program is built from the module in the current directory.
 func RunReal(ctx context.Context, scenario model.Scenario, seed uint64, binary string, logf func(string, ...any)) (RealResult, error) {
-	if scenario.Units.Most > 1 || len(scenario.Machines) > 0 || scenario.Node.Reports {
+	if scenario.Units.Max > 1 || len(scenario.Machines) > 0 || scenario.Node.ReportsThroughput {
 		return RealResult{}, errors.New("the scenario has units, kinds of machines or load reports: only the model supports them")
 	}
 	dir, err := os.MkdirTemp("", "bramblelab")
@@ -105,7 +105,7 @@
 	defer os.RemoveAll(dir)
 	if binary == "" {
 		logf("building the limiter")
-		if binary, err = Build(ctx, dir); err != nil {
+		if binary, err = BuildLimiter(ctx, dir); err != nil {
 			return RealResult{}, err
 		}
 	}
@@ -149,21 +149,21 @@
 	if !r.nodes[node.ID].serve(r.meanWorkByClass[class]) {
 		return []byte("-BUSY\r\n"), false, 0
 	}
-	return standin.Value("v"), true, 0
+	return standin.ValueReply("v"), true, 0
 }
 
 // setUpLoad configures the load generator with the scenario's classes, retry policy and firms.
 func (r *realRun) setUpLoad() {
 	load := r.fleet.Load
-	r.fleet.World.Unchecked = true
+	r.fleet.World.SkipAudit = true
 	for _, class := range r.scenario.Classes {
-		load.Classes = append(load.Classes, Class{class.Name, class.Share, class.Keyed, time.Duration(class.Deadline * float64(time.Second))})
+		load.Classes = append(load.Classes, Class{class.Name, class.Share, class.KeyedByHall, time.Duration(class.DeadlineSeconds * float64(time.Second))})
 	}
 	clients := r.scenario.Clients
-	load.RetryPolicy = RetryPolicy{clients.Retries, clients.Wait, clients.GiveUp, clients.Honour}
+	load.RetryPolicy = RetryPolicy{clients.Retries, clients.RetryWaitSeconds, clients.GiveUpShare, clients.HonoursRetryAfterShare}
 	for i, firm := range r.firmSpecs {
 		r.firmByID[firm.ID] = i
-		load.Firms = append(load.Firms, &Firm{ID: firm.ID, Tier: r.scenario.Tiers[firm.Tier].Name, RequestsPerSecond: firm.Demand, Spread: firm.Spread, FirstLimiter: firm.First, PreferredShare: r.scenario.Firms.Skew})
+		load.Firms = append(load.Firms, &Firm{ID: firm.ID, Tier: r.scenario.Tiers[firm.Tier].Name, RequestsPerSecond: firm.Demand, Spread: firm.Spread, FirstLimiter: firm.First, PreferredShare: r.scenario.Firms.BusiestLimiterShare})
 		r.requestedBuckets = append(r.requestedBuckets, tokenBucket{r.scenario.Tiers[firm.Tier].Burst, time.Now()})
 	}
 	load.BeforeRequest = func(try Try) {
@@ -184,7 +184,9 @@
 }
 
 // afterWarmUp reports whether a try's request was due after the scenario's warm-up.
-func (r *realRun) afterWarmUp(t Try) bool { return t.Due.Sub(r.began).Seconds() >= r.scenario.Warm }
+func (r *realRun) afterWarmUp(t Try) bool {
+	return t.Due.Sub(r.began).Seconds() >= r.scenario.WarmupSeconds
+}
 
 // afterTry counts a try's outcome and the worth of what was served.
 func (r *realRun) afterTry(result TryResult) {
@@ -200,8 +202,8 @@
 		r.refusedByTier[tier]++
 	case Served:
 		worth := r.scenario.Classes[result.Class].Worth * r.scenario.Tiers[tier].Price
-		if result.EndedAt.Sub(result.Due).Seconds() > r.scenario.Classes[result.Class].Aim {
-			worth *= r.scenario.Classes[result.Class].Late
+		if result.EndedAt.Sub(result.Due).Seconds() > r.scenario.Classes[result.Class].AimSeconds {
+			worth *= r.scenario.Classes[result.Class].LateWorthShare
 		}
 		r.worthServed += worth
 	}
@@ -218,7 +220,7 @@
 			for i, firm := range r.fleet.Load.Firms {
 				if now.After(due[i]) {
 					firm.preferredOffset = rng.IntN(max(firm.Spread, 1))
-					due[i] = now.Add(time.Duration((r.scenario.Firms.ShiftS[0] + (r.scenario.Firms.ShiftS[1]-r.scenario.Firms.ShiftS[0])*rng.Float64()) * float64(time.Second)))
+					due[i] = now.Add(time.Duration((r.scenario.Firms.ShiftSeconds[0] + (r.scenario.Firms.ShiftSeconds[1]-r.scenario.Firms.ShiftSeconds[0])*rng.Float64()) * float64(time.Second)))
 				}
 			}
 		})
@@ -248,7 +250,7 @@
 		for _, firm := range r.firmSpecs {
 			totalRate += firm.Demand
 		}
-		hotFirms := model.Hot(r.seed, index, len(r.firmSpecs))
+		hotFirms := model.DrawFloodingFirms(r.seed, index, len(r.firmSpecs))
 		addRate := func(rate float64) {
 			r.fleet.Load.UpdateFirms(func() {
 				for _, i := range hotFirms {
@@ -264,10 +266,10 @@
 		for _, i := range rng.Perm(r.scenario.Nodes)[:max(1, int(fault.Part*float64(r.scenario.Nodes)+0.5))] {
 			standIn := r.fleet.World.Nodes[i]
 			standIn.State.Store("draining")
-			r.fleet.World.Discovery.Changed()
+			r.fleet.World.Discovery.Publish()
 			go func() {
 				if sleep(8) {
-					r.fleet.World.Renew(standIn, time.Now())
+					r.fleet.World.ReplaceMachine(standIn, time.Now())
 					node := r.nodes[standIn.ID]
 					node.mu.Lock()
 					node.coldSince = time.Now()
@@ -281,7 +283,7 @@
 			if i%r.scenario.Halls == fault.Hall%r.scenario.Halls {
 				lost = append(lost, standIn)
 				standIn.Crash()
-				r.fleet.World.Tell(standIn, "gone", time.Time{})
+				r.fleet.World.SetState(standIn, "gone", time.Time{})
 			}
 		}
 		if sleep(fault.For) {
@@ -293,7 +295,7 @@
 				node.mu.Lock()
 				node.coldSince = time.Now()
 				node.mu.Unlock()
-				r.fleet.World.Tell(standIn, "ready", time.Now())
+				r.fleet.World.SetState(standIn, "ready", time.Now())
 			}
 		}
 	case model.FaultLimiters:
@@ -333,11 +335,11 @@
 
 // AgreementTable compares the model's result of a scenario with the result on real limiters.
 func AgreementTable(scenario model.Scenario, modelled model.Result, measured RealResult) *Table {
-	table := &Table{Name: "agreement-" + scenario.Name, Head: []string{"figure", "model", "real", "difference"}}
+	table := &Table{Name: "agreement-" + scenario.Name, Columns: []string{"figure", "model", "real", "difference"}}
 	row := func(name string, modelValue, realValue float64) {
 		table.Add(name, modelValue, realValue, realValue-modelValue)
 	}
-	row("worth served, points", 100*modelled.Worth(), 100*measured.WorthShare)
+	row("worth served, points", 100*modelled.WorthShare(), 100*measured.WorthShare)
 	for i, tier := range scenario.Tiers {
 		row("refused of "+tier.Name+", points", 100*modelled.RefusedByTier[i], 100*measured.RefusedShareByTier[i])
 	}
@@ -345,10 +347,10 @@
 	row("served", float64(modelled.Served), float64(measured.Outcomes[Served]))
 	row("refused", float64(modelled.Refused), float64(measured.Outcomes[Refused]))
 	row("failed", float64(modelled.Failed), float64(measured.Outcomes[Failed]))
-	row("cut off", float64(modelled.Lost), float64(measured.Outcomes[ConnectionLost]))
-	row("beyond quotas, points", 100*modelled.OverQuota(), 100*measured.OverQuotaShare)
+	row("cut off", float64(modelled.LostTries), float64(measured.Outcomes[ConnectionLost]))
+	row("beyond quotas, points", 100*modelled.OverQuotaShare(), 100*measured.OverQuotaShare)
 	table.Add("CPU us each", "-", measured.CPUMicrosPerTry, "-")
-	row("median latency, s", modelled.Median, measured.MedianSeconds)
-	row("99th percentile, s", modelled.P99, measured.P99Seconds)
+	row("median latency, s", modelled.MedianSeconds, measured.MedianSeconds)
+	row("99th percentile, s", modelled.P99Seconds, measured.P99Seconds)
 	return table
 }
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -19,9 +19,9 @@
 
 // Table is a table of results. The first column of each row names the row.
 type Table struct {
-	Name string // also the base name of its files
-	Head []string
-	Rows [][]string
+	Name    string // also the base name of its files
+	Columns []string
+	Rows    [][]string
 }
 
 // Add appends a row. Floating-point numbers are written with at most four significant digits.
@@ -42,8 +42,8 @@
 func (t *Table) Markdown() string {
 	var b strings.Builder
 	line := func(cells []string) { fmt.Fprintf(&b, "| %s |\n", strings.Join(cells, " | ")) }
-	line(t.Head)
-	line(strings.Split(strings.Repeat("---,", len(t.Head)-1)+"---", ","))
+	line(t.Columns)
+	line(strings.Split(strings.Repeat("---,", len(t.Columns)-1)+"---", ","))
 	for _, r := range t.Rows {
 		line(r)
 	}
@@ -51,14 +51,14 @@
 }
 
 // Keep writes the table into dir as CSV and Markdown.
-func (t *Table) Keep(dir string) error {
+func (t *Table) WriteFiles(dir string) error {
 	f, err := os.Create(filepath.Join(dir, t.Name+".csv"))
 	if err != nil {
 		return err
 	}
 	defer f.Close()
 	w := csv.NewWriter(f)
-	_ = w.Write(t.Head)
+	_ = w.Write(t.Columns)
 	if err := w.WriteAll(t.Rows); err != nil {
 		return err
 	}
@@ -67,15 +67,15 @@
 
 // Chart is a line chart. Lines maps the names of the legend to the points.
 type Chart struct {
-	Name, Title, X, Y string
-	Lines             map[string]plotter.XYs
-	LogX              bool
+	Name, Title, XLabel, YLabel string
+	Lines                       map[string]plotter.XYs
+	LogX                        bool
 }
 
 // Keep writes the chart into dir as SVG.
-func (c Chart) Keep(dir string) error {
+func (c Chart) WriteSVG(dir string) error {
 	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = c.Title, c.X, c.Y
+	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = c.Title, c.XLabel, c.YLabel
 	p.Legend.Top = true
 	if c.LogX {
 		p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{}
@@ -117,7 +117,7 @@
 
 // Page writes index.html into dir, a page with all tables (*.csv) and charts (*.svg) of that directory. It returns the
 // page's path.
-func Page(dir string) (string, error) {
+func WriteHTMLPage(dir string) (string, error) {
 	var b strings.Builder
 	b.WriteString("<!doctype html><meta charset=utf-8><title>bramblelab</title><style>body{font:14px sans-serif;margin:2em}td,th{border:1px solid #bbb;padding:2px 8px;text-align:right}table{border-collapse:collapse}</style>\n")
 	charts, err := filepath.Glob(filepath.Join(dir, "*.svg"))
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -61,7 +61,7 @@
 		problems = append(problems, &script.Error{File: file, Line: evaluated.Line(path), Text: path + ": " + text})
 	}
 	fields, _ := evaluated.Value.(map[string]any)
-	s := model.Base()
+	s := model.BaseScenario()
 	if fields["scale"] != nil {
 		var size scaleSetting
 		reportUnknownFields(fields["scale"], reflect.TypeOf(size.Scale), "scale", addProblem)
@@ -73,7 +73,7 @@
 			addProblem("scale", "limiters, nodes and firms are needed, each at least 1")
 			return s, errors.Join(problems...)
 		}
-		s = model.Scale(size.Scale.Limiters, size.Scale.Nodes, size.Scale.Firms, size.Scale.OneOffs)
+		s = model.ScaledScenario(size.Scale.Limiters, size.Scale.Nodes, size.Scale.Firms, size.Scale.OneOffs)
 		delete(fields, "scale")
 	}
 	reportUnknownFields(any(fields), reflect.TypeOf(s), "", addProblem)
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -27,11 +27,11 @@
 type CounterClient interface {
 	Count(core.Count)
 	// Reach sets the addresses of the counters that may be called, by number.
-	Reach(map[int]string)
+	SetAddresses(map[int]string)
 }
 
 // Keeper saves the plan book for a restart. It must not block.
-type Keeper interface {
+type PlanStore interface {
 	// Save calls after with the result once the book has been saved or could not be.
 	Save(book plans.Snapshot, after func(error))
 }
@@ -41,8 +41,8 @@
 	reducer   *core.Reducer
 	callers   []Caller // by group
 	counters  CounterClient
-	board     *plans.Board
-	planStore Keeper // nil if the plan book is not saved
+	board     *plans.TierStore
+	planStore PlanStore // nil if the plan book is not saved
 
 	lastID       atomic.Uint64
 	openRequests atomic.Int64
@@ -64,13 +64,13 @@
 
 // Connect sets where effects are carried out: the callers by group, the client of the counters, the board that shows the
 // plans to the fronts, and the store that saves the plan book (nil if it is not saved).
-func (l *Loop) Connect(callers []Caller, counters CounterClient, board *plans.Board, planStore Keeper) {
+func (l *Loop) Connect(callers []Caller, counters CounterClient, board *plans.TierStore, planStore PlanStore) {
 	l.callers, l.counters, l.board, l.planStore = callers, counters, board, planStore
 }
 
 // Begin brings into force the plans and reservations that are due before the first event. It must be called before Run.
-func (l *Loop) Begin() {
-	l.effects = l.reducer.Begin(Now(), l.effects)
+func (l *Loop) Start() {
+	l.effects = l.reducer.Start(Now(), l.effects)
 	l.runEffects()
 }
 
@@ -184,7 +184,7 @@
 		heap.Push(&l.timers, e)
 	case core.Try:
 		if l.traceTries {
-			slog.Debug("try", "context", e.ID, "try", e.Key.Try, "server", e.Server, "wait", e.Wait)
+			slog.Debug("try", "context", e.ID, "try", e.Key.Try, "server", e.Server, "wait", e.Timeout)
 		}
 		l.callers[e.Group].Try(e)
 	case core.Abandon:
@@ -199,13 +199,13 @@
 		e.Origin.Failed()
 	case core.Count:
 		l.counters.Count(e)
-	case core.Reach:
-		l.counters.Reach(e.Counters)
+	case core.SetCounters:
+		l.counters.SetAddresses(e.Counters)
 		slog.Info("counters", "listed", e.ListedCount, "list", e.Fingerprint, "reached", len(e.Counters))
 	case core.CloseIdle:
 		l.callers[e.Group].CloseIdle(e.Server)
 	case core.PublishPlans:
-		l.board.Show(plans.Sheet{Version: e.Version, Tiers: e.Tiers, Plans: e.Plans})
+		l.board.Store(plans.TierSnapshot{Version: e.Version, Tiers: e.Tiers, Plans: e.Plans})
 		slog.Info("plans in force", "version", e.Version, "tiers", len(e.Tiers))
 	case core.SendReply:
 		e.To(e.Reply)
--- a/internal/model/audit.go
+++ b/internal/model/audit.go
@@ -80,66 +80,66 @@
 // attempts, counter calls, changes and violations are counted from the start of the run; Called alone leaves out the calls of the
 // warm-up.
 type Result struct {
-	Scenario        string
-	Policy          string
-	Seed            uint64
-	Requests        int // first tries of clients
-	Tries           int
-	Served          int
-	AnsweredLate    int // served after the class's aim
-	Refused         int
-	Failed          int
-	Lost            int // tries held by a limiter that crashed
-	UnreadTries     int // tries that a stalled limiter did not answer before the client stopped waiting
-	Attempts        int
-	WorthAsked      float64 // within the quotas
-	WorthServed     float64
-	UnitsAsked      float64 // within and beyond quotas
-	SentUnits       float64
-	BeyondUnits     float64 // units sent beyond a quota
-	RoomRefused     int     // tries refused while at least half of the quota was left
-	CappedAttempts  int     // attempts of firms with a cap on concurrent attempts, over the cap or not
-	AttemptsOverCap int     // those of CappedAttempts that exceeded the cap
-	Calls           int     // counter calls
-	BusiestCalls    int     // calls of the counter that got most
-	Borne           int     // calls that the counters served before the end of the scenario
-	Seconds         float64
-	CeilingOver     float64 // most units by which a ceiling with its slack was exceeded
-	Violations      []string
-	Broken          int           // violations, including those that are not listed
-	Median          float64       // seconds from the first try until served
-	P99             float64       // seconds from the first try until served
-	RefusedByTier   []float64     // refused share of the tries
-	Events          uint64        // events of the simulation
-	CPU             time.Duration // real time that the deciders took; 0 unless measured
-	Firms           int
-	Tiers           []TierResult
-	Halls           []HallResult // by the limiter's hall
-	Called          CallResult
-	Changes         ChangeResult
+	Scenario            string
+	Policy              string
+	Seed                uint64
+	Requests            int // first tries of clients
+	Tries               int
+	Served              int
+	AnsweredLate        int // served after the class's aim
+	Refused             int
+	Failed              int
+	LostTries           int // tries held by a limiter that crashed
+	UnreadTries         int // tries that a stalled limiter did not answer before the client stopped waiting
+	Attempts            int
+	WorthRequested      float64 // within the quotas
+	WorthServed         float64
+	UnitsRequested      float64 // within and beyond quotas
+	UnitsSent           float64
+	UnitsOverQuota      float64 // units sent beyond a quota
+	RefusedWithRoom     int     // tries refused while at least half of the quota was left
+	CappedAttempts      int     // attempts of firms with a cap on concurrent attempts, over the cap or not
+	AttemptsOverCap     int     // those of CappedAttempts that exceeded the cap
+	Calls               int     // counter calls
+	BusiestCounterCalls int     // calls of the counter that got most
+	CallsAnswered       int     // calls that the counters served before the end of the scenario
+	Seconds             float64
+	CeilingExcessUnits  float64 // most units by which a ceiling with its slack was exceeded
+	Violations          []string
+	ViolationCount      int           // violations, including those that are not listed
+	MedianSeconds       float64       // seconds from the first try until served
+	P99Seconds          float64       // seconds from the first try until served
+	RefusedByTier       []float64     // refused share of the tries
+	Events              uint64        // events of the simulation
+	DecideTime          time.Duration // real time that the deciders took; 0 unless measured
+	Firms               int
+	Tiers               []TierResult
+	Halls               []HallResult // by the limiter's hall
+	CounterCalls        CallResult
+	Changes             ChangeResult
 }
 
 // ChangeResult describes how changes of nodes reached the limiters that were up.
 type ChangeResult struct {
-	Told int     // changes that took effect, summed over limiters
-	P99  float64 // seconds from a change until it takes effect
-	Last float64 // longest time in seconds from a change until it takes effect
+	Deliveries int     // changes that took effect, summed over limiters
+	P99Seconds float64 // seconds from a change until it takes effect
+	MaxSeconds float64 // longest time in seconds from a change until it takes effect
 }
 
 // TierResult holds the figures of a tier's firms.
 type TierResult struct {
-	Tries         int
-	Refused       int
-	RoomRefused   int     // refused while at least half of the quota was left
-	Units         float64 // sent to nodes
-	Beyond        float64 // sent to nodes beyond a quota
-	Inside        int     // tries of requests that were within the quota by the units asked for
-	InsideRefused int     // refused tries of such requests
+	Tries           int
+	Refused         int
+	RefusedWithRoom int     // refused while at least half of the quota was left
+	UnitsSent       float64 // sent to nodes
+	UnitsOverQuota  float64 // sent to nodes beyond a quota
+	TriesInQuota    int     // tries of requests that were within the quota by the units asked for
+	RefusedInQuota  int     // refused tries of such requests
 }
 
 // HallResult holds the units that the limiters of a hall sent to nodes.
 type HallResult struct {
-	Units          float64
+	UnitsSent      float64
 	UnitsOverQuota float64
 }
 
@@ -151,21 +151,21 @@
 }
 
 // Unanswered is the share of the calls that brought no total within the timeout in the settings: late, lost or rejected.
-func (c CallResult) Unanswered() float64 {
+func (c CallResult) UnansweredShare() float64 {
 	return float64(c.Made-c.Answered+c.AnsweredSlowly) / float64(max(c.Made, 1))
 }
 
 // Lost is the share of the calls that brought no total while the limiter waited for one, which may be longer than the timeout.
-func (c CallResult) Lost() float64 { return float64(c.Made-c.Answered) / float64(max(c.Made, 1)) }
+func (c CallResult) LostShare() float64 { return float64(c.Made-c.Answered) / float64(max(c.Made, 1)) }
 
 // Worth is the served share of the worth that was asked for within quotas.
-func (r Result) Worth() float64 { return r.WorthServed / max(r.WorthAsked, 1e-9) }
+func (r Result) WorthShare() float64 { return r.WorthServed / max(r.WorthRequested, 1e-9) }
 
 // OverQuota is the share of the units sent to nodes that was beyond a quota.
-func (r Result) OverQuota() float64 { return r.BeyondUnits / max(r.SentUnits, 1) }
+func (r Result) OverQuotaShare() float64 { return r.UnitsOverQuota / max(r.UnitsSent, 1) }
 
 // CallsEach is the number of counter calls for each first try.
-func (r Result) CallsEach() float64 { return float64(r.Calls) / float64(max(r.Requests, 1)) }
+func (r Result) CallsPerRequest() float64 { return float64(r.Calls) / float64(max(r.Requests, 1)) }
 
 // RefusedShare is the share of the tries that were refused.
 func (r Result) RefusedShare() float64 { return float64(r.Refused) / float64(max(r.Tries, 1)) }
@@ -177,13 +177,13 @@
 			broken = append(broken, fmt.Sprintf(text, args...))
 		}
 	}
-	expect(r.Broken <= b.MaxViolations, "%d rule violations, want at most %d; the first are %v", r.Broken, b.MaxViolations, r.Violations)
-	expect(b.MinWorthShare == 0 || r.Worth() >= b.MinWorthShare, "worth served %.3f, want at least %.3f", r.Worth(), b.MinWorthShare)
-	expect(b.MaxOverQuotaShare == 0 || r.OverQuota() <= b.MaxOverQuotaShare,
-		"%.2f%% of the units beyond quotas, want at most %.2f%%", 100*r.OverQuota(), 100*b.MaxOverQuotaShare)
-	expect(b.MaxCallsPerRequest == 0 || r.CallsEach() <= b.MaxCallsPerRequest,
-		"%.2f counter calls a request, want at most %.2f", r.CallsEach(), b.MaxCallsPerRequest)
-	expect(b.MaxP99Seconds == 0 || r.P99 <= b.MaxP99Seconds, "99th percentile of latency %.3f s, want at most %.3f s", r.P99, b.MaxP99Seconds)
+	expect(r.ViolationCount <= b.MaxViolations, "%d rule violations, want at most %d; the first are %v", r.ViolationCount, b.MaxViolations, r.Violations)
+	expect(b.MinWorthShare == 0 || r.WorthShare() >= b.MinWorthShare, "worth served %.3f, want at least %.3f", r.WorthShare(), b.MinWorthShare)
+	expect(b.MaxOverQuotaShare == 0 || r.OverQuotaShare() <= b.MaxOverQuotaShare,
+		"%.2f%% of the units beyond quotas, want at most %.2f%%", 100*r.OverQuotaShare(), 100*b.MaxOverQuotaShare)
+	expect(b.MaxCallsPerRequest == 0 || r.CallsPerRequest() <= b.MaxCallsPerRequest,
+		"%.2f counter calls a request, want at most %.2f", r.CallsPerRequest(), b.MaxCallsPerRequest)
+	expect(b.MaxP99Seconds == 0 || r.P99Seconds <= b.MaxP99Seconds, "99th percentile of latency %.3f s, want at most %.3f s", r.P99Seconds, b.MaxP99Seconds)
 	return broken
 }
 
@@ -196,13 +196,15 @@
 }
 
 // afterWarmup tells whether a request's first try came after the warm-up.
-func (a *audit) afterWarmup(r *request) bool { return r.firstSentAt >= epoch+seconds(a.w.s.Warm) }
+func (a *audit) afterWarmup(r *request) bool {
+	return r.firstSentAt >= epoch+seconds(a.w.s.WarmupSeconds)
+}
 
 // maxViolationsKept is the number of violations that a result describes. Further ones are only counted.
 const maxViolationsKept = 10
 
 func (a *audit) recordViolation(r *request, text string) {
-	if a.totals.Broken++; len(a.totals.Violations) < maxViolationsKept {
+	if a.totals.ViolationCount++; len(a.totals.Violations) < maxViolationsKept {
 		a.totals.Violations = append(a.totals.Violations, fmt.Sprintf("%.3f s, request %d of firm %x at limiter %d: %s [%v]",
 			(a.w.sim.now-epoch).Seconds(), r.id, r.firm.id, r.limiter.rank, text, r.trace))
 	}
@@ -218,9 +220,9 @@
 		return
 	}
 	a.totals.Requests++
-	a.totals.UnitsAsked += r.units
+	a.totals.UnitsRequested += r.units
 	if r.askedInQuota {
-		a.totals.WorthAsked += a.worth(r)
+		a.totals.WorthRequested += a.worth(r)
 	}
 }
 
@@ -229,7 +231,7 @@
 		a.totals.Tries++
 		a.triesByTier[r.firm.tier]++
 		if r.firstTry.askedInQuota {
-			a.tiers[r.firm.tier].Inside++
+			a.tiers[r.firm.tier].TriesInQuota++
 		}
 	}
 }
@@ -237,7 +239,7 @@
 // recordChange records that a change of nodes has reached a limiter, which uses it from this event on.
 func (a *audit) recordChange(l *limiter, changedAt time.Duration, entries int) {
 	if l.up {
-		a.totals.Changes.Told += entries
+		a.totals.Changes.Deliveries += entries
 		_ = a.changeDelay.RecordValues((a.w.sim.now - changedAt).Microseconds(), int64(entries))
 	}
 }
@@ -245,13 +247,13 @@
 // recordCall records that a limiter made a counter call.
 func (a *audit) recordCall() {
 	if a.callAfterWarmup(a.w.sim.now) {
-		a.totals.Called.Made++
+		a.totals.CounterCalls.Made++
 	}
 }
 
 // callAfterWarmup tells whether a counter call counts: calls in the warm-up, and after the last request arrived, do not.
 func (a *audit) callAfterWarmup(made time.Duration) bool {
-	return made >= epoch+seconds(a.w.s.Warm) && made < epoch+seconds(a.w.s.Seconds)
+	return made >= epoch+seconds(a.w.s.WarmupSeconds) && made < epoch+seconds(a.w.s.Seconds)
 }
 
 // recordCallEnd records the outcome of a counter call. An answer that comes after the limiter has stopped waiting does not
@@ -260,9 +262,9 @@
 	switch now := a.w.sim.now; {
 	case !a.callAfterWarmup(made):
 	case s == logic.OK && now <= deadline:
-		a.totals.Called.Answered++
+		a.totals.CounterCalls.Answered++
 		if now > made+milliseconds(a.w.s.Counter.TimeoutMS) {
-			a.totals.Called.AnsweredSlowly++
+			a.totals.CounterCalls.AnsweredSlowly++
 		}
 	}
 }
@@ -291,17 +293,17 @@
 		r.sentInQuota = inside
 		if a.afterWarmup(r) {
 			t, h := &a.tiers[r.firm.tier], &a.halls[r.limiter.hall]
-			a.totals.SentUnits, t.Units, h.Units = a.totals.SentUnits+r.units, t.Units+r.units, h.Units+r.units
+			a.totals.UnitsSent, t.UnitsSent, h.UnitsSent = a.totals.UnitsSent+r.units, t.UnitsSent+r.units, h.UnitsSent+r.units
 			if !inside {
-				a.totals.BeyondUnits, t.Beyond, h.UnitsOverQuota = a.totals.BeyondUnits+r.units, t.Beyond+r.units, h.UnitsOverQuota+r.units
+				a.totals.UnitsOverQuota, t.UnitsOverQuota, h.UnitsOverQuota = a.totals.UnitsOverQuota+r.units, t.UnitsOverQuota+r.units, h.UnitsOverQuota+r.units
 				a.totals.WorthServed -= a.w.s.Tiers[r.firm.tier].OverCost * a.worth(r)
 			}
 		}
 		if excess > 0 {
-			if a.totals.CeilingOver == 0 || excess > a.totals.CeilingOver+1 {
+			if a.totals.CeilingExcessUnits == 0 || excess > a.totals.CeilingExcessUnits+1 {
 				a.recordViolation(r, fmt.Sprintf("ceiling and its slack exceeded by %.2f units", excess))
 			}
-			a.totals.CeilingOver = max(a.totals.CeilingOver, excess)
+			a.totals.CeilingExcessUnits = max(a.totals.CeilingExcessUnits, excess)
 		}
 	}
 	f.inFlight = true
@@ -313,7 +315,7 @@
 	if c.UnsafeToRepeat && r.possibleRuns > 0 {
 		a.recordViolation(r, "request that is unsafe to repeat may have run and was sent again")
 	}
-	if c.Keyed && r.possibleRuns > 0 && (f.node.hall != r.firstRunHall || now > r.firstRunAt+seconds(c.KeyTTLSeconds)) {
+	if c.KeyedByHall && r.possibleRuns > 0 && (f.node.hall != r.firstRunHall || now > r.firstRunAt+seconds(c.KeyTTLSeconds)) {
 		a.recordViolation(r, fmt.Sprintf("keyed request may have run in hall %d and was sent to hall %d, another hall or after the key's TTL",
 			r.firstRunHall, f.node.hall))
 	}
@@ -369,7 +371,7 @@
 	a.peakPressure = max(a.peakPressure, pressure)
 	if sum > multiple*capacity+slack || pressure > 1 {
 		n.collapsed = true
-		a.totals.Broken++
+		a.totals.ViolationCount++
 		if len(a.totals.Violations) < maxViolationsKept {
 			a.totals.Violations = append(a.totals.Violations, fmt.Sprintf("%.3f s: cold node %d was overloaded, %.1f s of work in %v at a warm-up factor of %.2f",
 				(now-epoch).Seconds(), n.id, sum, window, n.warmupFactor()))
@@ -390,15 +392,15 @@
 	if !r.sentInQuota {
 		worth *= a.w.s.Tiers[r.firm.tier].OverWorth
 	}
-	if took > seconds(a.w.classes[r.class].Aim) {
+	if took > seconds(a.w.classes[r.class].AimSeconds) {
 		a.totals.AnsweredLate++
-		worth *= a.w.classes[r.class].Late
+		worth *= a.w.classes[r.class].LateWorthShare
 	}
 	a.totals.WorthServed += worth
 }
 
 func (a *audit) recordRefused(r *request) {
-	if c := a.w.classes[r.class]; (c.Keyed || c.UnsafeToRepeat) && r.possibleRuns > 0 {
+	if c := a.w.classes[r.class]; (c.KeyedByHall || c.UnsafeToRepeat) && r.possibleRuns > 0 {
 		a.recordViolation(r, "request may have run and was refused as safe to repeat")
 	}
 	if !a.afterWarmup(r) {
@@ -407,11 +409,11 @@
 	a.totals.Refused++
 	a.refusedByTier[r.firm.tier]++
 	if r.firstTry.askedInQuota {
-		a.tiers[r.firm.tier].InsideRefused++
+		a.tiers[r.firm.tier].RefusedInQuota++
 	}
 	if r.firm.ledger.remainingShare(a.w.sim.now) >= 0.5 {
-		a.totals.RoomRefused++
-		a.tiers[r.firm.tier].RoomRefused++
+		a.totals.RefusedWithRoom++
+		a.tiers[r.firm.tier].RefusedWithRoom++
 	}
 }
 
@@ -423,29 +425,29 @@
 
 func (a *audit) recordLost(r *request) {
 	if a.afterWarmup(r) {
-		a.totals.Lost++
+		a.totals.LostTries++
 	}
 }
 
 func (a *audit) result() Result {
 	r := a.totals
 	r.Scenario, r.Policy, r.Seed = a.w.s.Name, a.w.policy.Name, a.w.seed
-	r.Calls, r.BusiestCalls, r.Borne = 0, 0, 0
+	r.Calls, r.BusiestCounterCalls, r.CallsAnswered = 0, 0, 0
 	for _, c := range a.w.counters {
-		r.Calls, r.BusiestCalls, r.Borne = r.Calls+c.Calls, max(r.BusiestCalls, c.Calls), r.Borne+c.served
+		r.Calls, r.BusiestCounterCalls, r.CallsAnswered = r.Calls+c.Calls, max(r.BusiestCounterCalls, c.Calls), r.CallsAnswered+c.served
 	}
 	r.Seconds = min((a.w.sim.now - epoch).Seconds(), a.w.s.Seconds)
-	r.Median = float64(a.latency.ValueAtQuantile(50)) / 1e6
-	r.P99 = float64(a.latency.ValueAtQuantile(99)) / 1e6
+	r.MedianSeconds = float64(a.latency.ValueAtQuantile(50)) / 1e6
+	r.P99Seconds = float64(a.latency.ValueAtQuantile(99)) / 1e6
 	for k := range a.refusedByTier {
 		a.tiers[k].Tries, a.tiers[k].Refused = a.triesByTier[k], a.refusedByTier[k]
 		r.RefusedByTier = append(r.RefusedByTier, float64(a.refusedByTier[k])/float64(max(a.triesByTier[k], 1)))
 	}
 	r.Events, r.Firms = a.w.sim.Handled, a.w.s.Firms.Count+int(a.w.oneOffsSent)
 	for _, l := range a.w.limiters {
-		r.CPU += l.CPU
+		r.DecideTime += l.CPU
 	}
-	r.Changes.P99, r.Changes.Last = float64(a.changeDelay.ValueAtQuantile(99))/1e6, float64(a.changeDelay.Max())/1e6
+	r.Changes.P99Seconds, r.Changes.MaxSeconds = float64(a.changeDelay.ValueAtQuantile(99))/1e6, float64(a.changeDelay.Max())/1e6
 	r.Tiers, r.Halls = slices.Clone(a.tiers), slices.Clone(a.halls)
 	slices.Sort(r.Violations)
 	return r
--- a/internal/model/clients.go
+++ b/internal/model/clients.go
@@ -85,7 +85,7 @@
 // moveBusiestLimiter draws the firm's busiest limiter, and schedules the next draw.
 func (f *firm) moveBusiestLimiter() {
 	f.busiestOffset = f.rng.IntN(f.spread)
-	f.w.sim.After(seconds(max(f.w.s.Firms.ShiftS.draw(f.rng), 0.1)), func() {
+	f.w.sim.After(seconds(max(f.w.s.Firms.ShiftSeconds.draw(f.rng), 0.1)), func() {
 		if !f.stopped {
 			f.moveBusiestLimiter()
 		}
@@ -165,8 +165,8 @@
 	}
 	r := &request{w: w, firm: f, class: class, units: 1, retriesLeft: w.s.Clients.Retries, firstSentAt: w.sim.now, rng: rng}
 	r.firstTry = r
-	if u := w.s.Units; u.Most > 1 {
-		r.units = min(max(1, math.Round(r.workAt(0)/w.classes[class].mean*u.Mean)), float64(u.Most))
+	if u := w.s.Units; u.Max > 1 {
+		r.units = min(max(1, math.Round(r.workAt(0)/w.classes[class].mean*u.Mean)), float64(u.Max))
 	}
 	r.askedInQuota = f.ledger.takeAsked(w.sim.now, r.units)
 	w.audit.recordRequest(r)
@@ -179,7 +179,7 @@
 	w.lastRequestID++
 	r.id = w.lastRequestID
 	k := f.busiestOffset
-	if r.rng.Float64() >= w.s.Firms.Skew {
+	if r.rng.Float64() >= w.s.Firms.BusiestLimiterShare {
 		k = r.rng.IntN(f.spread)
 	}
 	for n := range f.spread {
@@ -188,10 +188,10 @@
 			break
 		}
 	}
-	deadline := seconds(w.classes[r.class].Deadline)
-	r.expiresAt = min(r.firstSentAt+deadline, w.sim.now+seconds(deadline.Seconds()*w.s.Clients.GiveUp.draw(r.rng)))
+	deadline := seconds(w.classes[r.class].DeadlineSeconds)
+	r.expiresAt = min(r.firstSentAt+deadline, w.sim.now+seconds(deadline.Seconds()*w.s.Clients.GiveUpShare.draw(r.rng)))
 	if r.firstTry == r {
-		r.expiresAt = w.sim.now + seconds(deadline.Seconds()*max(w.s.Clients.GiveUp[1], 0.1))
+		r.expiresAt = w.sim.now + seconds(deadline.Seconds()*max(w.s.Clients.GiveUpShare[1], 0.1))
 	}
 	if !r.limiter.up {
 		w.sim.After(time.Millisecond, func() { r.retry(false, 0) })
@@ -201,7 +201,7 @@
 	r.limiter.openRequests[r] = struct{}{}
 	w.audit.recordTry(r)
 	r.limiter.dispatch(core.RequestContext{Request: logic.Request{ID: r.id, Class: r.class, Plan: f.tier, Customer: f.id, TTL: r.expiresAt - w.sim.now,
-		Units: r.units, Spread: f.spread, First: f.firstLimiter, Repeat: r.firstTry != r && w.s.Clients.MarksRetries}, Origin: r})
+		Units: r.units, Spread: f.spread, FirstGateway: f.firstLimiter, Repeat: r.firstTry != r && w.s.Clients.MarksRetries}, Origin: r})
 	w.sim.At(r.expiresAt, func() {
 		if !r.ended {
 			r.limiter.dispatch(core.ClientGone{ID: r.id})
@@ -293,14 +293,14 @@
 // retry schedules the client's next try, if retries are left, the class allows it and there is time before the deadline.
 func (r *request) retry(safeToRepeat bool, after time.Duration) {
 	c := r.w.classes[r.class]
-	if r.retriesLeft <= 0 || (c.Keyed || c.UnsafeToRepeat) && !safeToRepeat && r.delivered {
+	if r.retriesLeft <= 0 || (c.KeyedByHall || c.UnsafeToRepeat) && !safeToRepeat && r.delivered {
 		return
 	}
-	wait := seconds(r.w.s.Clients.Wait.draw(r.rng))
-	if safeToRepeat && after > 0 && r.rng.Float64() < r.w.s.Clients.Honour {
+	wait := seconds(r.w.s.Clients.RetryWaitSeconds.draw(r.rng))
+	if safeToRepeat && after > 0 && r.rng.Float64() < r.w.s.Clients.HonoursRetryAfterShare {
 		wait = max(after, 0)
 	}
-	if r.w.sim.now+wait >= r.firstSentAt+seconds(c.Deadline) {
+	if r.w.sim.now+wait >= r.firstSentAt+seconds(c.DeadlineSeconds) {
 		return
 	}
 	next := &request{w: r.w, firm: r.firm, class: r.class, units: r.units, retriesLeft: r.retriesLeft - 1,
--- a/internal/model/counter.go
+++ b/internal/model/counter.go
@@ -37,7 +37,7 @@
 }
 
 func newCounter(w *World, number int) *counter {
-	return &counter{w: w, number: number, rng: newRand(w.seed, "counter", number), shards: make([]shard, w.s.Counter.Parts),
+	return &counter{w: w, number: number, rng: newRand(w.seed, "counter", number), shards: make([]shard, w.s.Counter.Shards),
 		replicas: [2]map[uint64]counterEntry{{}, {}}, slowdown: 1}
 }
 
@@ -64,7 +64,7 @@
 			return
 		}
 		p.waiting++
-		serviceTime := max(seconds(1/c.w.s.Counter.PerSecond), 0)
+		serviceTime := max(seconds(1/c.w.s.Counter.CallsPerSecond), 0)
 		servedAt := max(p.freeAt, c.w.sim.now) + seconds(serviceTime.Seconds()*c.slowdown)
 		if unlimited {
 			servedAt = c.w.sim.now
--- a/internal/model/counters_test.go
+++ b/internal/model/counters_test.go
@@ -8,15 +8,15 @@
 
 // floodedFleet is a fleet whose firms ask for more than their quotas, with counters that can serve all calls.
 func floodedFleet(limiters, counters, spare int) Scenario {
-	s := Scale(limiters, limiters, 20*limiters, 0)
-	s.Seconds, s.Warm = 24, 2
-	s.Counter.Parts, s.Counter.Count, s.Counter.SpareCount = 4, counters, spare
+	s := ScaledScenario(limiters, limiters, 20*limiters, 0)
+	s.Seconds, s.WarmupSeconds = 24, 2
+	s.Counter.Shards, s.Counter.Count, s.Counter.SpareCount = 4, counters, spare
 	s.Firms.OverQuotaShare, s.Firms.OverQuotaFactor = 0.5, Range{2, 5}
 	return s
 }
 
 func runScenario(s Scenario, seed uint64) (*World, Result) {
-	w := New(s, seed, Own(), false)
+	w := New(s, seed, ProjectPolicy(), false)
 	return w, w.Run()
 }
 
@@ -42,7 +42,7 @@
 	s.Faults = []Fault{{Kind: FaultLost, At: 6, For: 12, Hall: 1}}
 	v, withCrash := runScenario(s, 3)
 	require.Empty(t, withCrash.Violations)
-	require.Greater(t, withCrash.Worth(), baseline.Worth()-0.05)
+	require.Greater(t, withCrash.WorthShare(), baseline.WorthShare()-0.05)
 	for _, k := range []int{0, 2, 3} {
 		require.InEpsilon(t, w.counters[k].served, v.counters[k].served, 0.15, "counter %d", k)
 	}
@@ -57,10 +57,10 @@
 		_, baseline := runScenario(s, 4)
 		s.Faults = []Fault{{Kind: FaultList, At: 6, For: 10, Part: 0.5, Size: 4}}
 		_, changed := runScenario(s, 4)
-		t.Logf("%d limiters: share beyond quotas %.4f without the change, %.4f with it; worth %.3f, %.3f", limiters, baseline.OverQuota(), changed.OverQuota(), baseline.Worth(), changed.Worth())
+		t.Logf("%d limiters: share beyond quotas %.4f without the change, %.4f with it; worth %.3f, %.3f", limiters, baseline.OverQuotaShare(), changed.OverQuotaShare(), baseline.WorthShare(), changed.WorthShare())
 		require.Empty(t, changed.Violations)
-		require.Less(t, changed.OverQuota(), baseline.OverQuota()+0.01)
-		require.Greater(t, changed.Worth(), baseline.Worth()-0.05)
+		require.Less(t, changed.OverQuotaShare(), baseline.OverQuotaShare()+0.01)
+		require.Greater(t, changed.WorthShare(), baseline.WorthShare()-0.05)
 	}
 }
 
@@ -69,10 +69,10 @@
 	s := floodedFleet(300, 2, 1)
 	s.Seconds, s.Nodes = 9, 100
 	s.Faults = []Fault{{Kind: FaultList, At: 6, Part: 1, Size: 3}}
-	w := New(s, 6, Own(), false)
-	w.Play(6)
+	w := New(s, 6, ProjectPolicy(), false)
+	w.RunUntil(6)
 	callsBefore := w.counters[0].Calls + w.counters[1].Calls
-	w.Play(6.5)
+	w.RunUntil(6.5)
 	firstCalls := w.counters[2].Calls
 	w.Run()
 	laterRate := float64(w.counters[2].Calls-firstCalls) / 2.5
@@ -89,7 +89,7 @@
 		s.Faults = append(s.Faults, Fault{Kind: FaultList, At: 4 + float64(k), For: 0.5, Part: 0.5, Size: 2, Hall: k + 1})
 	}
 	_, changed := runScenario(s, 8)
-	t.Logf("calls %d without changes, %d with them; share beyond quotas %.4f, %.4f; worth %.3f, %.3f", baseline.Calls, changed.Calls, baseline.OverQuota(), changed.OverQuota(), baseline.Worth(), changed.Worth())
+	t.Logf("calls %d without changes, %d with them; share beyond quotas %.4f, %.4f; worth %.3f, %.3f", baseline.Calls, changed.Calls, baseline.OverQuotaShare(), changed.OverQuotaShare(), baseline.WorthShare(), changed.WorthShare())
 	require.Empty(t, changed.Violations)
 	require.Less(t, changed.Calls, 3*baseline.Calls)
 }
@@ -109,9 +109,9 @@
 	} {
 		s.Faults = []Fault{listChange, fault}
 		_, r := runScenario(s, 9)
-		t.Logf("%s: share beyond quotas %.4f without faults, %.4f with them; worth %.3f, %.3f", name, baseline.OverQuota(), r.OverQuota(), baseline.Worth(), r.Worth())
+		t.Logf("%s: share beyond quotas %.4f without faults, %.4f with them; worth %.3f, %.3f", name, baseline.OverQuotaShare(), r.OverQuotaShare(), baseline.WorthShare(), r.WorthShare())
 		require.Empty(t, r.Violations, name)
-		require.Less(t, r.OverQuota(), baseline.OverQuota()+0.03, name)
-		require.Greater(t, r.Worth(), baseline.Worth()-0.12, name)
+		require.Less(t, r.OverQuotaShare(), baseline.OverQuotaShare()+0.03, name)
+		require.Greater(t, r.WorthShare(), baseline.WorthShare()-0.12, name)
 	}
 }
--- a/internal/model/few_limiters_test.go
+++ b/internal/model/few_limiters_test.go
@@ -21,9 +21,9 @@
 				}
 				s.Name = fmt.Sprintf("few-%d-%d", limiters, seed)
 				require.Empty(t, s.Check())
-				w := New(s, seed, Own(), false)
+				w := New(s, seed, ProjectPolicy(), false)
 				r := w.Run()
-				t.Logf("%2d limiters %2d nodes: peak pressure %.2f worth %.2f", s.Limiters, s.Nodes, w.audit.peakPressure, r.Worth())
+				t.Logf("%2d limiters %2d nodes: peak pressure %.2f worth %.2f", s.Limiters, s.Nodes, w.audit.peakPressure, r.WorthShare())
 				require.Empty(t, r.Violations)
 			})
 		}
--- a/internal/model/limiter.go
+++ b/internal/model/limiter.go
@@ -22,10 +22,10 @@
 }
 
 // Own is the policy that runs the project's own reducer and module.
-func Own() Policy {
+func ProjectPolicy() Policy {
 	return Policy{"bramblefall", func(set logic.Settings, seed uint64) Decider {
 		limits := plans.DefaultLimits
-		limits.MostUnits = set.MostUnits
+		limits.MaxRequestUnits = set.MostUnits
 		return core.New(set, seed, plans.New(set.Plans, limits))
 	}}
 }
@@ -82,14 +82,14 @@
 	seed := newRand(l.w.seed, "limiter", l.rank*1000+l.incarnation).Uint64()
 	l.decider = l.w.policy.New(l.w.settings(l.rank), seed)
 	if r, ok := l.decider.(*core.Reducer); ok && l.w.s.Counter.Count > 0 {
-		r.Spread(l.w.sim.now, l.w.counterAddresses(l.rank), l.incarnation == 1)
+		r.ShardCounters(l.w.sim.now, l.w.counterAddresses(l.rank), l.incarnation == 1)
 	}
 	if r, ok := l.decider.(*core.Reducer); ok && l.w.s.Counter.Count > 0 {
-		for _, e := range r.Begin(l.w.sim.now, nil) {
+		for _, e := range r.Start(l.w.sim.now, nil) {
 			l.apply(e)
 		}
 	}
-	l.dispatch(core.UpstreamGroup{ServerList: logic.ServerList{Whole: true, Cached: true, Servers: append([]logic.Server(nil), l.servers...)}})
+	l.dispatch(core.UpstreamGroup{ServerList: logic.ServerList{Complete: true, Cached: true, Servers: append([]logic.Server(nil), l.servers...)}})
 	l.watchDiscovery()
 }
 
@@ -205,13 +205,13 @@
 	case core.Count:
 		incarnation, made := l.incarnation, l.w.sim.now
 		l.w.audit.recordCall()
-		l.w.counters[l.counterNumbers[e.Counter]].call(l.rank, e.Name, e.Amount, e.Lives, func(s logic.Status, total float64) {
-			l.w.audit.recordCallEnd(made, e.Until, s)
+		l.w.counters[l.counterNumbers[e.Counter]].call(l.rank, e.Name, e.Amount, e.TTL, func(s logic.Status, total float64) {
+			l.w.audit.recordCallEnd(made, e.Deadline, s)
 			if l.incarnation == incarnation {
 				l.dispatch(core.CountResult{Call: e.Call, Status: s, Total: total})
 			}
 		})
-	case core.Reach:
+	case core.SetCounters:
 		l.counterNumbers = map[int]int{}
 		for number, addr := range e.Counters {
 			l.counterNumbers[number], _ = strconv.Atoi(addr)
--- a/internal/model/many_limiters_test.go
+++ b/internal/model/many_limiters_test.go
@@ -13,12 +13,12 @@
 // of it during a burst.
 func coldStartScenario(seed uint64) Scenario {
 	limiters := 20 + int(seed%11)
-	s := Scale(limiters, 10+int(seed*7%15), 60+int(seed*13%80), 0)
-	s.Name, s.Seconds, s.Warm = fmt.Sprint("throng-", seed), 30, 1
+	s := ScaledScenario(limiters, 10+int(seed*7%15), 60+int(seed*13%80), 0)
+	s.Name, s.Seconds, s.WarmupSeconds = fmt.Sprint("throng-", seed), 30, 1
 	s.Node.ColdShare, s.Node.ColdSeconds = 0.16+0.02*float64(seed%8), 8+float64(seed*5%12)
 	s.Rules.OverloadFactor, s.Rules.OverloadWindowSeconds = 2+0.25*float64(seed*3%5), 2+0.5*float64(seed*11%5)
 	s.Firms.QuotaUse, s.Firms.Spread = Range{0.5, 0.95}, Range{1, 4} // most of the load stays within quotas, so that it reaches the servers and fills them
-	s.Discovery.Late = Range{0.1, 1}
+	s.Discovery.DelaySeconds = Range{0.1, 1}
 	s.Faults = []Fault{
 		{Kind: FaultDrain, At: 2, Part: 0.6},
 		{Kind: FaultCrash, At: 5, For: 3, Part: 0.5},
@@ -40,12 +40,12 @@
 			t.Parallel()
 			s := coldStartScenario(seed)
 			require.Empty(t, s.Check())
-			w := New(s, seed, Own(), false)
+			w := New(s, seed, ProjectPolicy(), false)
 			r := w.Run()
 			mu.Lock()
 			peak = max(peak, w.audit.peakPressure)
 			mu.Unlock()
-			t.Logf("%2d limiters %2d nodes: peak pressure %.2f worth %.2f", s.Limiters, s.Nodes, w.audit.peakPressure, r.Worth())
+			t.Logf("%2d limiters %2d nodes: peak pressure %.2f worth %.2f", s.Limiters, s.Nodes, w.audit.peakPressure, r.WorthShare())
 			require.Empty(t, r.Violations)
 		})
 	}
--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -14,10 +14,10 @@
 
 // singleNode is a world of one node with an unbounded queue, without load from the scenario's firms.
 func singleNode(seed uint64, cores int) (*World, *node) {
-	s := Base()
+	s := BaseScenario()
 	s.Nodes, s.Limiters, s.Firms.Count = 1, 1, 1
-	s.Node = NodeKind{Cores: cores, Slots: cores, Queue: 1 << 30}
-	w := New(s, seed, Own(), false)
+	s.Node = NodeKind{Cores: cores, MaxRunning: cores, MaxQueued: 1 << 30}
+	w := New(s, seed, ProjectPolicy(), false)
 	w.firms[0].stopped = true
 	return w, w.nodes[0]
 }
@@ -81,7 +81,7 @@
 
 // smallScenario is the base scenario with fewer nodes and firms.
 func smallScenario(seconds float64) Scenario {
-	s := Base()
+	s := BaseScenario()
 	s.Seconds, s.Nodes, s.Firms.Count = seconds, 6, 60
 	return s
 }
@@ -90,7 +90,7 @@
 func TestSameSeedGivesSameResult(t *testing.T) {
 	s := smallScenario(10)
 	s.Faults = []Fault{{Kind: FaultFlush, At: 3, Part: 0.7}, {Kind: FaultLimiters, At: 4, For: 2, Part: 0.3}, {Kind: FaultCrash, At: 6, For: 1, Part: 0.2}}
-	for _, p := range append(Textbook(), Own()) {
+	for _, p := range append(TextbookPolicies(), ProjectPolicy()) {
 		want := fmt.Sprintf("%+v", New(s, 5, p, false).Run())
 		var wg sync.WaitGroup
 		got := make([]string, 8)
@@ -115,7 +115,7 @@
 		for seed := range uint64(3) {
 			s := smallScenario(20)
 			s.Faults = []Fault{{Kind: kind, At: 5, For: 6, Part: 0.4, Size: 2, Hall: int(seed % 2)}}
-			r := New(s, seed, Own(), false).Run()
+			r := New(s, seed, ProjectPolicy(), false).Run()
 			require.Empty(t, r.Violations, "%s, seed %d", kind, seed)
 			require.Greater(t, r.Served, 100, "%s, seed %d", kind, seed)
 		}
@@ -128,21 +128,21 @@
 	s.Firms.OverQuotaShare, s.Firms.OverQuotaFactor = 1, Range{8, 8}
 	noCeiling, _ := PolicyNamed("whole-quota+random")
 	r := New(s, 1, noCeiling, false).Run()
-	require.Positive(t, r.CeilingOver)
+	require.Positive(t, r.CeilingExcessUnits)
 	require.NotEmpty(t, r.Violations)
 	require.NotEmpty(t, r.Check(Bounds{}))
-	require.Empty(t, New(s, 1, Own(), false).Run().Violations)
+	require.Empty(t, New(s, 1, ProjectPolicy(), false).Run().Violations)
 }
 
 // A pause of all nodes for two seconds must show in the tail latency, which is measured from the time at which a client wanted
 // to send.
 func TestPauseShowsInTailLatency(t *testing.T) {
 	s := smallScenario(12)
-	baseline := New(s, 2, Own(), false).Run()
+	baseline := New(s, 2, ProjectPolicy(), false).Run()
 	s.Faults = []Fault{{Kind: FaultPause, At: 5, For: 2, Part: 1}}
-	paused := New(s, 2, Own(), false).Run()
-	require.Greater(t, paused.P99, baseline.P99)
-	require.Greater(t, paused.P99, 1.5)
+	paused := New(s, 2, ProjectPolicy(), false).Run()
+	require.Greater(t, paused.P99Seconds, baseline.P99Seconds)
+	require.Greater(t, paused.P99Seconds, 1.5)
 }
 
 // The gamma distribution must have the mean and the coefficient of variation that were asked for.
--- a/internal/model/node.go
+++ b/internal/model/node.go
@@ -74,7 +74,7 @@
 	n.attemptsReceived++
 	k := n.w.s.Node
 	n.w.audit.recordNodeWork(n, j.work)
-	if n.inService >= k.Slots && len(n.queue) >= k.Queue || n.state == logic.Draining {
+	if n.inService >= k.MaxRunning && len(n.queue) >= k.MaxQueued || n.state == logic.Draining {
 		j.reply(logic.Full)
 		return
 	}
@@ -86,7 +86,7 @@
 // startQueued starts queued requests while there are free slots. Requests in service share the cores evenly, and each one
 // beyond the number of cores slows them. A request keeps the speed that holds when it starts.
 func (n *node) startQueued() {
-	for n.inService < n.w.s.Node.Slots && len(n.queue) > 0 {
+	for n.inService < n.w.s.Node.MaxRunning && len(n.queue) > 0 {
 		j := n.queue[0]
 		n.queue[0] = nil
 		n.queue = n.queue[1:]
@@ -96,7 +96,7 @@
 		n.inService++
 		j.running = true
 		excess := max(0, n.inService-n.cores)
-		speed := n.speed * n.warmupFactor() / (1 + float64(excess)/float64(n.cores)) / (1 + n.w.s.Node.Thrash*float64(excess))
+		speed := n.speed * n.warmupFactor() / (1 + float64(excess)/float64(n.cores)) / (1 + n.w.s.Node.ContentionSlowdown*float64(excess))
 		incarnation := n.incarnation
 		finishAt := n.w.sim.now + seconds(j.work/speed)
 		if n.pausedUntil > n.w.sim.now {
@@ -133,7 +133,7 @@
 // loadReport is the load report in an answer: the requests answered in the last second, with up to 10% of noise. It is nil
 // if nodes do not report.
 func (n *node) loadReport() []float64 {
-	if !n.w.s.Node.Reports {
+	if !n.w.s.Node.ReportsThroughput {
 		return nil
 	}
 	now := n.w.sim.now
--- a/internal/model/rejections_test.go
+++ b/internal/model/rejections_test.go
@@ -53,11 +53,11 @@
 			for seed := range uint64(2) {
 				t.Run(fmt.Sprint(name, limiters, seed), func(t *testing.T) {
 					t.Parallel()
-					s := Scale(limiters, max(6, limiters/2), 10*limiters, 0)
+					s := ScaledScenario(limiters, max(6, limiters/2), 10*limiters, 0)
 					s.Name, s.Seconds, s.Faults = name, 24, faults
 					s.Firms.QuotaUse = Range{0.5, 0.95}
 					var trackers []*rejectionTracker
-					own := Own()
+					own := ProjectPolicy()
 					w := New(s, seed, Policy{own.Name, func(set logic.Settings, seed uint64) Decider {
 						d := &rejectionTracker{Decider: own.New(set, seed)}
 						trackers = append(trackers, d)
@@ -70,7 +70,7 @@
 							rejecting++
 						}
 					}
-					t.Logf("%s: %d of %d limiters rejected everything; %d attempts, worth %.2f", t.Name(), rejecting, len(trackers), attempts, r.Worth())
+					t.Logf("%s: %d of %d limiters rejected everything; %d attempts, worth %.2f", t.Name(), rejecting, len(trackers), attempts, r.WorthShare())
 					require.LessOrEqual(t, 10*rejecting, len(trackers))
 				})
 			}
--- a/internal/model/scenario.go
+++ b/internal/model/scenario.go
@@ -10,12 +10,12 @@
 // Scenario describes a modelled deployment, its load and its faults. Times are in seconds unless their name says
 // milliseconds.
 type Scenario struct {
-	Name     string  `json:"name"`
-	Seconds  float64 `json:"seconds"`
-	Warm     float64 `json:"warm"` // warm-up at the start of the run; Result tells which figures leave it out
-	Limiters int     `json:"limiters"`
-	Nodes    int     `json:"nodes"`
-	Halls    int     `json:"halls"`
+	Name          string  `json:"name"`
+	Seconds       float64 `json:"seconds"`
+	WarmupSeconds float64 `json:"warm"` // warm-up at the start of the run; Result tells which figures leave it out
+	Limiters      int     `json:"limiters"`
+	Nodes         int     `json:"nodes"`
+	Halls         int     `json:"halls"`
 
 	Node       NodeKind      `json:"node"`
 	Machines   []MachineKind `json:"machines"` // if empty, all nodes are alike
@@ -35,18 +35,18 @@
 
 // NodeKind configures the exchange nodes.
 type NodeKind struct {
-	Cores          int     `json:"cores"`
-	Slots          int     `json:"slots"` // requests processed at once
-	Queue          int     `json:"queue"` // requests that may wait beside those being processed
-	WorkCV2        float64 `json:"work_cv2"`
-	Thrash         float64 `json:"thrash"` // relative slowdown for each request processed beyond the number of cores
-	ColdShare      float64 `json:"cold_share"`
-	ColdSeconds    float64 `json:"cold_seconds"`
-	DropsCancelled bool    `json:"cancels"` // queued requests are dropped when their caller stops waiting
-	StopsCancelled bool    `json:"stops"`   // running requests are stopped when their caller stops waiting
-	Reports        bool    `json:"reports"` // answers carry the requests answered a second, which lags and has noise
-	MaxConns       int     `json:"conns"`   // 0: unlimited
-	HandshakeMS    float64 `json:"handshake_ms"`
+	Cores              int     `json:"cores"`
+	MaxRunning         int     `json:"slots"` // requests processed at once
+	MaxQueued          int     `json:"queue"` // requests that may wait beside those being processed
+	WorkCV2            float64 `json:"work_cv2"`
+	ContentionSlowdown float64 `json:"thrash"` // relative slowdown for each request processed beyond the number of cores
+	ColdShare          float64 `json:"cold_share"`
+	ColdSeconds        float64 `json:"cold_seconds"`
+	DropsCancelled     bool    `json:"cancels"` // queued requests are dropped when their caller stops waiting
+	StopsCancelled     bool    `json:"stops"`   // running requests are stopped when their caller stops waiting
+	ReportsThroughput  bool    `json:"reports"` // answers carry the requests answered a second, which lags and has noise
+	MaxConns           int     `json:"conns"`   // 0: unlimited
+	HandshakeMS        float64 `json:"handshake_ms"`
 }
 
 // MachineKind is one of several machine types that nodes run on.
@@ -66,7 +66,7 @@
 
 // UnitKind configures the units that a request takes: in proportion to its work, from 1 to Most.
 type UnitKind struct {
-	Most int     `json:"most"`
+	Max  int     `json:"most"`
 	Mean float64 `json:"mean"` // units of a request of mean work
 }
 
@@ -79,56 +79,56 @@
 
 // CounterKind configures the quota counters.
 type CounterKind struct {
-	Count      int     `json:"count"`      // counters that names are sharded over; 0: the platform's single counter
-	SpareCount int     `json:"spare"`      // further counters, for scenarios that change the list
-	PerSecond  float64 `json:"per_second"` // calls a second that each part serves
-	Parts      int     `json:"parts"`
-	LatencyMS  Range   `json:"ms"`
-	MaxPending int     `json:"waiting"`   // calls pending at one part; further calls are rejected
-	Unlimited  bool    `json:"unlimited"` // any number of calls are served at once: none waits, none is rejected
-	TimeoutMS  float64 `json:"timeout_ms"`
+	Count          int     `json:"count"`      // counters that names are sharded over; 0: the platform's single counter
+	SpareCount     int     `json:"spare"`      // further counters, for scenarios that change the list
+	CallsPerSecond float64 `json:"per_second"` // calls a second that each part serves
+	Shards         int     `json:"parts"`
+	LatencyMS      Range   `json:"ms"`
+	MaxPending     int     `json:"waiting"`   // calls pending at one part; further calls are rejected
+	Unlimited      bool    `json:"unlimited"` // any number of calls are served at once: none waits, none is rejected
+	TimeoutMS      float64 `json:"timeout_ms"`
 }
 
 // DiscoveryKind configures the discovery of nodes.
 type DiscoveryKind struct {
-	Late Range `json:"late"` // time until a limiter learns of a change
+	DelaySeconds Range `json:"late"` // time until a limiter learns of a change
 }
 
 // ClientKind configures how clients retry and give up.
 type ClientKind struct {
-	Retries              int     `json:"retries"`
-	Wait                 Range   `json:"wait"`
-	GiveUp               Range   `json:"give_up"`   // share of the class's deadline after which a client gives up
-	Honour               float64 `json:"honour"`    // share of clients that wait for as long as a rejection tells them
-	DownDetectionSeconds Range   `json:"notice"`    // time until the front notices that a limiter is down
-	MarksRetries         bool    `json:"marks_own"` // clients mark their retries as such
+	Retries                int     `json:"retries"`
+	RetryWaitSeconds       Range   `json:"wait"`
+	GiveUpShare            Range   `json:"give_up"`   // share of the class's deadline after which a client gives up
+	HonoursRetryAfterShare float64 `json:"honour"`    // share of clients that wait for as long as a rejection tells them
+	DownDetectionSeconds   Range   `json:"notice"`    // time until the front notices that a limiter is down
+	MarksRetries           bool    `json:"marks_own"` // clients mark their retries as such
 }
 
 // FirmKind configures the member firms.
 type FirmKind struct {
-	Count            int     `json:"count"`
-	QuotaUse         Range   `json:"use"`      // share of its quota that an ordinary firm uses
-	NearQuotaShare   float64 `json:"full"`     // share of firms that use nearly all of their quota
-	OverQuotaShare   float64 `json:"heavy"`    // share of firms that ask for more than their quota
-	OverQuotaFactor  Range   `json:"heavy_x"`  // demand of such a firm, as a multiple of its quota
-	Spread           Range   `json:"spread"`   // limiters that a firm's requests come through
-	ShiftS           Range   `json:"shift"`    // time after which another limiter becomes a firm's busiest
-	Skew             float64 `json:"skew"`     // share of a firm's requests that come through its busiest limiter
-	OneOffsPerSecond float64 `json:"one_offs"` // new firms a second that send a single request
+	Count               int     `json:"count"`
+	QuotaUse            Range   `json:"use"`      // share of its quota that an ordinary firm uses
+	NearQuotaShare      float64 `json:"full"`     // share of firms that use nearly all of their quota
+	OverQuotaShare      float64 `json:"heavy"`    // share of firms that ask for more than their quota
+	OverQuotaFactor     Range   `json:"heavy_x"`  // demand of such a firm, as a multiple of its quota
+	Spread              Range   `json:"spread"`   // limiters that a firm's requests come through
+	ShiftSeconds        Range   `json:"shift"`    // time after which another limiter becomes a firm's busiest
+	BusiestLimiterShare float64 `json:"skew"`     // share of a firm's requests that come through its busiest limiter
+	OneOffsPerSecond    float64 `json:"one_offs"` // new firms a second that send a single request
 }
 
 // ClassKind configures a class of requests.
 type ClassKind struct {
-	Name           string  `json:"name"`
-	Share          float64 `json:"share"`
-	WorkMS         Range   `json:"work_ms"` // mean work of the class, drawn once for each run
-	Aim            float64 `json:"aim"`
-	Deadline       float64 `json:"deadline"`
-	Worth          float64 `json:"worth"`
-	Late           float64 `json:"late"`  // share of the worth that is left after the aim
-	Keyed          bool    `json:"keyed"` // safe to repeat only in the same hall, within the key's TTL; a class that is neither keyed nor unsafe is safe in any hall
-	KeyTTLSeconds  float64 `json:"key_ttl"`
-	UnsafeToRepeat bool    `json:"unsafe"` // must never run twice
+	Name            string  `json:"name"`
+	Share           float64 `json:"share"`
+	WorkMS          Range   `json:"work_ms"` // mean work of the class, drawn once for each run
+	AimSeconds      float64 `json:"aim"`
+	DeadlineSeconds float64 `json:"deadline"`
+	Worth           float64 `json:"worth"`
+	LateWorthShare  float64 `json:"late"`  // share of the worth that is left after the aim
+	KeyedByHall     bool    `json:"keyed"` // safe to repeat only in the same hall, within the key's TTL; a class that is neither keyed nor unsafe is safe in any hall
+	KeyTTLSeconds   float64 `json:"key_ttl"`
+	UnsafeToRepeat  bool    `json:"unsafe"` // must never run twice
 }
 
 // Fault is a fault that is injected into a run.
@@ -197,25 +197,25 @@
 }
 
 // Base is a small deployment without faults, which other scenarios are derived from.
-func Base() Scenario {
+func BaseScenario() Scenario {
 	return Scenario{
-		Name:     "calm",
-		Seconds:  60,
-		Warm:     2,
-		Limiters: 3,
-		Nodes:    10,
-		Halls:    2,
+		Name:          "calm",
+		Seconds:       60,
+		WarmupSeconds: 2,
+		Limiters:      3,
+		Nodes:         10,
+		Halls:         2,
 		Node: NodeKind{
-			Cores:          3,
-			Slots:          6,
-			Queue:          24,
-			WorkCV2:        0.5,
-			Thrash:         0.02,
-			ColdShare:      0.24,
-			ColdSeconds:    18,
-			DropsCancelled: true,
-			MaxConns:       256,
-			HandshakeMS:    1,
+			Cores:              3,
+			MaxRunning:         6,
+			MaxQueued:          24,
+			WorkCV2:            0.5,
+			ContentionSlowdown: 0.02,
+			ColdShare:          0.24,
+			ColdSeconds:        18,
+			DropsCancelled:     true,
+			MaxConns:           256,
+			HandshakeMS:        1,
 		},
 		Rules: RuleKind{
 			MaxAttempts:           6,
@@ -224,7 +224,7 @@
 			OverloadWindowSeconds: 3,
 		},
 		Units: UnitKind{
-			Most: 1,
+			Max:  1,
 			Mean: 1,
 		},
 		Network: NetworkKind{
@@ -233,30 +233,30 @@
 			JitterMS: 0.05,
 		},
 		Counter: CounterKind{
-			PerSecond:  660,
-			Parts:      1,
-			LatencyMS:  Range{0.54, 1.4},
-			MaxPending: 64,
-			TimeoutMS:  30,
+			CallsPerSecond: 660,
+			Shards:         1,
+			LatencyMS:      Range{0.54, 1.4},
+			MaxPending:     64,
+			TimeoutMS:      30,
 		},
-		Discovery: DiscoveryKind{Late: Range{0.5, 3}},
+		Discovery: DiscoveryKind{DelaySeconds: Range{0.5, 3}},
 		Clients: ClientKind{
-			Retries:              1,
-			Wait:                 Range{0.1, 0.6},
-			GiveUp:               Range{0.5, 1},
-			Honour:               0.7,
-			DownDetectionSeconds: Range{1.5, 3.5},
-			MarksRetries:         true,
+			Retries:                1,
+			RetryWaitSeconds:       Range{0.1, 0.6},
+			GiveUpShare:            Range{0.5, 1},
+			HonoursRetryAfterShare: 0.7,
+			DownDetectionSeconds:   Range{1.5, 3.5},
+			MarksRetries:           true,
 		},
 		Firms: FirmKind{
-			Count:           120,
-			QuotaUse:        Range{0.15, 0.5},
-			NearQuotaShare:  0.18,
-			OverQuotaShare:  0.09,
-			OverQuotaFactor: Range{1.6, 4.3},
-			Spread:          Range{2, 3},
-			ShiftS:          Range{6, 22},
-			Skew:            0.6,
+			Count:               120,
+			QuotaUse:            Range{0.15, 0.5},
+			NearQuotaShare:      0.18,
+			OverQuotaShare:      0.09,
+			OverQuotaFactor:     Range{1.6, 4.3},
+			Spread:              Range{2, 3},
+			ShiftSeconds:        Range{6, 22},
+			BusiestLimiterShare: 0.6,
 		},
 		Tiers: []logic.Plan{
 			{Name: "associate", Rate: 0.8, Burst: 4, Price: 0.72, OverCost: 0.6},
@@ -265,19 +265,19 @@
 		},
 		TierShares: []float64{0.72, 0.2, 0.08},
 		Classes: []ClassKind{
-			{Name: "balance-read", Share: 0.76, WorkMS: Range{120, 220}, Aim: 1.5, Deadline: 4, Worth: 2, Late: 0.2},
-			{Name: "transfer-post", Share: 0.24, WorkMS: Range{120, 220}, Aim: 1.5, Deadline: 6, Worth: 5, Keyed: true, KeyTTLSeconds: 12},
+			{Name: "balance-read", Share: 0.76, WorkMS: Range{120, 220}, AimSeconds: 1.5, DeadlineSeconds: 4, Worth: 2, LateWorthShare: 0.2},
+			{Name: "transfer-post", Share: 0.24, WorkMS: Range{120, 220}, AimSeconds: 1.5, DeadlineSeconds: 6, Worth: 5, KeyedByHall: true, KeyTTLSeconds: 12},
 		},
 	}
 }
 
 // Scale is the base with other numbers of limiters, nodes and firms. Quotas are scaled so that the load on each node stays
 // the same.
-func Scale(limiters, nodes, firms int, oneOffs float64) Scenario {
-	s := Base()
+func ScaledScenario(limiters, nodes, firms int, oneOffs float64) Scenario {
+	s := BaseScenario()
 	s.Limiters, s.Nodes, s.Firms.Count, s.Firms.OneOffsPerSecond = limiters, nodes, firms, oneOffs
 	s.Firms.Spread = Range{2, min(4, float64(limiters))}
-	s.Counter.Parts = max(1, limiters/3)
+	s.Counter.Shards = max(1, limiters/3)
 	// Firms are taken to use 0.55 of their rate, and nodes to be used to 0.55 of their cores. demandUnits is the mean demand of
 	// a firm, in units a second.
 	demandUnits := 0.0
@@ -307,18 +307,18 @@
 		errs = append(errs, [2]string{field, fmt.Sprintf(text, args...)})
 	}
 	positive := map[string]float64{"seconds": s.Seconds, "limiters": float64(s.Limiters), "nodes": float64(s.Nodes),
-		"halls": float64(s.Halls), "node.cores": float64(s.Node.Cores), "node.slots": float64(s.Node.Slots),
-		"counter.per_second": s.Counter.PerSecond, "counter.parts": float64(s.Counter.Parts), "firms.count": float64(s.Firms.Count),
+		"halls": float64(s.Halls), "node.cores": float64(s.Node.Cores), "node.slots": float64(s.Node.MaxRunning),
+		"counter.per_second": s.Counter.CallsPerSecond, "counter.parts": float64(s.Counter.Shards), "firms.count": float64(s.Firms.Count),
 		"counter.timeout_ms": s.Counter.TimeoutMS, "rules.attempts": float64(s.Rules.MaxAttempts), "rules.fall": s.Rules.OverloadWindowSeconds,
-		"rules.fall_multiple": s.Rules.OverloadFactor, "units.most": float64(s.Units.Most), "units.mean": s.Units.Mean}
+		"rules.fall_multiple": s.Rules.OverloadFactor, "units.most": float64(s.Units.Max), "units.mean": s.Units.Mean}
 	for _, field := range sortedKeys(positive) {
 		if !(positive[field] > 0 && positive[field] <= 1e8) {
 			addError(field, "%v is not a number over 0 and up to 1e8", positive[field])
 		}
 	}
 	ranges := map[string]Range{"network.within_ms": s.Network.WithinMS, "network.across_ms": s.Network.AcrossMS, "counter.ms": s.Counter.LatencyMS,
-		"discovery.late": s.Discovery.Late, "clients.wait": s.Clients.Wait, "clients.give_up": s.Clients.GiveUp, "firms.use": s.Firms.QuotaUse,
-		"firms.heavy_x": s.Firms.OverQuotaFactor, "firms.spread": s.Firms.Spread, "firms.shift": s.Firms.ShiftS}
+		"discovery.late": s.Discovery.DelaySeconds, "clients.wait": s.Clients.RetryWaitSeconds, "clients.give_up": s.Clients.GiveUpShare, "firms.use": s.Firms.QuotaUse,
+		"firms.heavy_x": s.Firms.OverQuotaFactor, "firms.spread": s.Firms.Spread, "firms.shift": s.Firms.ShiftSeconds}
 	for _, field := range sortedKeys(ranges) {
 		if r := ranges[field]; !(r[0] >= 0 && r[1] >= r[0] && r[1] <= 1e8) {
 			addError(field, "got %v, want two ascending numbers from 0 to 1e8", r)
@@ -339,9 +339,9 @@
 		addError("classes", "got none, want at least one")
 	}
 	for k, c := range s.Classes {
-		if !(c.Deadline > 0 && c.Aim > 0 && c.Aim <= c.Deadline && c.Share >= 0 && c.WorkMS[0] > 0) {
+		if !(c.DeadlineSeconds > 0 && c.AimSeconds > 0 && c.AimSeconds <= c.DeadlineSeconds && c.Share >= 0 && c.WorkMS[0] > 0) {
 			addError(fmt.Sprintf("classes[%d]", k), "got share %v, work_ms %v, aim %v, deadline %v; want a share from 0, work_ms and aim over 0, and an aim up to the deadline",
-				c.Share, c.WorkMS, c.Aim, c.Deadline)
+				c.Share, c.WorkMS, c.AimSeconds, c.DeadlineSeconds)
 		}
 	}
 	for k, f := range s.Faults {
--- a/internal/model/textbook.go
+++ b/internal/model/textbook.go
@@ -14,7 +14,7 @@
 // repeated once, at a node that is chosen anew and may be the same. At its deadline a request fails.
 
 // Textbook returns the policies for comparison: each rule of admission with each rule of choosing a node.
-func Textbook() (all []Policy) {
+func TextbookPolicies() (all []Policy) {
 	for _, admission := range []string{"even-split", "whole-quota", "count-each", "leases"} {
 		for _, choose := range []string{"random", "least"} {
 			all = append(all, Policy{admission + "+" + choose, func(set logic.Settings, seed uint64) Decider {
@@ -29,7 +29,7 @@
 
 // PolicyNamed finds a textbook policy, or the project's own, by its name.
 func PolicyNamed(name string) (Policy, bool) {
-	for _, p := range append(Textbook(), Own()) {
+	for _, p := range append(TextbookPolicies(), ProjectPolicy()) {
 		if p.Name == name {
 			return p, true
 		}
@@ -116,7 +116,7 @@
 func (t *textbook) emit(e core.Effect) { t.effects = append(t.effects, e) }
 
 func (t *textbook) updateServers(l logic.ServerList) {
-	if l.Whole {
+	if l.Complete {
 		t.servers = nil
 	}
 	for _, s := range l.Servers {
@@ -198,7 +198,7 @@
 	t.lastCallID++
 	id := t.lastCallID
 	t.pendingCalls[id] = then
-	t.emit(core.Count{Call: id, Name: key, Amount: amount, Lives: 3 * windowLength})
+	t.emit(core.Count{Call: id, Name: key, Amount: amount, TTL: 3 * windowLength})
 	t.emit(timerEffect{t.now + t.settings.CounterLimit, func(now time.Duration) []core.Effect {
 		t.now, t.effects = now, nil
 		if call := t.pendingCalls[id]; call != nil {
@@ -255,7 +255,7 @@
 	}
 	q.server, q.attemptInFlight = s.ID, true
 	t.inFlightByServer[s.ID]++
-	t.emit(core.Try{Key: core.Key{ID: q.ID, Try: q.attempts}, Server: s.ID, Wait: q.deadline - t.now, Origin: q.Origin})
+	t.emit(core.Try{Key: core.Key{ID: q.ID, Try: q.attempts}, Server: s.ID, Timeout: q.deadline - t.now, Origin: q.Origin})
 	q.attempts++
 }
 
--- a/internal/model/unbudgeted.go
+++ b/internal/model/unbudgeted.go
@@ -13,11 +13,11 @@
 // ineffective. Requests earn that budget, so wherever calls were spent, a firm that only the model knows asks for admission.
 // Its plan has no quota: it takes no units, makes no counter calls and is counted in no figure. The budget is refilled after
 // each event, so only the calls of a single event are bounded, by the budget that a limiter can save up.
-func Unbudgeted() Policy {
+func UnbudgetedPolicy() Policy {
 	return Policy{"bramblefall, calls free", func(set logic.Settings, seed uint64) Decider {
 		set.Plans = append(set.Plans[:len(set.Plans):len(set.Plans)], logic.Plan{Name: "calls", Price: 1e-6})
 		limits := plans.DefaultLimits
-		limits.MostUnits = set.MostUnits
+		limits.MaxRequestUnits = set.MostUnits
 		return &unbudgeted{inner: core.New(set, seed, plans.New(set.Plans, limits)), plan: len(set.Plans) - 1, rank: set.Rank,
 			unpaidCalls: initialUnpaidCalls}
 	}}
@@ -62,7 +62,7 @@
 	for range requestsPerCall * u.unpaidCalls {
 		u.lastEarner++
 		effects = u.inner.Reduce(now, core.RequestContext{Request: logic.Request{ID: earnerFirstID + u.lastEarner, Plan: u.plan, Customer: earnerFirm,
-			TTL: earnerTTL, Units: u.lastUnits, Spread: 1, First: u.rank, OwnWait: true, Admit: true}, Origin: discardOrigin{}}, effects)
+			TTL: earnerTTL, Units: u.lastUnits, Spread: 1, FirstGateway: u.rank, CallerChoseTTL: true, AdmitOnly: true}, Origin: discardOrigin{}}, effects)
 	}
 	u.unpaidCalls = 0
 	return effects
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -51,7 +51,7 @@
 // updateCounterList gives a limiter another list of counters.
 func (w *World) updateCounterList(l *limiter, newList counterRange) {
 	w.counterLists[l.rank] = newList
-	l.dispatch(core.Counters{Addresses: w.counterAddresses(l.rank)})
+	l.dispatch(core.CounterList{Addresses: w.counterAddresses(l.rank)})
 }
 
 // class is a request class with the mean work, in seconds of one core, that was drawn for this run.
@@ -161,7 +161,7 @@
 
 // sendSnapshot gives a limiter the whole list at once, as its agent would.
 func (w *World) sendSnapshot(l *limiter) {
-	l.updateServers(logic.ServerList{Whole: true, Servers: w.serverEntries()})
+	l.updateServers(logic.ServerList{Complete: true, Servers: w.serverEntries()})
 }
 
 // announce tells every limiter of the state of some nodes, each after a delay of its own. While discovery is silent, the
@@ -174,7 +174,7 @@
 			for _, n := range nodes {
 				entries = append(entries, n.serverEntry())
 			}
-			lag := seconds(w.s.Discovery.Late.draw(w.rng))
+			lag := seconds(w.s.Discovery.DelaySeconds.draw(w.rng))
 			at := max(w.sim.now+lag, l.lastUpdateAt+1)
 			l.lastUpdateAt = at // updates arrive in order
 			w.sim.At(at, func() {
@@ -192,7 +192,7 @@
 
 // updateServers gives a limiter an update of discovery. Its agent keeps the list also while the limiter is down.
 func (l *limiter) updateServers(list logic.ServerList) {
-	if list.Whole {
+	if list.Complete {
 		l.servers, l.serverIndex = nil, nil
 	}
 	if l.serverIndex == nil {
@@ -225,17 +225,17 @@
 // settings are the settings that a limiter starts with.
 func (w *World) settings(rank int) logic.Settings {
 	s := logic.Settings{Gateways: w.s.Limiters, Rank: rank, Zone: rank % w.s.Halls, Zones: w.s.Halls, Plans: w.s.Tiers,
-		HasCounter: true, CounterLimit: milliseconds(w.s.Counter.TimeoutMS), MostUnits: float64(w.s.Units.Most), Probes: true, Cancelling: true,
+		HasCounter: true, CounterLimit: milliseconds(w.s.Counter.TimeoutMS), MostUnits: float64(w.s.Units.Max), Probes: true, Cancelling: true,
 		RetryAfter: true, MaxRetryAfter: time.Second, MaxAttempts: w.s.Rules.MaxAttempts, Resolution: 2 * time.Millisecond,
 		ReportFields:  []logic.LoadField{logic.Queue, logic.Utilization, logic.Inflight},
 		StartCapacity: w.s.Node.ColdShare, Cold: seconds(w.s.Node.ColdSeconds), Fall: seconds(w.s.Rules.OverloadWindowSeconds),
 		FallMultiple: w.s.Rules.OverloadFactor, DrainGrace: seconds(w.s.Rules.DrainGraceSeconds)}
-	if w.s.Node.Reports {
+	if w.s.Node.ReportsThroughput {
 		s.ReportFields, s.ReportsInAnswers = []logic.LoadField{logic.Throughput}, true
 	}
 	for _, c := range w.s.Classes {
-		k := logic.Class{Name: c.Name, Aim: seconds(c.Aim), Deadline: seconds(c.Deadline), Worth: c.Worth, Late: c.Late}
-		if c.Keyed {
+		k := logic.Class{Name: c.Name, Aim: seconds(c.AimSeconds), Deadline: seconds(c.DeadlineSeconds), Worth: c.Worth, Late: c.LateWorthShare}
+		if c.KeyedByHall {
 			k.Effect, k.KeyGroup, k.KeyTTL = logic.Keyed, logic.GroupZone, seconds(c.KeyTTLSeconds)
 		}
 		if c.UnsafeToRepeat {
@@ -251,7 +251,7 @@
 func (w *World) Run() Result {
 	longest := 0.0
 	for _, c := range w.s.Classes {
-		longest = max(longest, c.Deadline)
+		longest = max(longest, c.DeadlineSeconds)
 	}
 	w.sim.Run(epoch + seconds(w.s.Seconds))
 	for _, f := range w.firms {
@@ -326,7 +326,7 @@
 			}
 		}
 	case FaultHot:
-		for _, k := range Hot(w.seed, n, len(w.firms)) {
+		for _, k := range DrawFloodingFirms(w.seed, n, len(w.firms)) {
 			target := w.firms[k]
 			target.floodDemand = f.Size * w.normalDemand() / 3
 			target.scheduleArrival()
@@ -386,7 +386,7 @@
 }
 
 // Hot draws the indices of the firms, three at most, that flood in a scenario's n-th fault, for a seed.
-func Hot(seed uint64, n, firms int) []int {
+func DrawFloodingFirms(seed uint64, n, firms int) []int {
 	return newRand(seed, "hot", n).Perm(firms)[:min(3, firms)]
 }
 
@@ -465,7 +465,7 @@
 }
 
 // Play runs the simulation until the given number of seconds after its start and returns the result so far.
-func (w *World) Play(to float64) Result {
+func (w *World) RunUntil(to float64) Result {
 	w.sim.Run(epoch + seconds(to))
 	return w.audit.result()
 }
@@ -473,7 +473,7 @@
 // NodeView is the state of a node for display.
 type NodeView struct {
 	Up, Draining bool
-	Busy         float64 // requests running or queued, divided by cores
+	JobsPerCore  float64 // requests running or queued, divided by cores
 }
 
 // Nodes is the present state of the nodes.
--- a/internal/plans/book.go
+++ b/internal/plans/book.go
@@ -44,14 +44,14 @@
 
 // Limits bound the versions and reservations that the book accepts.
 type Limits struct {
-	Late          time.Duration // how far in the past an effective instant may lie
-	MostUnits     float64       // units of the largest request; no burst may be smaller
-	FleetRate     float64       // units per second that the fleet can serve; 0: not known
-	ReservedShare float64       // share of FleetRate that all reservations together may promise
+	MaxPastEffective time.Duration // how far in the past an effective instant may lie
+	MaxRequestUnits  float64       // units of the largest request; no burst may be smaller
+	FleetRate        float64       // units per second that the fleet can serve; 0: not known
+	ReservedShare    float64       // share of FleetRate that all reservations together may promise
 }
 
 // DefaultLimits apply where the operators' file sets none.
-var DefaultLimits = Limits{Late: 5 * time.Second, MostUnits: 1, ReservedShare: 0.5}
+var DefaultLimits = Limits{MaxPastEffective: 5 * time.Second, MaxRequestUnits: 1, ReservedShare: 0.5}
 
 // Upper bounds on what a book holds: ended versions (MaxHistory), versions not yet in force (MaxPending), tiers and
 // firm overrides of one version, and reservations.
@@ -59,7 +59,7 @@
 	MaxHistory      = 32
 	MaxPending      = 64
 	MaxTiers        = 64
-	MostFirms       = 100_000
+	MaxFirms        = 100_000
 	MaxReservations = 4096
 )
 
@@ -223,7 +223,7 @@
 // Reread installs the tiers of the platform's configuration when it is read again. If they differ from those read
 // before, they form a version that is effective on receipt. Such versions have no number, because each limiter reads
 // the configuration by itself.
-func (b *Book) Reread(tiers []logic.Plan, now time.Duration, inUse func(string) int) error {
+func (b *Book) UpdatePlatform(tiers []logic.Plan, now time.Duration, inUse func(string) int) error {
 	if slices.Equal(tiers, b.platformTiers) {
 		return nil
 	}
@@ -257,9 +257,9 @@
 	if v.Effective == 0 {
 		v.Effective = now
 	}
-	if now-v.Effective > b.limits.Late && v.Source == Admin {
+	if now-v.Effective > b.limits.MaxPastEffective && v.Source == Admin {
 		problems = append(problems, Problem{"effective", fmt.Sprintf("lies %s in the past, %s at most",
-			(now - v.Effective).Round(time.Millisecond), b.limits.Late)})
+			(now - v.Effective).Round(time.Millisecond), b.limits.MaxPastEffective)})
 	}
 	if len(b.pending) >= MaxPending {
 		problems = append(problems, Problem{"number", fmt.Sprintf("%d versions to come, no more are taken", MaxPending)})
--- a/internal/plans/book_test.go
+++ b/internal/plans/book_test.go
@@ -41,7 +41,7 @@
 		"effective":              func(v *Version) { v.Effective = start - time.Minute },
 		"number":                 func(v *Version) { v.Number = 2 },
 		"tiers[associate]":       func(v *Version) { v.Tiers = v.Tiers[1:] },
-		"firms":                  func(v *Version) { v.Firms = make([]Firm, MostFirms+1) },
+		"firms":                  func(v *Version) { v.Firms = make([]Firm, MaxFirms+1) },
 	} {
 		b := New(platform(), DefaultLimits)
 		require.NoError(t, b.Propose(Version{Number: 3, Effective: start, Source: Admin, Tiers: platform()}, start, nil))
@@ -101,7 +101,7 @@
 }
 
 func TestReservationsStayWithinTheFleetsShare(t *testing.T) {
-	b := New(platform(), Limits{MostUnits: 1, FleetRate: 100, ReservedShare: 0.5})
+	b := New(platform(), Limits{MaxRequestUnits: 1, FleetRate: 100, ReservedShare: 0.5})
 	hour := Reservation{ID: "a", Firm: 7, Units: 100 * 3600 * 0.4, From: start, Until: start + time.Hour}
 	require.NoError(t, b.Grant(hour, start))
 	require.NoError(t, b.Grant(hour, start), "granting the same reservation again changes nothing")
@@ -140,7 +140,7 @@
 				if changed := b.Advance(now); !changed {
 					require.Equal(t, was.Number, b.Current().Number)
 				}
-				b.Turn(now)
+				b.AdvanceReservations(now)
 			},
 			"grant": func(t *rapid.T) {
 				_ = b.Grant(Reservation{ID: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id"), Firm: 1,
--- a/internal/plans/check.go
+++ b/internal/plans/check.go
@@ -59,8 +59,8 @@
 	if len(v.Note) > maxNoteBytes || len(v.Author) > maxNoteBytes {
 		report("note", "note and author have %d bytes at most", maxNoteBytes)
 	}
-	if len(v.Firms) > MostFirms {
-		report("firms", "%d at most, %d are named", MostFirms, len(v.Firms))
+	if len(v.Firms) > MaxFirms {
+		report("firms", "%d at most, %d are named", MaxFirms, len(v.Firms))
 	}
 	if v.Effective < 0 {
 		report("effective", "lies before 1970")
@@ -119,7 +119,7 @@
 	if len(problems) > 0 {
 		return problems
 	}
-	maxRequest := max(b.limits.MostUnits, 1)
+	maxRequest := max(b.limits.MaxRequestUnits, 1)
 	if p.Open < 0 || p.Open > maxPlanValue {
 		report("open", "%d is out of range", p.Open)
 	}
--- a/internal/plans/reservation.go
+++ b/internal/plans/reservation.go
@@ -83,7 +83,7 @@
 }
 
 // Spend records that a reservation is used up.
-func (b *Book) Spend(id string, now time.Duration) {
+func (b *Book) MarkSpent(id string, now time.Duration) {
 	if r, ok := b.reservations[id]; ok && !r.State.Over() {
 		b.setState(r, Spent, now)
 	}
@@ -95,7 +95,7 @@
 }
 
 // Turn updates the states of the reservations to now and reports whether any has begun or ended.
-func (b *Book) Turn(now time.Duration) (changed bool) {
+func (b *Book) AdvanceReservations(now time.Duration) (changed bool) {
 	for _, r := range b.reservations {
 		switch {
 		case r.State.Over():
@@ -111,7 +111,7 @@
 }
 
 // NextTurn returns when Turn is due; false if no reservation will change.
-func (b *Book) NextTurn() (at time.Duration, ok bool) {
+func (b *Book) NextReservationChange() (at time.Duration, ok bool) {
 	for _, r := range b.reservations {
 		due := r.Until
 		if r.State == Granted {
--- a/internal/platform/connection.go
+++ b/internal/platform/connection.go
@@ -120,7 +120,7 @@
 		}
 		if len(args) > 0 {
 			c.trace("command refused: connection is closing")
-			answers = appendBusy(answers, core.Elsewhere(c.front.settings))
+			answers = appendBusy(answers, core.ShutdownRetryAfter(c.front.settings))
 		}
 	}
 }
@@ -162,7 +162,7 @@
 		return false // an empty array is ignored, as Redis servers do
 	}
 	if c.refusing.Load() {
-		return c.reply(appendBusy(nil, core.Elsewhere(c.front.settings)), false)
+		return c.reply(appendBusy(nil, core.ShutdownRetryAfter(c.front.settings)), false)
 	}
 	switch name := string(bytes.ToUpper(args[0])); name {
 	case "Q.ASK", "Q.DO":
--- a/internal/platform/gone_test.go
+++ b/internal/platform/gone_test.go
@@ -107,8 +107,8 @@
 		Classes: []logic.Class{{Name: "read", Aim: 4 * time.Second, Deadline: 8 * time.Second, Worth: 1}},
 		Plans:   []logic.Plan{{Name: "regular", Rate: 1e5, Burst: 1e5, Price: 1}}}
 	s := &fixture{t: t, owner: &owner{stuckAt: stuckAt, resume: make(chan struct{})}}
-	board := &plans.Board{}
-	board.Show(plans.Sheet{Tiers: map[string]int{"regular": 0}, Plans: set.Plans})
+	board := &plans.TierStore{}
+	board.Store(plans.TierSnapshot{Tiers: map[string]int{"regular": 0}, Plans: set.Plans})
 	front := platform.New(set, s.owner, board, maxClients, 0, 1)
 	listen, err := loopback.AnyPort()
 	require.NoError(t, err)
@@ -188,7 +188,7 @@
 func (s *fixture) try(q core.RequestContext, n int) logic.Status {
 	s.t.Helper()
 	k := core.Key{ID: q.ID, Try: n}
-	s.pool.Try(core.Try{Key: k, Server: 1, Wait: 8 * time.Second, Until: loop.Now() + testTimeout, Origin: q.Origin})
+	s.pool.Try(core.Try{Key: k, Server: 1, Timeout: 8 * time.Second, SendUntil: loop.Now() + testTimeout, Origin: q.Origin})
 	require.Eventually(s.t, func() bool { _, told, _ := s.owner.outcome(k); return told }, testTimeout, time.Millisecond)
 	status, _, gone := s.owner.outcome(k)
 	if status == logic.Cancelled {
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -49,7 +49,7 @@
 	owner        Owner
 	settings     logic.Settings
 	classes      map[string]int
-	board        *plans.Board
+	board        *plans.TierStore
 	maxClients   int           // client connections
 	maxOpen      int           // request contexts
 	maxHeldBytes int64         // bytes of open requests' commands
@@ -76,7 +76,7 @@
 
 // New returns a front for the settings' classes and the board's plans. It holds at most maxClients client connections and
 // maxHeldBytes bytes of commands (0: the default). cores is the share of a core that the process runs on (0: a whole one).
-func New(settings logic.Settings, owner Owner, board *plans.Board, maxClients int, maxHeldBytes int64, cores float64) *Front {
+func New(settings logic.Settings, owner Owner, board *plans.TierStore, maxClients int, maxHeldBytes int64, cores float64) *Front {
 	f := &Front{owner: owner, settings: settings, classes: map[string]int{}, board: board, maxClients: maxClients, maxOpen: defaultMaxOpen, maxHeldBytes: defaultMaxHeldBytes,
 		clients: map[*clientConnection]struct{}{}, openIDs: map[string]struct{}{},
 		traceEnabled: slog.Default().Enabled(context.Background(), slog.LevelDebug)}
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -123,7 +123,7 @@
 		case "c":
 			q.Class, known = lookUp(f.classes, text, known)
 		case "t":
-			q.Plan, known = lookUp(f.board.Sheet().Tiers, text, known)
+			q.Plan, known = lookUp(f.board.Load().Tiers, text, known)
 		case "d":
 			ms, err = strconv.ParseFloat(text, 64)
 			r.deadlineSpan = [2]int{at + 2, at + end}
@@ -132,7 +132,7 @@
 		case "spread":
 			q.Spread, err = strconv.Atoi(text)
 		case "first":
-			q.First, err = strconv.Atoi(text)
+			q.FirstGateway, err = strconv.Atoi(text)
 		case "k":
 			keyed = text != ""
 		case "r":
@@ -149,7 +149,7 @@
 	if !(q.Units > 0) || q.Units > max(f.settings.MostUnits, 1) {
 		return q, fmt.Errorf("units are out of range")
 	}
-	if q.Spread < 1 || q.Spread > f.settings.Gateways || q.First < 0 || q.First >= f.settings.Gateways {
+	if q.Spread < 1 || q.Spread > f.settings.Gateways || q.FirstGateway < 0 || q.FirstGateway >= f.settings.Gateways {
 		return q, fmt.Errorf("spread or first is out of range")
 	}
 	class := f.settings.Classes[q.Class]
--- a/internal/ratelimit/caller.go
+++ b/internal/ratelimit/caller.go
@@ -116,7 +116,7 @@
 	}
 	if c.connected >= c.maxConnections && !c.evictIdle() {
 		slog.Warn("no descriptor left for an endpoint's connection", "connected", c.connected)
-		return logic.Unsent
+		return logic.LocalShortage
 	}
 	// The library's retries are disabled: it may only repeat a call that the endpoint has declared never begun.
 	client, err := grpc.NewClient("passthrough:///"+e.addr, grpc.WithTransportCredentials(insecure.NewCredentials()),
@@ -213,8 +213,8 @@
 	case !ok:
 	case e.withdrawn:
 		status = logic.Full
-	case t.Until > 0 && c.now() >= t.Until:
-		status = logic.Late
+	case t.SendUntil > 0 && c.now() >= t.SendUntil:
+		status = logic.ExpiredUnsent
 	default:
 		status = c.connect(e)
 	}
@@ -223,15 +223,15 @@
 		return
 	}
 	p := &pendingTry{target: e}
-	ctx, cancel := context.WithTimeout(context.WithValue(origin.callCtx, pendingTryKey{}, p), t.Wait) // ends with the caller's context
+	ctx, cancel := context.WithTimeout(context.WithValue(origin.callCtx, pendingTryKey{}, p), t.Timeout) // ends with the caller's context
 	p.cancel = cancel
 	c.tries[t.Key] = p
 	origin.tried.Store(true)
 	c.beginCall(e)
 	client := e.client
 	crash.Go(func() { c.call(ctx, e, client, origin, t.Key, p) })
-	if t.Until > 0 { // a connection that comes up late must not send a repeat that endpoints no longer deduplicate
-		window := crash.AfterFunc(t.Until-c.now(), func() { p.cancelUnsent(logic.Timeout) })
+	if t.SendUntil > 0 { // a connection that comes up late must not send a repeat that endpoints no longer deduplicate
+		window := crash.AfterFunc(t.SendUntil-c.now(), func() { p.cancelUnsent(logic.Timeout) })
 		context.AfterFunc(ctx, func() { window.Stop() })
 	}
 }
--- a/internal/ratelimit/front.go
+++ b/internal/ratelimit/front.go
@@ -31,7 +31,7 @@
 )
 
 // OthersGroup is the upstream group of external rate limit services. The platform's servers are group 0.
-const OthersGroup = 1
+const ExternalGroup = 1
 
 const (
 	maxDescriptors     = 16 // a call; each becomes a request context
@@ -45,7 +45,9 @@
 
 // Descriptors returns how many callers' connections the front may hold, and how many connections the front's Caller may hold to
 // endpoints, in a program that may have total descriptors.
-func Descriptors(total int) (callers, endpoints int) { return max(total/8, 128), max(total/16, 64) }
+func SplitConnections(total int) (callers, endpoints int) {
+	return max(total/8, 128), max(total/16, 64)
+}
 
 // Owner receives the front's events.
 type Owner interface {
@@ -62,7 +64,7 @@
 	domain         string
 	callsOthers    bool // an external service decides on what is within the quotas
 	classes        map[string]int
-	board          *plans.Board
+	board          *plans.TierStore
 	maxConnections int // of callers
 	server         *grpc.Server
 	health         *health.Server // proxies query it before they send calls here
@@ -71,7 +73,7 @@
 // NewFront returns a front for the callers of a domain ("": any). With callsOthers, each request context within its quota becomes a
 // call to the group of external services; without, the module's decision is the verdict. The front holds at most
 // maxConnections connections of callers.
-func NewFront(settings logic.Settings, owner Owner, board *plans.Board, domain string, callsOthers bool, maxConnections int) *Front {
+func NewFront(settings logic.Settings, owner Owner, board *plans.TierStore, domain string, callsOthers bool, maxConnections int) *Front {
 	f := &Front{owner: owner, settings: settings, domain: domain, callsOthers: callsOthers, classes: map[string]int{}, board: board, maxConnections: maxConnections}
 	for k, c := range settings.Classes {
 		f.classes[c.Name] = k
@@ -97,7 +99,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("listen for rate limit calls: %w", err)
 	}
-	crash.Go(func() { _ = f.server.Serve(netutil.LimitListener(socket.Steady(l), f.maxConnections)) })
+	crash.Go(func() { _ = f.server.Serve(netutil.LimitListener(socket.RetryAccept(l), f.maxConnections)) })
 	return l.Addr(), nil
 }
 
@@ -251,7 +253,7 @@
 
 // currentLimit returns the plan's quota. Rates may be fractions of a unit a second, so it is given per minute.
 func (f *Front) currentLimit(plan int) *rlsv3.RateLimitResponse_RateLimit {
-	all := f.board.Sheet().Plans
+	all := f.board.Load().Plans
 	if plan >= len(all) || all[plan].Rate <= 0 { // the plan may have been removed since the call came
 		return nil
 	}
@@ -306,11 +308,11 @@
 	if c.Class, known = f.classes[entries["class"]]; !known {
 		return fmt.Errorf("unknown class %q", entries["class"])
 	}
-	if c.Plan, known = f.board.Sheet().Tiers[entries["tier"]]; !known {
+	if c.Plan, known = f.board.Load().Tiers[entries["tier"]]; !known {
 		return fmt.Errorf("unknown tier %q", entries["tier"])
 	}
 	c.Spread = f.settings.Gateways // a caller that names no subset of limiters may use all of them
-	for key, field := range map[string]*int{"spread": &c.Spread, "first": &c.First} {
+	for key, field := range map[string]*int{"spread": &c.Spread, "first": &c.FirstGateway} {
 		if text, named := entries[key]; named {
 			if *field, err = strconv.Atoi(text); err != nil || *field < 0 {
 				return fmt.Errorf("%s is not a count", key)
@@ -318,9 +320,9 @@
 		}
 	}
 	c.TTL = f.settings.Classes[c.Class].Deadline
-	c.OwnWait = true
-	if c.Admit = !f.callsOthers; f.callsOthers {
-		c.Group = OthersGroup
+	c.CallerChoseTTL = true
+	if c.AdmitOnly = !f.callsOthers; f.callsOthers {
+		c.Group = ExternalGroup
 	}
 	return nil
 }
--- a/internal/ratelimit/gone_test.go
+++ b/internal/ratelimit/gone_test.go
@@ -88,8 +88,8 @@
 			set := logic.Settings{Gateways: 1, Zones: 1, MaxAttempts: 3,
 				Classes: []logic.Class{{Name: "read", Aim: 4 * time.Second, Deadline: 8 * time.Second, Worth: 1}},
 				Plans:   []logic.Plan{{Name: "regular", Rate: 1e5, Burst: 1e5, Price: 1}}}
-			board := &plans.Board{}
-			board.Show(plans.Sheet{Tiers: map[string]int{"regular": 0}, Plans: set.Plans})
+			board := &plans.TierStore{}
+			board.Store(plans.TierSnapshot{Tiers: map[string]int{"regular": 0}, Plans: set.Plans})
 			owner := &inbox{}
 			front := NewFront(set, owner, board, "", true, 100)
 			listen, err := loopback.AnyPort()
@@ -117,7 +117,7 @@
 			try := func(n int) core.Key {
 				q := owner.requests()[n]
 				k := core.Key{ID: q.ID}
-				caller.Try(core.Try{Key: k, Group: OthersGroup, Server: 1, Wait: testTimeout, Origin: q.Origin})
+				caller.Try(core.Try{Key: k, Group: ExternalGroup, Server: 1, Timeout: testTimeout, Origin: q.Origin})
 				return k
 			}
 			told := func(k core.Key) logic.Status {
--- a/internal/ratelimit/late_test.go
+++ b/internal/ratelimit/late_test.go
@@ -22,12 +22,12 @@
 	}, func() time.Duration { return clock }, 1)
 	caller.SetAddress(1, "127.0.0.1:1")
 	for try, until := range []time.Duration{clock - time.Second, clock} {
-		caller.Try(core.Try{Key: core.Key{ID: 7, Try: try}, Server: 1, Ends: until, Until: until,
+		caller.Try(core.Try{Key: core.Key{ID: 7, Try: try}, Server: 1, Deadline: until, SendUntil: until,
 			Origin: &check{callCtx: context.Background()}})
 	}
 	require.Len(t, outcomes, 2)
 	for _, o := range outcomes {
-		require.NotEqual(t, logic.Unsent, o.Status)
+		require.NotEqual(t, logic.LocalShortage, o.Status)
 		require.NotEqual(t, logic.ConnectFailed, o.Status, "no endpoint is to blame")
 	}
 }
--- a/internal/reserve/reserve.go
+++ b/internal/reserve/reserve.go
@@ -44,7 +44,7 @@
 	// Time to wait for the answer to a call.
 	callTimeout = 250 * time.Millisecond
 	// A lease is at most 1/Part of the reservation, or one request if that is more.
-	Part = 64
+	LeaseDivisor = 64
 
 	// Leased units that no request has asked for during this time are returned.
 	idleReturnDelay = time.Second
@@ -71,15 +71,15 @@
 
 // Blind bounds the time around a loss of the counter's data in which a limiter may not notice it: its last read may be
 // this long before the loss, and it may notice the loss this long after.
-const Blind = readInterval + lossRecoveryDelay + 2*boundaryMargin
+const MaxLossWindow = readInterval + lossRecoveryDelay + 2*boundaryMargin
 
 // Call is an addition to a name on the counter, to be made by the owner. The answer goes to Counted with the token.
 type Call struct {
-	Token       uint64
-	Name        uint64
-	Amount      float64
-	Lives, Wait time.Duration
-	Began       time.Duration // earliest time at which a limiter may have added to the name
+	Token        uint64
+	Name         uint64
+	Amount       float64
+	TTL, Timeout time.Duration
+	BeganAt      time.Duration // earliest time at which a limiter may have added to the name
 }
 
 // Manager leases units of reservations for all firms of one limiter.
@@ -150,11 +150,11 @@
 // Ahead sets how far the wall clock is ahead of the time passed in. Reservations begin and end by the wall clock, but
 // the generations of a reservation in use continue without a jump. Guards against leaving a generation at a clock step
 // before the units that other limiters leased in it are known.
-func (m *Manager) Ahead(by time.Duration) { m.clockOffset = by }
+func (m *Manager) SetClockOffset(by time.Duration) { m.clockOffset = by }
 
 // Set installs the reservations. Those that may no longer be drawn on are dropped together with the units leased and
 // not used, and their firms are woken.
-func (m *Manager) Set(list []plans.Reservation) {
+func (m *Manager) SetReservations(list []plans.Reservation) {
 	removed := map[string]*account{}
 	for id, a := range m.accounts {
 		removed[id] = a
@@ -223,7 +223,7 @@
 }
 
 // Coming implements logic.Reserves.
-func (m *Manager) Coming(now time.Duration, firm uint64) bool {
+func (m *Manager) LeasePending(now time.Duration, firm uint64) bool {
 	return slices.ContainsFunc(m.accountsByFirm[firm], func(a *account) bool { return a.pendingCall == takeLease || !a.exhausted && now >= a.retryAt })
 }
 
@@ -251,19 +251,19 @@
 }
 
 // Calls returns the calls to be made and clears the list.
-func (m *Manager) Calls() (calls []Call) {
+func (m *Manager) TakeCalls() (calls []Call) {
 	calls, m.calls = m.calls, nil
 	return calls
 }
 
 // Woken returns the firms whose held requests must be checked again, and clears the list.
-func (m *Manager) Woken() (firms []uint64) {
+func (m *Manager) TakeWokenFirms() (firms []uint64) {
 	firms, m.wokenFirms = m.wokenFirms, nil
 	return firms
 }
 
 // Spent returns the reservations of which nothing is left, and clears the list.
-func (m *Manager) Spent() (ids []string) {
+func (m *Manager) TakeSpent() (ids []string) {
 	ids, m.spentIDs = m.spentIDs, nil
 	return ids
 }
@@ -271,7 +271,7 @@
 // Use is what this limiter knows of the use of a reservation.
 type Use struct {
 	Used   float64 `json:"used"`   // units used through this limiter
-	Hand   float64 `json:"hand"`   // units leased by this limiter and not used
+	Unused float64 `json:"hand"`   // units leased by this limiter and not used
 	Leased float64 `json:"leased"` // units leased by all limiters, as last read
 }
 
@@ -299,7 +299,7 @@
 
 // leaseSize returns the units of the next lease: what one second needs, limited to the largest lease.
 func (m *Manager) leaseSize(a *account) float64 {
-	maxLease := max(a.reservation.Units/Part, m.maxRequestUnits)
+	maxLease := max(a.reservation.Units/LeaseDivisor, m.maxRequestUnits)
 	return min(max(a.wantedUnits, math.Ceil(a.useRate), m.maxRequestUnits), max(maxLease, a.wantedUnits))
 }
 
@@ -391,7 +391,7 @@
 }
 
 // Counted processes the answer to a call.
-func (m *Manager) Counted(now time.Duration, token uint64, status logic.Status, total float64) {
+func (m *Manager) HandleResult(now time.Duration, token uint64, status logic.Status, total float64) {
 	a := m.inFlight[token]
 	if a == nil {
 		return
--- a/internal/reserve/reserve_test.go
+++ b/internal/reserve/reserve_test.go
@@ -55,8 +55,8 @@
 
 func (f *fleet) start(k int) {
 	f.limiters[k] = New(len(f.limiters), k, 1)
-	f.limiters[k].Ahead(f.clockOffset)
-	f.limiters[k].Set([]plans.Reservation{f.reservation})
+	f.limiters[k].SetClockOffset(f.clockOffset)
+	f.limiters[k].SetReservations([]plans.Reservation{f.reservation})
 }
 
 // stepClock steps the wall clock that all limiters read.
@@ -64,7 +64,7 @@
 	f.clockOffset += by
 	for _, m := range f.limiters {
 		if m != nil {
-			m.Ahead(f.clockOffset)
+			m.SetClockOffset(f.clockOffset)
 		}
 	}
 }
@@ -84,8 +84,8 @@
 		if f.now%(50*time.Millisecond) == 0 {
 			m.Tick(f.now)
 		}
-		m.Woken()
-		for _, c := range m.Calls() {
+		m.TakeWokenFirms()
+		for _, c := range m.TakeCalls() {
 			f.call(m, c)
 		}
 	}
@@ -95,7 +95,7 @@
 			pending = append(pending, a)
 			continue
 		}
-		a.m.Counted(f.now, a.token, a.status, a.total)
+		a.m.HandleResult(f.now, a.token, a.status, a.total)
 	}
 	f.answers = pending
 	f.takenByStep = append(f.takenByStep, f.taken)
@@ -103,7 +103,7 @@
 
 // takenNear returns the units taken within Blind before and after a step.
 func (f *fleet) takenNear(at int) float64 {
-	n := int(Blind / step)
+	n := int(MaxLossWindow / step)
 	return f.takenByStep[min(at+n, len(f.takenByStep)-1)] - f.takenByStep[max(at-n, 0)]
 }
 
@@ -115,7 +115,7 @@
 	}
 	if a.status != logic.Full {
 		if f.now >= f.expires[c.Name] {
-			f.counts[c.Name], f.expires[c.Name] = 0, f.now+c.Lives
+			f.counts[c.Name], f.expires[c.Name] = 0, f.now+c.TTL
 		}
 		f.counts[c.Name] += c.Amount
 		a.total = math.Round(f.counts[c.Name]*1e3) / 1e3
@@ -151,7 +151,7 @@
 		f.start(0)
 		f.run(60*time.Second, 40, 10, 0)
 		require.LessOrEqual(t, f.taken, 2000.0, "seed %d", seed)
-		require.GreaterOrEqual(t, f.taken, (0.97-1.0/Part)*2000, "seed %d: a lease is lost with the limiter", seed)
+		require.GreaterOrEqual(t, f.taken, (0.97-1.0/LeaseDivisor)*2000, "seed %d: a lease is lost with the limiter", seed)
 	}
 }
 
@@ -186,12 +186,12 @@
 	f.run(3*time.Second, 0, 0)
 	u, ok := f.limiters[0].Use("r")
 	require.True(t, ok)
-	require.Zero(t, u.Hand)
+	require.Zero(t, u.Unused)
 	require.InDelta(t, f.taken, u.Leased, 1e-6)
-	f.limiters[0].Set(nil)
-	require.Equal(t, []uint64{7}, f.limiters[0].Woken())
+	f.limiters[0].SetReservations(nil)
+	require.Equal(t, []uint64{7}, f.limiters[0].TakeWokenFirms())
 	require.False(t, f.limiters[0].Take(f.now, 7, 1))
-	require.False(t, f.limiters[0].Coming(f.now, 7))
+	require.False(t, f.limiters[0].LeasePending(f.now, 7))
 }
 
 // Checks that under any mix of demand, lost calls, deaths, restarts and losses of the counter's data, the units drawn
@@ -220,7 +220,7 @@
 			switch rapid.SampledFrom([]string{"", "wipe", "kill", "start"}).Draw(t, fmt.Sprint("then", k)) {
 			case "wipe":
 				clear(f.counts)
-				bound += float64(n)*max(units/Part, 1) + lostLeases
+				bound += float64(n)*max(units/LeaseDivisor, 1) + lostLeases
 				lossSteps = append(lossSteps, len(f.takenByStep)-1)
 			case "kill":
 				if m := f.limiters[victim]; m != nil {
--- a/internal/scale/bars.go
+++ b/internal/scale/bars.go
@@ -51,7 +51,7 @@
 			momentsNotHeard++
 		}
 		if m.Name == "change" {
-			slowestChange = max(slowestChange, m.Last)
+			slowestChange = max(slowestChange, m.LastSeconds)
 		}
 	}
 	r.addBar(momentsNotHeard == 0, "every hollow limiter has every change", "%d moments with limiters that had not heard", momentsNotHeard)
@@ -69,9 +69,9 @@
 	}
 	controlMeasurements := 0
 	for _, a := range f.Added {
-		if a.Control && a.Limiters <= maxHollowForAddedTime+f.Real {
+		if a.WithChanges && a.Limiters <= maxHollowForAddedTime+f.Real {
 			controlMeasurements++
-			r.addBar(a.P99 < targetAddedMS, fmt.Sprintf("99 in 100 requests wait under %g ms longer at %g a second of each limiter, %d servers, with control, beside at most %d hollow limiters", targetAddedMS, a.PerSecond, a.Servers, maxHollowForAddedTime), "%.2f ms", a.P99)
+			r.addBar(a.P99MS < targetAddedMS, fmt.Sprintf("99 in 100 requests wait under %g ms longer at %g a second of each limiter, %d servers, with control, beside at most %d hollow limiters", targetAddedMS, a.RequestsPerSecond, a.Servers, maxHollowForAddedTime), "%.2f ms", a.P99MS)
 		}
 	}
 	// measureWithControl measures at two rates of requests, and measureLongestList once more on the longest list.
@@ -81,7 +81,7 @@
 // findSlope returns the slope of a key, and whether there is one.
 func findSlope(list []Slope, key slopeKey) (Slope, bool) {
 	for _, s := range list {
-		if s.Role == key.role && s.What == key.quantity && s.Against == key.against {
+		if s.Role == key.role && s.Quantity == key.quantity && s.Against == key.against {
 			return s, true
 		}
 	}
@@ -89,21 +89,21 @@
 }
 
 // Broken lists the bars that do not hold, with what was measured.
-func (f *Figures) Broken() (list []string) {
+func (f *Figures) BrokenBars() (list []string) {
 	for _, b := range f.Bars {
 		if !b.Holds {
-			list = append(list, b.Name+": "+b.Was)
+			list = append(list, b.Name+": "+b.Measured)
 		}
 	}
 	return list
 }
 
 // Main sums up the run's main figures in one line.
-func (f *Figures) Main() string {
+func (f *Figures) Summary() string {
 	worst, memory, messages := 0.0, Slope{}, Slope{}
 	for _, a := range f.Added {
-		if a.Control && a.PerSecond == targetRequestsPerSecond && a.Limiters <= maxHollowForAddedTime+f.Real {
-			worst = max(worst, a.P99)
+		if a.WithChanges && a.RequestsPerSecond == targetRequestsPerSecond && a.Limiters <= maxHollowForAddedTime+f.Real {
+			worst = max(worst, a.P99MS)
 		}
 	}
 	memory, _ = findSlope(f.Slopes, slopeKey{"hollow", "memory", "limiters"})
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -55,7 +55,7 @@
 // slopes fits a line for each quantity that was measured at three sizes or more, in a fixed order.
 func (m *measurements) slopes() (list []Slope) {
 	for key, points := range m.points {
-		s := Slope{Role: key.role, What: key.quantity, Unit: defaultUnits[key.quantity], Against: key.against, Held: m.heldConstant[key.against]}
+		s := Slope{Role: key.role, Quantity: key.quantity, Unit: defaultUnits[key.quantity], Against: key.against, HeldConstant: m.heldConstant[key.against]}
 		if unit, ok := m.units[key]; ok {
 			s.Unit = unit
 		}
@@ -69,7 +69,7 @@
 		list = append(list, s)
 	}
 	slices.SortFunc(list, func(a, b Slope) int {
-		return cmp.Or(cmp.Compare(a.Against, b.Against), cmp.Compare(a.Role, b.Role), cmp.Compare(a.What, b.What))
+		return cmp.Or(cmp.Compare(a.Against, b.Against), cmp.Compare(a.Role, b.Role), cmp.Compare(a.Quantity, b.Quantity))
 	})
 	return list
 }
--- a/internal/scale/growth.go
+++ b/internal/scale/growth.go
@@ -6,7 +6,7 @@
 // list.
 func (r *run) growFleet(limiters int) error {
 	for len(r.hollowProcesses) < hollowProcessCount {
-		p, err := r.children.startChild(indexedName(hollowRole, len(r.hollowProcesses)), hollowRole, r.Child)
+		p, err := r.children.startChild(indexedName(hollowRole, len(r.hollowProcesses)), hollowRole, r.ChildCommand)
 		if err != nil {
 			return err
 		}
@@ -106,7 +106,7 @@
 		}
 		moment.Name = "change"
 		r.figures.Moments = append(r.figures.Moments, moment)
-		r.say("%d limiters: a change reached 99 in 100 hollow ones after %.0f ms, the last after %.0f ms", moment.Limiters, 1000*moment.P99, 1000*moment.Last)
+		r.say("%d limiters: a change reached 99 in 100 hollow ones after %.0f ms, the last after %.0f ms", moment.Limiters, 1000*moment.P99Seconds, 1000*moment.LastSeconds)
 	}
 	return nil
 }
