--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -72,7 +72,7 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if list.Whole && h.listedAt == 0 {
+	if list.Complete && h.listedAt == 0 {
 		h.listedAt = at
 	}
 	if newest > h.version {
@@ -102,7 +102,7 @@
 	for range a.Limiters {
 		l := &hollowLimiter{addrs: map[logic.ServerID]string{}}
 		list := discovery.New(a.Discovery, hollowSettings(a.FleetSize, a.DrainGrace), l, l.handleEvent)
-		l.counter = counter.New(a.Counter, counter.Connections(1, 0), func(ev core.Event) {
+		l.counter = counter.New(a.Counter, counter.MaxConnections(1, 0), func(ev core.Event) {
 			if result, ok := ev.(core.CountResult); ok {
 				h.recordCallEnd(result.Status)
 			}
@@ -155,7 +155,7 @@
 			next++
 			l := limiters[next%len(limiters)]
 			h.calls.Add(1)
-			l.counter.Count(core.Count{Call: uint64(next), Name: rand.Uint64N(1 << 20), Amount: 1, Lives: 10 * time.Second, Until: loop.Now() + time.Second})
+			l.counter.Count(core.Count{Call: uint64(next), Name: rand.Uint64N(1 << 20), Amount: 1, TTL: 10 * time.Second, Deadline: loop.Now() + time.Second})
 		}
 	}
 }
@@ -212,8 +212,8 @@
 		set.Plans, set.MostUnits = a.Tiers, 1
 		limits := plans.DefaultLimits
 		owner := loop.New(core.New(set, uint64(h.adminsStarted), plans.New(a.Tiers, limits)))
-		owner.Connect(nil, nil, &plans.Board{}, nil)
-		owner.Begin()
+		owner.Connect(nil, nil, &plans.TierStore{}, nil)
+		owner.Start()
 		go owner.Run(h.ctx)
 		path := filepath.Join(a.Dir, fmt.Sprintf("%d.sock", h.adminsStarted))
 		if err := admin.New(owner).Listen(path); err != nil {
--- a/internal/scale/model.go
+++ b/internal/scale/model.go
@@ -19,8 +19,8 @@
 	go func() {
 		var result modelResult
 		say := func(text string) { r.say("%s", text) }
-		if result.quota, result.err = Quota(r.children.ctx, r.Seed, r.Quick, say); result.err == nil {
-			result.moments, result.err = Modelled(r.children.ctx, r.Seed, r.Quick, say)
+		if result.quota, result.err = MeasureQuota(r.children.ctx, r.Seed, r.Quick, say); result.err == nil {
+			result.moments, result.err = MeasureModelled(r.children.ctx, r.Seed, r.Quick, say)
 		}
 		r.modelResults <- result
 	}()
--- a/internal/scale/modelled.go
+++ b/internal/scale/modelled.go
@@ -20,7 +20,7 @@
 
 // Modelled measures in the model the moments that cannot be played on real sockets: regions that are cut off from each other
 // for an hour, and a day of changes. The result holds those that were complete when an error ended it.
-func Modelled(ctx context.Context, seed uint64, quick bool, progress func(string)) ([]Moment, error) {
+func MeasureModelled(ctx context.Context, seed uint64, quick bool, progress func(string)) ([]Moment, error) {
 	if progress == nil {
 		progress = func(string) {}
 	}
@@ -44,19 +44,21 @@
 }
 
 // sent is the number of units sent on to servers in the interval.
-func (w interval) sent() float64 { return w.to.SentUnits - w.from.SentUnits }
+func (w interval) sent() float64 { return w.to.UnitsSent - w.from.UnitsSent }
 
 // beyond is the share of those units that was beyond quotas.
-func (w interval) beyond() float64 { return (w.to.BeyondUnits - w.from.BeyondUnits) / max(w.sent(), 1) }
+func (w interval) beyond() float64 {
+	return (w.to.UnitsOverQuota - w.from.UnitsOverQuota) / max(w.sent(), 1)
+}
 
 // record adds the interval's figures to values, under names that begin with the interval's.
 func (w interval) record(values map[string]float64, name string) {
 	for k := range w.to.Halls {
-		values[fmt.Sprintf("%s, region %d, units/s", name, k)] = (w.to.Halls[k].Units - w.from.Halls[k].Units) / w.seconds
+		values[fmt.Sprintf("%s, region %d, units/s", name, k)] = (w.to.Halls[k].UnitsSent - w.from.Halls[k].UnitsSent) / w.seconds
 	}
 	values[name+", units/s"] = w.sent() / w.seconds
 	values[name+", beyond"] = w.beyond()
-	values[name+", refused with room"] = float64(w.to.RoomRefused-w.from.RoomRefused) / float64(max(w.to.Tries-w.from.Tries, 1))
+	values[name+", refused with room"] = float64(w.to.RefusedWithRoom-w.from.RefusedWithRoom) / float64(max(w.to.Tries-w.from.Tries, 1))
 	values[name+", served"] = float64(w.to.Served-w.from.Served) / float64(max(w.to.Requests-w.from.Requests, 1))
 	values[name+", calls/s"] = float64(w.to.Calls-w.from.Calls) / w.seconds
 }
@@ -70,14 +72,14 @@
 // returns the figures of its intervals by name.
 func playRegions(ctx context.Context, s model.Scenario, seed uint64, cutAt, cutFor float64) map[string]float64 {
 	s.Faults = []model.Fault{{Kind: model.FaultRegions, At: cutAt, For: cutFor}}
-	w := model.New(s, seed, model.Own(), false)
-	at, values := s.Warm, map[string]float64{}
-	last := w.Play(at)
+	w := model.New(s, seed, model.ProjectPolicy(), false)
+	at, values := s.WarmupSeconds, map[string]float64{}
+	last := w.RunUntil(at)
 	playUntil := func(end float64) interval {
 		v := interval{end - at, last, last}
 		for at < end && ctx.Err() == nil { // in steps, so that a cancelled run stops soon
 			at = min(at+60, end)
-			last = w.Play(at)
+			last = w.RunUntil(at)
 		}
 		v.to = last
 		return v
@@ -86,7 +88,7 @@
 	for at < cutAt && ctx.Err() == nil {
 		worstBeforeCut = max(worstBeforeCut, playUntil(min(at+healStepSeconds, cutAt)).beyond())
 	}
-	interval{cutAt - s.Warm, beforeCut, last}.record(values, "before")
+	interval{cutAt - s.WarmupSeconds, beforeCut, last}.record(values, "before")
 	values["before, most beyond in 5 s"] = worstBeforeCut
 	playUntil(cutAt+10).record(values, "cut, first 10 s")
 	playUntil(cutAt+cutFor).record(values, "cut")
@@ -104,14 +106,14 @@
 	values["healed, calls in 60 s"] = float64(last.Calls - atHealing.Calls)
 	values["healed, over usual until s"] = recoveredAfter
 	playUntil(s.Seconds).record(values, "after")
-	values["broken rules"] = float64(last.Broken)
+	values["broken rules"] = float64(last.ViolationCount)
 	return values
 }
 
 // measureRegions plays the cut between regions with several seeds and returns the means of their figures.
 func measureRegions(ctx context.Context, seed uint64, quick bool, progress func(string)) (Moment, error) {
-	s := model.Base()
-	s.Limiters, s.Nodes, s.Firms.Count, s.Warm = 10, 24, 60, 10
+	s := model.BaseScenario()
+	s.Limiters, s.Nodes, s.Firms.Count, s.WarmupSeconds = 10, 24, 60, 10
 	s.Firms.Spread = model.Range{10, 10}
 	cutAt, cutFor, seeds := 300.0, 3600.0, 4
 	if quick {
@@ -146,7 +148,7 @@
 			m.Values[name+", deviation"] = deviation
 		}
 		if name == "healed, over usual until s" {
-			m.Last = slices.Max(v)
+			m.LastSeconds = slices.Max(v)
 		}
 	}
 	m.Messages = m.Values["healed, calls in 60 s"]
@@ -232,13 +234,13 @@
 	if err != nil {
 		return Moment{}, err
 	}
-	progress(fmt.Sprintf("day: %d changes sent to limiters in the busiest span, the last in force after %.2f s", burst.Changes.Told, burst.Changes.Last))
-	values["played, changes at each limiter"] = float64(burst.Changes.Told) / float64(limiters)
+	progress(fmt.Sprintf("day: %d changes sent to limiters in the busiest span, the last in force after %.2f s", burst.Changes.Deliveries, burst.Changes.MaxSeconds))
+	values["played, changes at each limiter"] = float64(burst.Changes.Deliveries) / float64(limiters)
 	values["played, served"] = float64(burst.Served) / float64(max(burst.Requests, 1))
 	values["calm, served"] = float64(calm.Served) / float64(max(calm.Requests, 1))
-	values["played, p99 s"], values["calm, p99 s"] = burst.P99, calm.P99
-	values["played, beyond"], values["calm, beyond"] = burst.OverQuota(), calm.OverQuota()
-	values["broken rules"] = float64(burst.Broken)
+	values["played, p99 s"], values["calm, p99 s"] = burst.P99Seconds, calm.P99Seconds
+	values["played, beyond"], values["calm, beyond"] = burst.OverQuotaShare(), calm.OverQuotaShare()
+	values["broken rules"] = float64(burst.ViolationCount)
 	values["bytes of a change"] = changeBytes()
 
 	cost := map[string]float64{}
@@ -256,7 +258,7 @@
 	largest := sizes[len(sizes)-1]
 	cost[fmt.Sprintf("worst second among %d servers, s", largest)] =
 		values["worst second of the days, changes"] * cost[fmt.Sprintf("a change among %d servers, us", largest)] / 1e6
-	return Moment{Name: "day", Limiters: limiters, Servers: servers, Model: true, P99: burst.Changes.P99, Last: burst.Changes.Last,
+	return Moment{Name: "day", Limiters: limiters, Servers: servers, Model: true, P99Seconds: burst.Changes.P99Seconds, LastSeconds: burst.Changes.MaxSeconds,
 		Messages: values["worst minute of the days, changes"], Bytes: values["worst minute of the days, changes"] * changeBytes(),
 		Values: values, Cost: cost,
 		Note: fmt.Sprintf("%d changes a day, half of them in releases of some hundred servers; %d days drawn; the worst %.0f s of the first played with "+
@@ -269,10 +271,10 @@
 func playBurst(ctx context.Context, seed uint64, limiters, servers int, span float64) (burst, calm model.Result, firms int, err error) {
 	changesAt := drawDayChanges(seed)
 	_, from := busiestSpan(changesAt, span)
-	burstScenario := model.Base()
-	burstScenario.Name, burstScenario.Limiters, burstScenario.Nodes, burstScenario.Firms.Count, burstScenario.Warm = "worst minute", limiters, servers, 12*limiters, 10
+	burstScenario := model.BaseScenario()
+	burstScenario.Name, burstScenario.Limiters, burstScenario.Nodes, burstScenario.Firms.Count, burstScenario.WarmupSeconds = "worst minute", limiters, servers, 12*limiters, 10
 	burstScenario.Firms.Spread = model.Range{float64(limiters), float64(limiters)}
-	burstScenario.Seconds = burstScenario.Warm + span + 10
+	burstScenario.Seconds = burstScenario.WarmupSeconds + span + 10
 	calmScenario := burstScenario
 	// Replacing a server takes three changes: it drains, it is gone, and another one is ready. Each third change is thus played
 	// as the drain of one server.
@@ -280,11 +282,11 @@
 	for _, t := range changesAt {
 		if t >= from && t < from+span {
 			if changes++; changes%3 == 1 {
-				burstScenario.Faults = append(burstScenario.Faults, model.Fault{Kind: model.FaultDrain, At: burstScenario.Warm + t - from, Part: 0.1 / float64(servers)})
+				burstScenario.Faults = append(burstScenario.Faults, model.Fault{Kind: model.FaultDrain, At: burstScenario.WarmupSeconds + t - from, Part: 0.1 / float64(servers)})
 			}
 		}
 	}
-	list := lab.Parallel(ctx, []lab.Job{{Scenario: burstScenario, Policy: model.Own(), Seed: seed}, {Scenario: calmScenario, Policy: model.Own(), Seed: seed}}, nil)
+	list := lab.RunJobs(ctx, []lab.Job{{Scenario: burstScenario, Policy: model.ProjectPolicy(), Seed: seed}, {Scenario: calmScenario, Policy: model.ProjectPolicy(), Seed: seed}}, nil)
 	if len(list) < 2 {
 		return burst, calm, 0, ctx.Err()
 	}
@@ -299,7 +301,7 @@
 	for k := range servers {
 		list = append(list, logic.Server{ID: logic.ServerID(k + 1), Weight: 1, Zone: k % 2, State: logic.Ready})
 	}
-	whole := logic.ServerList{Whole: true, Servers: slices.Clone(list)}
+	whole := logic.ServerList{Complete: true, Servers: slices.Clone(list)}
 	var effects []core.Effect
 	var tick core.SetTimer
 	reduce := func(at time.Duration, ev core.Event) time.Duration {
@@ -343,7 +345,7 @@
 
 // newCostReducer returns a reducer with the settings of a usual limiter, and the time at which it starts.
 func newCostReducer() (*core.Reducer, time.Duration) {
-	s := model.Base()
+	s := model.BaseScenario()
 	set := logic.Settings{Gateways: 300, Zones: 2, Plans: s.Tiers, HasCounter: true, CounterLimit: 30 * time.Millisecond, MostUnits: 1,
 		MaxAttempts: 6, MaxRetryAfter: time.Second, RetryAfter: true, Cancelling: true, StartCapacity: s.Node.ColdShare, Cold: 18 * time.Second,
 		Fall: 3 * time.Second, FallMultiple: 3, DrainGrace: 500 * time.Millisecond,
@@ -353,12 +355,12 @@
 
 // MomentTable returns moments as a table with a row for each figure.
 func MomentTable(list []Moment) *lab.Table {
-	t := &lab.Table{Name: "moments", Head: []string{"moment", "what", "figure"}}
+	t := &lab.Table{Name: "moments", Columns: []string{"moment", "what", "figure"}}
 	for _, m := range list {
 		t.Add(m.Name, "limiters", m.Limiters)
 		t.Add(m.Name, "servers", m.Servers)
-		t.Add(m.Name, "p99, s", m.P99)
-		t.Add(m.Name, "last, s", m.Last)
+		t.Add(m.Name, "p99, s", m.P99Seconds)
+		t.Add(m.Name, "last, s", m.LastSeconds)
 		t.Add(m.Name, "messages", m.Messages)
 		t.Add(m.Name, "bytes", m.Bytes)
 		for _, figures := range []map[string]float64{m.Values, m.Cost} {
--- a/internal/scale/module.go
+++ b/internal/scale/module.go
@@ -22,7 +22,7 @@
 // firms have each sent one request within a minute. The heap grows with the number of active firms. Servers and the counter
 // answer every call immediately.
 func moduleMemory(firms int) (heapGrowth float64, err error) {
-	raw, err := json.Marshal(lab.Settings(moduleLimiters, 0, []logic.Plan{{Name: "regular", Rate: 1e6, Burst: 1e6, Price: 1, OverCost: 0.5}}))
+	raw, err := json.Marshal(lab.LimiterSettings(moduleLimiters, 0, []logic.Plan{{Name: "regular", Rate: 1e6, Burst: 1e6, Price: 1, OverCost: 0.5}}))
 	if err != nil {
 		return 0, err
 	}
@@ -49,7 +49,7 @@
 			switch a := a.(type) {
 			case logic.Send:
 				served++
-				handle(logic.Outcome{ID: a.ID, Server: a.Server, Status: logic.OK, Closed: true})
+				handle(logic.Outcome{ID: a.ID, Server: a.Server, Status: logic.OK, RequestOver: true})
 			case logic.Count:
 				handle(logic.CountResult{Name: a.Name, Total: a.Amount})
 			case logic.SetTimer:
@@ -59,7 +59,7 @@
 			}
 		}
 	}
-	serverList := logic.ServerList{Whole: true}
+	serverList := logic.ServerList{Complete: true}
 	for k := range moduleServers {
 		serverList.Servers = append(serverList.Servers, logic.Server{ID: logic.ServerID(k + 1), Weight: 1, Cell: k / 2, State: logic.Ready})
 	}
--- a/internal/scale/moments.go
+++ b/internal/scale/moments.go
@@ -36,7 +36,7 @@
 	slices.Sort(arrivedAt)
 	moment.Limiters, moment.Servers = r.hollowLimiterCount()+len(r.realLimiters), r.listedServers
 	if n := len(arrivedAt); n > 0 {
-		moment.P99, moment.Last = (arrivedAt[(n*99+99)/100-1] - since).Seconds(), (arrivedAt[n-1] - since).Seconds()
+		moment.P99Seconds, moment.LastSeconds = (arrivedAt[(n*99+99)/100-1] - since).Seconds(), (arrivedAt[n-1] - since).Seconds()
 	}
 	if behind > 0 {
 		moment.Note = fmt.Sprintf("%d hollow limiters %s", behind, notHeardNote)
@@ -105,7 +105,7 @@
 		direction := []string{"gone", "back"}[k]
 		moment.Note = joinNotes(fmt.Sprintf("%s: %d servers", direction, (change.To-change.From+max(change.Step, 1)-1)/max(change.Step, 1)), moment.Note)
 		r.figures.Moments = append(r.figures.Moments, moment)
-		r.say("a %s %s, sent to %d limiters: it reached 99 in 100 hollow ones after %.0f ms, the last after %.0f ms", name, direction, moment.Limiters, 1000*moment.P99, 1000*moment.Last)
+		r.say("a %s %s, sent to %d limiters: it reached 99 in 100 hollow ones after %.0f ms, the last after %.0f ms", name, direction, moment.Limiters, 1000*moment.P99Seconds, 1000*moment.LastSeconds)
 	}
 	if err := <-done; err != nil {
 		return err
@@ -134,7 +134,7 @@
 	}
 	n := r.hollowCounts[0]
 	r.children.kill(r.hollowProcesses[0])
-	p, err := r.children.startChild(indexedName(hollowRole, 0), hollowRole, r.Child)
+	p, err := r.children.startChild(indexedName(hollowRole, 0), hollowRole, r.ChildCommand)
 	if err != nil {
 		return err
 	}
@@ -157,7 +157,7 @@
 	moment.Messages, moment.Bytes = float64(t.Messages), float64(t.Bytes)
 	moment.Note = joinNotes(fmt.Sprintf("%d limiters at once, until each has the whole list", n), moment.Note)
 	r.figures.Moments = append(r.figures.Moments, moment)
-	r.say("%d limiters restarted at once: 99 in 100 had the list after %.0f ms, the last after %.0f ms", n, 1000*moment.P99, 1000*moment.Last)
+	r.say("%d limiters restarted at once: 99 in 100 had the list after %.0f ms, the last after %.0f ms", n, 1000*moment.P99Seconds, 1000*moment.LastSeconds)
 	return nil
 }
 
--- a/internal/scale/operators.go
+++ b/internal/scale/operators.go
@@ -52,7 +52,7 @@
 		for k := range order.Firms {
 			v.Firms = append(v.Firms, plans.Firm{Firm: firstFirmID + uint64(k), Tier: order.Tiers[k%len(order.Tiers)].Name})
 		}
-		version = admin.VersionOut(v)
+		version = admin.VersionToProto(v)
 	}
 	m := &meter{}
 	var firms atomic.Int64
--- a/internal/scale/page.go
+++ b/internal/scale/page.go
@@ -19,43 +19,43 @@
 
 // Tables returns the figures as tables; the one of quotas only where they were measured.
 func (f *Figures) Tables() []*lab.Table {
-	slopes := &lab.Table{Name: "scale-slopes", Head: []string{"role", "what", "against", "unit", "sizes", "each more", "error", "at none"}}
+	slopes := &lab.Table{Name: "scale-slopes", Columns: []string{"role", "what", "against", "unit", "sizes", "each more", "error", "at none"}}
 	for _, s := range f.Slopes {
-		slopes.Add(s.Role, s.What, s.Against, s.Unit, fmt.Sprintf("%d: %.4g to %.4g", len(s.Sizes), slices.Min(s.Sizes), slices.Max(s.Sizes)), s.PerUnit, s.Error, s.Intercept)
+		slopes.Add(s.Role, s.Quantity, s.Against, s.Unit, fmt.Sprintf("%d: %.4g to %.4g", len(s.Sizes), slices.Min(s.Sizes), slices.Max(s.Sizes)), s.PerUnit, s.Error, s.Intercept)
 	}
-	moments := &lab.Table{Name: "scale-moments", Head: []string{"moment", "limiters", "servers", "99 in 100 s", "last s", "messages", "bytes", "where", "note"}}
+	moments := &lab.Table{Name: "scale-moments", Columns: []string{"moment", "limiters", "servers", "99 in 100 s", "last s", "messages", "bytes", "where", "note"}}
 	for _, m := range f.Moments {
 		where := "sockets"
 		if m.Model {
 			where = "model"
 		}
-		moments.Add(m.Name, m.Limiters, m.Servers, m.P99, m.Last, m.Messages, m.Bytes, where, m.Note)
+		moments.Add(m.Name, m.Limiters, m.Servers, m.P99Seconds, m.LastSeconds, m.Messages, m.Bytes, where, m.Note)
 	}
-	added := &lab.Table{Name: "scale-added", Head: []string{"requests/s of a limiter", "control", "limiters", "servers", "half ms", "99 in 100 ms", "straight, 99 in 100 ms", "served", "refused", "lost"}}
+	added := &lab.Table{Name: "scale-added", Columns: []string{"requests/s of a limiter", "control", "limiters", "servers", "half ms", "99 in 100 ms", "straight, 99 in 100 ms", "served", "refused", "lost"}}
 	for _, a := range f.Added {
-		added.Add(a.PerSecond, a.Control, a.Limiters, a.Servers, a.P50, a.P99, a.Straight, a.Requests, a.Refused, a.Lost)
+		added.Add(a.RequestsPerSecond, a.WithChanges, a.Limiters, a.Servers, a.P50MS, a.P99MS, a.DirectP99MS, a.TimedRequests, a.Refused, a.Lost)
 	}
-	gone := &lab.Table{Name: "scale-missing", Head: []string{"role", "what", "against", "why"}}
+	gone := &lab.Table{Name: "scale-missing", Columns: []string{"role", "what", "against", "why"}}
 	for _, m := range f.Missing {
 		gone.Add(m.Role, m.Quantity, m.Against, m.Why)
 	}
-	bars := &lab.Table{Name: "scale-bars", Head: []string{"bar", "holds", "was"}}
+	bars := &lab.Table{Name: "scale-bars", Columns: []string{"bar", "holds", "was"}}
 	for _, b := range f.Bars {
-		bars.Add(b.Name, b.Holds, b.Was)
+		bars.Add(b.Name, b.Holds, b.Measured)
 	}
-	held := &lab.Table{Name: "scale-held", Head: []string{"against", "held"}}
+	held := &lab.Table{Name: "scale-held", Columns: []string{"against", "held"}}
 	by := map[string]string{}
 	for _, s := range f.Slopes {
-		by[s.Against] = s.Held
+		by[s.Against] = s.HeldConstant
 	}
 	for _, against := range slices.Sorted(maps.Keys(by)) {
 		held.Add(against, by[against])
 	}
 	list := []*lab.Table{slopes, held, moments, added, gone, bars}
 	if len(f.Quota) > 0 {
-		quota := &lab.Table{Name: "scale-quota", Head: []string{"plan", "limiters", "counters", "speed", "beyond", "refused with room", "calls per request", "unanswered", "seeds", "spread"}}
+		quota := &lab.Table{Name: "scale-quota", Columns: []string{"plan", "limiters", "counters", "speed", "beyond", "refused with room", "calls per request", "unanswered", "seeds", "spread"}}
 		for _, q := range f.Quota {
-			quota.Add(q.Plan, q.Limiters, q.Counters, q.Speed, q.Beyond, q.RefusedWithRoom, q.CallsPerRequest, q.Unanswered, q.Seeds, q.BeyondDeviation)
+			quota.Add(q.Plan, q.Limiters, q.Counters, q.CounterSpeed, q.BeyondShare, q.RefusedWithRoomShare, q.CallsPerRequest, q.UnansweredShare, q.Seeds, q.BeyondDeviation)
 		}
 		list = append(list, quota)
 	}
@@ -66,12 +66,12 @@
 func (f *Figures) charts() (list []lab.Chart) {
 	at := map[string]int{}
 	for _, s := range f.Slopes {
-		name := "scale-" + s.What + "-" + s.Against
+		name := "scale-" + s.Quantity + "-" + s.Against
 		k, ok := at[name]
 		if !ok {
 			k = len(list)
 			at[name] = k
-			list = append(list, lab.Chart{Name: name, Title: s.What + " against " + s.Against, X: s.Against, Y: s.Unit, LogX: true, Lines: map[string]plotter.XYs{}})
+			list = append(list, lab.Chart{Name: name, Title: s.Quantity + " against " + s.Against, XLabel: s.Against, YLabel: s.Unit, LogX: true, Lines: map[string]plotter.XYs{}})
 		}
 		var line plotter.XYs
 		for n := range s.Sizes {
@@ -83,7 +83,7 @@
 }
 
 // Keep writes the figures, their tables and charts and a page that shows them into a directory.
-func (f *Figures) Keep(dir string) error {
+func (f *Figures) Write(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
@@ -93,11 +93,11 @@
 	}
 	errs := []error{os.WriteFile(filepath.Join(dir, File), append(raw, '\n'), 0o644)}
 	for _, t := range f.Tables() {
-		errs = append(errs, t.Keep(dir))
+		errs = append(errs, t.WriteFiles(dir))
 	}
 	for _, c := range f.charts() {
-		errs = append(errs, c.Keep(dir))
+		errs = append(errs, c.WriteSVG(dir))
 	}
-	_, err = lab.Page(dir)
+	_, err = lab.WriteHTMLPage(dir)
 	return errors.Join(append(errs, err)...)
 }
--- a/internal/scale/quota.go
+++ b/internal/scale/quota.go
@@ -52,7 +52,7 @@
 		{"total, even", "the same, but evenly: without a busiest limiter that takes 0.6 of a firm's requests and changes every 6 to 22 s",
 			keyCounters, sparseWarmupSeconds, func(n int) (model.Scenario, error) {
 				s := quotaScenario(n, 360, 120, n)
-				s.Firms.Skew = 0
+				s.Firms.BusiestLimiterShare = 0
 				return s, nil
 			}},
 		{"total, few", "as the first, but a firm comes through 2 to 4 limiters",
@@ -76,7 +76,7 @@
 // quotaScenario is the model's usual scenario with other sizes; spread is the number of limiters through which each firm
 // comes (0: 2 to 4).
 func quotaScenario(limiters, firms, nodes, spread int) model.Scenario {
-	s := model.Base()
+	s := model.BaseScenario()
 	s.Limiters, s.Nodes, s.Firms.Count = limiters, nodes, firms
 	s.Firms.Spread = model.Range{2, min(4, float64(limiters))}
 	if spread > 0 {
@@ -132,8 +132,8 @@
 func sortRows(list []QuotaError) []QuotaError {
 	loads := quotaLoads()
 	rank := func(q QuotaError) int {
-		load := slices.IndexFunc(loads, func(l quotaLoad) bool { return l.name == q.Set })
-		return (load*1000+q.Limiters)*10 + slices.Index(allCounters, counterKind{q.Speed, q.Free}) // slowCounter is not in allCounters: its index is -1, so it comes first
+		load := slices.IndexFunc(loads, func(l quotaLoad) bool { return l.name == q.Load })
+		return (load*1000+q.Limiters)*10 + slices.Index(allCounters, counterKind{q.CounterSpeed, q.Unbudgeted}) // slowCounter is not in allCounters: its index is -1, so it comes first
 	}
 	slices.SortStableFunc(list, func(a, b QuotaError) int { return cmp.Compare(rank(a), rank(b)) })
 	return list
@@ -143,20 +143,20 @@
 func (p quotaPoint) scenario(quick bool) (model.Scenario, model.Policy, error) {
 	s, err := p.load.scenario(p.limiters)
 	s.Name = fmt.Sprintf("%s, %d limiters, %s", p.load.name, p.limiters, counterName(p.speed, p.unbudgeted))
-	s.Warm, s.Faults = p.load.warmupSeconds, nil
+	s.WarmupSeconds, s.Faults = p.load.warmupSeconds, nil
 	if p.limiters <= maxDenseLimiters {
-		s.Warm = denseWarmupSeconds
+		s.WarmupSeconds = denseWarmupSeconds
 	}
-	s.Seconds = s.Warm + measuredSeconds
+	s.Seconds = s.WarmupSeconds + measuredSeconds
 	if quick {
-		s.Seconds, s.Warm = 15, 6
+		s.Seconds, s.WarmupSeconds = 15, 6
 	}
-	if s.Counter.PerSecond *= p.speed; p.speed == 0 {
-		s.Counter.PerSecond, s.Counter.Unlimited = 1e6, true
+	if s.Counter.CallsPerSecond *= p.speed; p.speed == 0 {
+		s.Counter.CallsPerSecond, s.Counter.Unlimited = 1e6, true
 	}
-	policy := model.Own()
+	policy := model.ProjectPolicy()
 	if p.unbudgeted {
-		policy = model.Unbudgeted()
+		policy = model.UnbudgetedPolicy()
 	}
 	return s, policy, err
 }
@@ -174,7 +174,7 @@
 
 // Quota measures in the model how far quotas are missed, by plan, depending on the number of limiters and the speed of the
 // counter: the share sent on beyond quotas, and the share refused while half of a quota is unused.
-func Quota(ctx context.Context, seed uint64, quick bool, progress func(string)) ([]QuotaError, error) {
+func MeasureQuota(ctx context.Context, seed uint64, quick bool, progress func(string)) ([]QuotaError, error) {
 	seeds := 3
 	if quick {
 		seeds = 1
@@ -195,11 +195,11 @@
 			jobs = append(jobs, lab.Job{Scenario: s, Policy: policy, Seed: seed + uint64(n)})
 		}
 	}
-	done := lab.Parallel(ctx, jobs, func(n int, d lab.Done) {
+	done := lab.RunJobs(ctx, jobs, func(n int, d lab.JobResult) {
 		if n%seeds == 0 && progress != nil {
 			r := d.Result
 			progress(fmt.Sprintf("quota %d of %d: %s: %.1f%% beyond, %.1f%% refused with room, %.1f s", n/seeds, len(points), r.Scenario,
-				100*r.OverQuota(), 100*float64(r.RoomRefused)/float64(max(r.Tries, 1)), d.Wall.Seconds()))
+				100*r.OverQuotaShare(), 100*float64(r.RefusedWithRoom)/float64(max(r.Tries, 1)), d.WallTime.Seconds()))
 		}
 	})
 	for k := 0; k+seeds <= len(done); k += seeds { // only points of which all seeds are done
@@ -209,11 +209,11 @@
 }
 
 // rows averages the seeds of a point: one row for all plans together, then one for each plan.
-func (p quotaPoint) rows(done []lab.Done) (all []QuotaError) {
+func (p quotaPoint) rows(done []lab.JobResult) (all []QuotaError) {
 	s := done[0].Scenario
 	for tier := -1; tier < len(s.Tiers); tier++ {
-		q := QuotaError{Plan: AllPlans, Limiters: p.limiters, Counters: s.Counter.Parts, Speed: p.speed, Seeds: len(done),
-			Set: p.load.name, Held: p.load.description, Free: p.unbudgeted}
+		q := QuotaError{Plan: AllPlans, Limiters: p.limiters, Counters: s.Counter.Shards, CounterSpeed: p.speed, Seeds: len(done),
+			Load: p.load.name, Held: p.load.description, Unbudgeted: p.unbudgeted}
 		if tier >= 0 {
 			q.Plan, q.Held = s.Tiers[tier].Name, ""
 		}
@@ -222,28 +222,28 @@
 			var t model.TierResult
 			for k, x := range d.Result.Tiers {
 				if tier < 0 || k == tier {
-					t.Tries, t.RoomRefused = t.Tries+x.Tries, t.RoomRefused+x.RoomRefused
-					t.Inside, t.InsideRefused = t.Inside+x.Inside, t.InsideRefused+x.InsideRefused
-					t.Units, t.Beyond = t.Units+x.Units, t.Beyond+x.Beyond
+					t.Tries, t.RefusedWithRoom = t.Tries+x.Tries, t.RefusedWithRoom+x.RefusedWithRoom
+					t.TriesInQuota, t.RefusedInQuota = t.TriesInQuota+x.TriesInQuota, t.RefusedInQuota+x.RefusedInQuota
+					t.UnitsSent, t.UnitsOverQuota = t.UnitsSent+x.UnitsSent, t.UnitsOverQuota+x.UnitsOverQuota
 				}
 			}
-			called, span := d.Result.Called, s.Seconds-s.Warm
+			called, span := d.Result.CounterCalls, s.Seconds-s.WarmupSeconds
 			q.Tries += t.Tries
-			beyond = append(beyond, t.Beyond/max(t.Units, 1))
-			insideRefused = append(insideRefused, float64(t.InsideRefused)/float64(max(t.Inside, 1)))
-			refusedWithRoom = append(refusedWithRoom, float64(t.RoomRefused)/float64(max(t.Tries, 1)))
+			beyond = append(beyond, t.UnitsOverQuota/max(t.UnitsSent, 1))
+			insideRefused = append(insideRefused, float64(t.RefusedInQuota)/float64(max(t.TriesInQuota, 1)))
+			refusedWithRoom = append(refusedWithRoom, float64(t.RefusedWithRoom)/float64(max(t.Tries, 1)))
 			callsPerRequest = append(callsPerRequest, float64(called.Made)/float64(max(d.Result.Requests, 1)))
-			unanswered, lost = append(unanswered, called.Unanswered()), append(lost, called.Lost())
+			unanswered, lost = append(unanswered, called.UnansweredShare()), append(lost, called.LostShare())
 			requestRate, callRate = append(requestRate, float64(d.Result.Requests)/span), append(callRate, float64(called.Made)/span)
 		}
-		q.Beyond, q.BeyondDeviation = meanAndDeviation(beyond)
-		q.RefusedWithRoom, q.RefusedWithRoomDeviation = meanAndDeviation(refusedWithRoom)
+		q.BeyondShare, q.BeyondDeviation = meanAndDeviation(beyond)
+		q.RefusedWithRoomShare, q.RefusedWithRoomDeviation = meanAndDeviation(refusedWithRoom)
 		q.InsideRefusedShare, _ = meanAndDeviation(insideRefused)
 		q.CallsPerRequest, _ = meanAndDeviation(callsPerRequest)
-		q.Unanswered, _ = meanAndDeviation(unanswered)
-		q.Lost, _ = meanAndDeviation(lost)
-		q.PerSecond, _ = meanAndDeviation(requestRate)
-		q.Calls, _ = meanAndDeviation(callRate)
+		q.UnansweredShare, _ = meanAndDeviation(unanswered)
+		q.LostCallShare, _ = meanAndDeviation(lost)
+		q.RequestsPerSecond, _ = meanAndDeviation(requestRate)
+		q.CallsPerSecond, _ = meanAndDeviation(callRate)
 		all = append(all, q)
 	}
 	return all
@@ -265,18 +265,18 @@
 
 // QuotaTable returns the figures as a table, either the rows of all plans together or those of each plan.
 func QuotaTable(list []QuotaError, byPlan bool) *lab.Table {
-	t := &lab.Table{Name: "quota", Head: []string{"load", "limiters", "counter", "requests/s", "beyond %", "±", "refused with room %", "±", "refused inside %",
+	t := &lab.Table{Name: "quota", Columns: []string{"load", "limiters", "counter", "requests/s", "beyond %", "±", "refused with room %", "±", "refused inside %",
 		"calls a request", "calls/s", "unanswered %", "lost %"}}
 	if byPlan {
-		t.Name, t.Head = "quota-plans", slices.Insert(t.Head, 3, "plan")
+		t.Name, t.Columns = "quota-plans", slices.Insert(t.Columns, 3, "plan")
 	}
 	for _, q := range list {
 		if byPlan == (q.Plan == AllPlans) {
 			continue
 		}
-		cells := []any{q.Set, q.Limiters, counterName(q.Speed, q.Free), fmt.Sprintf("%.0f", q.PerSecond), percent(q.Beyond), percent(q.BeyondDeviation),
-			percent(q.RefusedWithRoom), percent(q.RefusedWithRoomDeviation), percent(q.InsideRefusedShare), fmt.Sprintf("%.2f", q.CallsPerRequest), fmt.Sprintf("%.0f", q.Calls),
-			percent(q.Unanswered), percent(q.Lost)}
+		cells := []any{q.Load, q.Limiters, counterName(q.CounterSpeed, q.Unbudgeted), fmt.Sprintf("%.0f", q.RequestsPerSecond), percent(q.BeyondShare), percent(q.BeyondDeviation),
+			percent(q.RefusedWithRoomShare), percent(q.RefusedWithRoomDeviation), percent(q.InsideRefusedShare), fmt.Sprintf("%.2f", q.CallsPerRequest), fmt.Sprintf("%.0f", q.CallsPerSecond),
+			percent(q.UnansweredShare), percent(q.LostCallShare)}
 		if byPlan {
 			cells = slices.Insert(cells, 3, any(q.Plan))
 		}
--- a/internal/scale/quota_test.go
+++ b/internal/scale/quota_test.go
@@ -35,7 +35,7 @@
 	for _, q := range first {
 		require.Equal(t, 2, q.Seeds)
 		require.Positive(t, q.Tries, q.Plan)
-		for _, v := range []float64{q.Beyond, q.RefusedWithRoom, q.Unanswered, q.Lost} {
+		for _, v := range []float64{q.BeyondShare, q.RefusedWithRoomShare, q.UnansweredShare, q.LostCallShare} {
 			require.True(t, v >= 0 && v <= 1 && !math.IsNaN(v), "%+v", q)
 		}
 	}
@@ -53,12 +53,12 @@
 		}
 	}
 	require.Len(t, sums, 3)
-	require.Greater(t, sums[0].Unanswered, 0.05)
+	require.Greater(t, sums[0].UnansweredShare, 0.05)
 	for _, q := range sums[1:] {
-		require.Zero(t, q.Unanswered)
-		require.Zero(t, q.Lost)
-		require.Zero(t, q.Speed)
-		require.Less(t, q.Beyond, sums[0].Beyond)
+		require.Zero(t, q.UnansweredShare)
+		require.Zero(t, q.LostCallShare)
+		require.Zero(t, q.CounterSpeed)
+		require.Less(t, q.BeyondShare, sums[0].BeyondShare)
 	}
 }
 
@@ -105,7 +105,7 @@
 		require.NoError(t, err)
 		r := model.New(s, 1, whole, false).Run()
 		require.Positive(t, r.Refused)
-		require.Less(t, float64(r.RoomRefused)/float64(r.Tries), 0.01, load.name)
+		require.Less(t, float64(r.RefusedWithRoom)/float64(r.Tries), 0.01, load.name)
 	}
 }
 
@@ -145,8 +145,8 @@
 // The same seed gives the same moments, except for processor times. While regions are cut off from each other each grants quotas
 // by its own counter, so that more is sent beyond them, and that ends with the cut.
 func TestModelledMoments(t *testing.T) {
-	s := model.Base()
-	s.Limiters, s.Nodes, s.Firms.Count, s.Warm, s.Seconds = 10, 24, 60, 5, 75
+	s := model.BaseScenario()
+	s.Limiters, s.Nodes, s.Firms.Count, s.WarmupSeconds, s.Seconds = 10, 24, 60, 5, 75
 	s.Firms.Spread = model.Range{10, 10}
 	play := func(seed uint64) map[string]float64 { return playRegions(context.Background(), s, seed, 25, 25) }
 	done := make(chan map[string]float64, 3)
@@ -184,13 +184,13 @@
 }
 
 func TestTablesHoldEveryRow(t *testing.T) {
-	list := []QuotaError{{Plan: AllPlans, Set: "a", Limiters: 3, Speed: 1}, {Plan: "full", Set: "a", Limiters: 3, Speed: 1},
-		{Plan: AllPlans, Set: "a", Limiters: 3, Free: true}}
+	list := []QuotaError{{Plan: AllPlans, Load: "a", Limiters: 3, CounterSpeed: 1}, {Plan: "full", Load: "a", Limiters: 3, CounterSpeed: 1},
+		{Plan: AllPlans, Load: "a", Limiters: 3, Unbudgeted: true}}
 	require.Len(t, QuotaTable(list, false).Rows, 2)
 	require.Len(t, QuotaTable(list, true).Rows, 1)
 	for _, table := range []*lab.Table{QuotaTable(list, false), QuotaTable(list, true), MomentTable([]Moment{{Name: "day", Values: map[string]float64{"x": 1}}})} {
 		for _, row := range table.Rows {
-			require.Len(t, row, len(table.Head))
+			require.Len(t, row, len(table.Columns))
 		}
 	}
 }
@@ -199,9 +199,9 @@
 func TestMeanUnitsMatchTheDescription(t *testing.T) {
 	s, err := unitsScenario(3)
 	require.NoError(t, err)
-	s.Seconds, s.Warm = 12, 1
-	r := model.New(s, 1, model.Own(), false).Run()
-	require.InEpsilon(t, 1.5, r.UnitsAsked/float64(r.Requests), 0.05)
+	s.Seconds, s.WarmupSeconds = 12, 1
+	r := model.New(s, 1, model.ProjectPolicy(), false).Run()
+	require.InEpsilon(t, 1.5, r.UnitsRequested/float64(r.Requests), 0.05)
 }
 
 // The burst of a day reaches every limiter, is the same each time, and takes no longer than discovery's own delay.
@@ -212,12 +212,12 @@
 	require.NoError(t, err)
 	require.Equal(t, burst, again)
 	require.Equal(t, 60, firms)
-	require.Zero(t, calm.Changes.Told)
-	require.Zero(t, burst.Changes.Told%5, "each limiter gets the same changes")
+	require.Zero(t, calm.Changes.Deliveries)
+	require.Zero(t, burst.Changes.Deliveries%5, "each limiter gets the same changes")
 	changes, _ := busiestSpan(drawDayChanges(2), 6)
-	require.Greater(t, float64(burst.Changes.Told)/5, 0.9*float64(changes), "no change is left out, except of a server that is being replaced already")
-	require.LessOrEqual(t, burst.Changes.Last, model.Base().Discovery.Late[1]+0.01)
-	require.Zero(t, burst.Broken)
+	require.Greater(t, float64(burst.Changes.Deliveries)/5, 0.9*float64(changes), "no change is left out, except of a server that is being replaced already")
+	require.LessOrEqual(t, burst.Changes.MaxSeconds, model.BaseScenario().Discovery.DelaySeconds[1]+0.01)
+	require.Zero(t, burst.ViolationCount)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	_, _, _, err = playBurst(ctx, 2, 5, 600, 6)
--- a/internal/scale/resident.go
+++ b/internal/scale/resident.go
@@ -41,14 +41,14 @@
 }
 
 // FullResident returns the target's sizes.
-func FullResident() ResidentSizes {
+func FullResidentSizes() ResidentSizes {
 	return ResidentSizes{ListedServers: []int{200, 5_700, 30_000, 57_000}, ChangesPerSecond: []float64{0, 10, 20, 40}, ActiveFirms: []int{1_000, 5_000, 10_000, 20_000},
 		ModuleFirms: []int{10_000, 50_000, 100_000, 250_000, 510_000},
 		KnownFirms:  []int{1_000, 10_000, 50_000, 100_000}, Repeats: 2, Settle: 3 * time.Second}
 }
 
 // QuickResident returns small sizes for a trial.
-func QuickResident() ResidentSizes {
+func QuickResidentSizes() ResidentSizes {
 	return ResidentSizes{ListedServers: []int{100, 1_000, 3_000}, ChangesPerSecond: []float64{0, 50, 100}, ActiveFirms: []int{100, 1_000, 3_000}, ModuleFirms: []int{1_000, 3_000, 10_000}, KnownFirms: []int{100, 1_000, 3_000},
 		Repeats: 1, Settle: 500 * time.Millisecond}
 }
@@ -98,7 +98,7 @@
 }
 
 // Machine returns the machine's cores and memory in MB, for the fields of Figures.
-func Machine() (cores, memoryMB int) {
+func MachineSize() (cores, memoryMB int) {
 	raw, _ := os.ReadFile("/proc/meminfo")
 	kb := 0
 	_, _ = fmt.Sscanf(string(raw), "MemTotal: %d kB", &kb)
@@ -126,7 +126,7 @@
 
 // addSlope fits a line through the points by least squares and adds it to the slopes. With two points or fewer its error is 0.
 func (r *residentRun) addSlope(p residentPoints, role, quantity, unit, against, held string) {
-	s := Slope{Role: role, What: quantity, Unit: unit, Against: against, Sizes: p.sizes, Values: p.values, Held: held}
+	s := Slope{Role: role, Quantity: quantity, Unit: unit, Against: against, Sizes: p.sizes, Values: p.values, HeldConstant: held}
 	n := float64(len(p.sizes))
 	var meanSize, meanValue, products, squaredDeviations, squaredResiduals float64
 	for k, x := range p.sizes {
@@ -173,7 +173,7 @@
 	}
 	tiers := []logic.Plan{{Name: "regular", Rate: 3, Burst: 15, Price: 1, OverCost: 0.5}}
 	return standin.Start(r.binary, dir, map[string]any{"name": "n", "listen": listen, "seed": "1",
-		"limits": map[string]any{"cores": 1.0, "memory_mb": residentMemoryMB, "sockets": 1024}, "settings": lab.Settings(fleet, 0, tiers),
+		"limits": map[string]any{"cores": 1.0, "memory_mb": residentMemoryMB, "sockets": 1024}, "settings": lab.LimiterSettings(fleet, 0, tiers),
 		"counter": counter, "discovery": d.addr}, args...)
 }
 
@@ -284,7 +284,7 @@
 	if err := measure(d, l); err != nil {
 		return err
 	}
-	if text := l.Crashed(); text != "" {
+	if text := l.CrashLog(); text != "" {
 		return errors.New(text)
 	}
 	return nil
@@ -343,7 +343,7 @@
 	if took > time.Minute {
 		return fmt.Errorf("requests of %d firms took %s, want at most a minute: the limiter forgets the first firms after that", n, took)
 	}
-	if text := l.Crashed(); text != "" {
+	if text := l.CrashLog(); text != "" {
 		return errors.New(text)
 	}
 	memory.add(float64(n), rss)
@@ -557,7 +557,7 @@
 						if !ok {
 							break
 						}
-						if _, err := conn.Write(standin.Value("v")); err != nil {
+						if _, err := conn.Write(standin.ValueReply("v")); err != nil {
 							return
 						}
 					}
--- a/internal/scale/resident_test.go
+++ b/internal/scale/resident_test.go
@@ -15,7 +15,7 @@
 	if testing.Short() {
 		t.Skip("starts the real program a dozen times")
 	}
-	binary, err := lab.Build(t.Context(), t.TempDir())
+	binary, err := lab.BuildLimiter(t.Context(), t.TempDir())
 	require.NoError(t, err)
 	sizes := ResidentSizes{ListedServers: []int{100, 6_000, 12_000}, ChangesPerSecond: []float64{0, 100}, ActiveFirms: []int{50, 1_000}, ModuleFirms: []int{1_000, 20_000},
 		KnownFirms: []int{50, 5_000}, Repeats: 1, Settle: 200e6}
@@ -24,10 +24,10 @@
 	assert.Empty(t, refused)
 	count := map[string]int{}
 	for _, s := range slopes {
-		count[s.Role+" "+s.What+" "+s.Against]++
+		count[s.Role+" "+s.Quantity+" "+s.Against]++
 		assert.Len(t, s.Values, len(s.Sizes))
-		if s.What == "memory" || s.What == "bytes" {
-			assert.Positive(t, s.PerUnit, "%s %s against %s", s.Role, s.What, s.Against)
+		if s.Quantity == "memory" || s.Quantity == "bytes" {
+			assert.Positive(t, s.PerUnit, "%s %s against %s", s.Role, s.Quantity, s.Against)
 		}
 	}
 	assert.Equal(t, map[string]int{"limiter memory servers": 2, "limiter processor servers": 2, "discovery bytes servers": 1,
@@ -35,7 +35,7 @@
 }
 
 func TestUnknownPartIsRejected(t *testing.T) {
-	_, _, err := Resident(t.Context(), "none", QuickResident(), []string{"list"}, t.Logf)
+	_, _, err := Resident(t.Context(), "none", QuickResidentSizes(), []string{"list"}, t.Logf)
 	assert.ErrorContains(t, err, `no part "list"`)
 }
 
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -18,15 +18,15 @@
 
 // Options configure a run.
 type Options struct {
-	Seed    uint64
-	Quick   bool
-	Sizes   Sizes
-	Model   bool                             // also measure the quota's error and the modelled moments
-	Binary  string                           // path of the limiter's program, with its evaluator beside it; "": both are built from these sources
-	Listen  string                           // loopback address at which the stand-in discovery listens for hollow limiters; "": a free port
-	Child   func(role string) *exec.Cmd      // prepares the command of one of the rig's child processes
-	Say     func(format string, a ...any)    // reports progress
-	OnStage func(stage string, r ProcessIDs) // for tests: called as each stage begins; may be nil
+	Seed         uint64
+	Quick        bool
+	Sizes        Sizes
+	Model        bool                             // also measure the quota's error and the modelled moments
+	Binary       string                           // path of the limiter's program, with its evaluator beside it; "": both are built from these sources
+	Listen       string                           // loopback address at which the stand-in discovery listens for hollow limiters; "": a free port
+	ChildCommand func(role string) *exec.Cmd      // prepares the command of one of the rig's child processes
+	Progress     func(format string, a ...any)    // reports progress
+	OnStage      func(stage string, r ProcessIDs) // for tests: called as each stage begins; may be nil
 }
 
 // ProcessIDs holds the process id of each running process by its name.
@@ -105,7 +105,7 @@
 	return nil
 }
 
-func (r *run) say(format string, args ...any) { r.Say(format, args...) }
+func (r *run) say(format string, args ...any) { r.Progress(format, args...) }
 
 // enterStage reports the stage that begins to Say, and to OnStage together with the processes that run.
 func (r *run) enterStage(name string) {
@@ -164,7 +164,7 @@
 func (r *run) buildLimiter() (err error) {
 	r.binary = r.Binary
 	if r.binary == "" {
-		r.binary, err = lab.Build(r.children.ctx, r.dir)
+		r.binary, err = lab.BuildLimiter(r.children.ctx, r.dir)
 	}
 	return err
 }
@@ -172,7 +172,7 @@
 func (r *run) startProcesses() error {
 	for role, p := range map[string]**process{discoveryRole: &r.discoveryProcess, counterRole: &r.counterProcess, serversRole: &r.serverProcess, loadRole: &r.loadProcess, operatorsRole: &r.operatorProcess} {
 		var err error
-		if *p, err = r.children.startChild(role, role, r.Child); err != nil {
+		if *p, err = r.children.startChild(role, role, r.ChildCommand); err != nil {
 			return err
 		}
 	}
@@ -245,7 +245,7 @@
 	if err := r.children.call(r.loadProcess, "Role.Run", LoadRun{r.directLoad(rate), r.Sizes.Settle, r.Sizes.Settle + r.Sizes.Window/2, r.Seed}, &load); err != nil {
 		return err
 	}
-	r.figures.Added[len(r.figures.Added)-1].Straight = load.P99MS
+	r.figures.Added[len(r.figures.Added)-1].DirectP99MS = load.P99MS
 	return nil
 }
 
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -86,7 +86,7 @@
 
 // smallRun is a short run of which only counts are checked, no times.
 func smallRun(binary string) Options {
-	return Options{Seed: 1, Binary: binary, Child: testChildCommand, Say: func(string, ...any) {}, Sizes: Sizes{RealLimiters: 2, HollowLimiters: []int{10, 20, 40}, ServersBesideFleet: 40,
+	return Options{Seed: 1, Binary: binary, ChildCommand: testChildCommand, Progress: func(string, ...any) {}, Sizes: Sizes{RealLimiters: 2, HollowLimiters: []int{10, 20, 40}, ServersBesideFleet: 40,
 		ListedServers: []int{40, 80, 120}, ChangesPerSecond: []float64{5, 10, 20}, RequestsPerSecond: []float64{10, 20, 40}, ActiveFirms: []int{10, 20}, KnownFirms: []int{10, 20}, LimitersTold: []int{1, 2, 4},
 		Clusters: []int{2, 4, 8}, CallsPerSecond: 5, Window: 200 * time.Millisecond, Settle: 100 * time.Millisecond, BackgroundChangesPerSecond: 20, DrainGrace: hollowDrainGrace, HollowDrainGrace: hollowDrainGrace, countsOnly: true}}
 }
@@ -103,7 +103,7 @@
 	limiterBinary.once.Do(func() {
 		dir, err := os.MkdirTemp("", "scale")
 		if err == nil {
-			limiterBinary.path, err = lab.Build(context.Background(), dir)
+			limiterBinary.path, err = lab.BuildLimiter(context.Background(), dir)
 		}
 		limiterBinary.err = err
 	})
@@ -276,7 +276,7 @@
 		requireGone(t, list)
 
 		dir := t.TempDir()
-		require.NoError(t, f.Keep(dir))
+		require.NoError(t, f.Write(dir))
 		raw, err := os.ReadFile(filepath.Join(dir, File))
 		require.NoError(t, err)
 		var again Figures
@@ -322,33 +322,33 @@
 
 func TestEachBarDetectsItsViolation(t *testing.T) {
 	passingRun := func() *run {
-		r := &run{Options: Options{Sizes: Sizes{HollowLimiters: []int{10}}}, figures: &Figures{Hollow: 10, Moments: []Moment{{Name: "change", Last: 0.1}}}}
+		r := &run{Options: Options{Sizes: Sizes{HollowLimiters: []int{10}}}, figures: &Figures{Hollow: 10, Moments: []Moment{{Name: "change", LastSeconds: 0.1}}}}
 		for _, key := range requiredSlopes {
-			r.figures.Slopes = append(r.figures.Slopes, Slope{Role: key.role, What: key.quantity, Against: key.against, PerUnit: 1, Error: 0.1})
+			r.figures.Slopes = append(r.figures.Slopes, Slope{Role: key.role, Quantity: key.quantity, Against: key.against, PerUnit: 1, Error: 0.1})
 		}
 		for range 3 {
-			r.figures.Added = append(r.figures.Added, AddedTime{Control: true, P99: 1})
+			r.figures.Added = append(r.figures.Added, AddedTime{WithChanges: true, P99MS: 1})
 		}
 		return r
 	}
 	r := passingRun()
 	r.checkBars()
-	require.Empty(t, r.figures.Broken())
+	require.Empty(t, r.figures.BrokenBars())
 	for name, violate := range map[string]func(*run){
 		"all hollow":  func(r *run) { r.figures.Hollow = 9 },
 		"every hollo": func(r *run) { r.figures.Moments[0].Note = "1 hollow limiters " + notHeardNote },
-		"the last li": func(r *run) { r.figures.Moments[0].Last = 3.1 },
+		"the last li": func(r *run) { r.figures.Moments[0].LastSeconds = 3.1 },
 		"no request ": func(r *run) { r.lostRequests = 1 },
 		"every call ": func(r *run) { r.unansweredCalls = 1 },
 		"slope of ho": func(r *run) { r.figures.Slopes[0].PerUnit = -1 },
 		"slope of di": func(r *run) { r.figures.Slopes[3].Error = 0.5 },
-		"99 in 100 r": func(r *run) { r.figures.Added[1].P99 = 3 },
-		"added time ": func(r *run) { r.figures.Added[0].Control = false },
+		"99 in 100 r": func(r *run) { r.figures.Added[1].P99MS = 3 },
+		"added time ": func(r *run) { r.figures.Added[0].WithChanges = false },
 	} {
 		r := passingRun()
 		violate(r)
 		r.checkBars()
-		broken := r.figures.Broken()
+		broken := r.figures.BrokenBars()
 		require.Len(t, broken, 1, name)
 		require.Contains(t, broken[0], name)
 	}
--- a/internal/scale/servers.go
+++ b/internal/scale/servers.go
@@ -75,7 +75,7 @@
 			if name := string(args[0]); name == "Q.ASK" || name == "Q.DO" {
 				s.requests.Add(1)
 				time.Sleep(s.work)
-				answer = standin.Value(strconv.FormatInt(int64(now()-receivedAt), 10))
+				answer = standin.ValueReply(strconv.FormatInt(int64(now()-receivedAt), 10))
 			}
 			if _, err := conn.Write(answer); err != nil {
 				return
--- a/internal/scale/sizes.go
+++ b/internal/scale/sizes.go
@@ -122,7 +122,7 @@
 
 // limiterSettings are the settings of the limiter with the given rank in a fleet.
 func (s Sizes) limiterSettings(fleet, rank int) map[string]any {
-	set := lab.Settings(fleet, rank, tiers)
+	set := lab.LimiterSettings(fleet, rank, tiers)
 	set["zones"], set["zone"] = zones, rank%len(zones)
 	set["rules"].(map[string]any)["drainGrace"] = s.DrainGrace.Seconds()
 	return set
--- a/internal/scale/sweeps.go
+++ b/internal/scale/sweeps.go
@@ -84,7 +84,7 @@
 			return err
 		}
 	}
-	p, err := r.children.startChild("books", hollowRole, r.Child)
+	p, err := r.children.startChild("books", hollowRole, r.ChildCommand)
 	if err != nil {
 		return err
 	}
--- a/internal/scale/window.go
+++ b/internal/scale/window.go
@@ -140,7 +140,7 @@
 
 // recordAddedTime adds the result of a load to the figures; control says whether the list changed meanwhile.
 func (r *run) recordAddedTime(rate float64, control bool, load LoadResult) {
-	r.figures.Added = append(r.figures.Added, AddedTime{PerSecond: rate, Control: control, P50: load.P50MS, P99: load.P99MS, Requests: load.Timed,
+	r.figures.Added = append(r.figures.Added, AddedTime{RequestsPerSecond: rate, WithChanges: control, P50MS: load.P50MS, P99MS: load.P99MS, TimedRequests: load.Timed,
 		Limiters: r.hollowLimiterCount() + len(r.realLimiters), Servers: r.listedServers, Refused: load.Refused, Lost: load.Lost})
 	r.say("%g requests a second of each limiter: added time %.2f ms at the 99th percentile, %.2f ms at the median; %d refused, %d lost", rate, load.P99MS, load.P50MS, load.Refused, load.Lost)
 }
--- a/internal/sharding/sharding.go
+++ b/internal/sharding/sharding.go
@@ -25,10 +25,10 @@
 
 const (
 	// Slack is the longest time that may pass between two limiters learning of a new list.
-	Slack = 15 * time.Second
+	MaxListSkew = 15 * time.Second
 	// ListRetention is how long a former list is kept: the longest life of a name that began while some limiters still
 	// had that list.
-	ListRetention = Slack + time.Minute
+	ListRetention = MaxListSkew + time.Minute
 
 	// Counters that one name is added to at once. Bounded so that a list that changes again and again does not
 	// multiply calls.
@@ -43,7 +43,7 @@
 )
 
 // Ring holds the current list of counters and the former ones.
-type Ring struct {
+type Sharder struct {
 	numbers       map[string]int // counter numbers by address; a number is never reused
 	nextNumber    int            // number of the next new address
 	current       counterList
@@ -72,8 +72,8 @@
 
 // Targets are the counters to which a name is added.
 type Targets struct {
-	To     []int // the one of the newest list first; empty: the total of the name is not known and cannot be learnt
-	Oldest int   // the counter that holds everything that was added, unless it has lost it
+	Counters []int // the one of the newest list first; empty: the total of the name is not known and cannot be learnt
+	Oldest   int   // the counter that holds everything that was added, unless it has lost it
 }
 
 // Answer is the answer of one counter to an addition.
@@ -84,21 +84,21 @@
 }
 
 // New creates a ring for a list that has been in force for a long time.
-func New(addrs []string) *Ring {
-	r := &Ring{numbers: map[string]int{}, recentTotals: map[uint64]knownTotal{}}
+func New(addrs []string) *Sharder {
+	r := &Sharder{numbers: map[string]int{}, recentTotals: map[uint64]knownTotal{}}
 	r.current = r.newList(addrs)
 	return r
 }
 
 // Start creates a ring for a process that starts now and cannot know whether the list has just changed. Names that may
 // have been added to under another list are not counted.
-func Start(now time.Duration, addrs []string) *Ring {
+func NewUnsynced(now time.Duration, addrs []string) *Sharder {
 	r := New(addrs)
-	r.unknownBefore = now + Slack
+	r.unknownBefore = now + MaxListSkew
 	return r
 }
 
-func (r *Ring) newList(addrs []string) counterList {
+func (r *Sharder) newList(addrs []string) counterList {
 	addrs = slices.Compact(slices.Sorted(slices.Values(addrs))) // the order of the configuration file does not matter
 	for _, a := range addrs {
 		if _, ok := r.numbers[a]; !ok {
@@ -109,14 +109,14 @@
 	return counterList{addrs, rendezvous.New(addrs, xxhash.Sum64String)}
 }
 
-func (r *Ring) lookup(list counterList, name uint64) int {
+func (r *Sharder) lookup(list counterList, name uint64) int {
 	var key [8]byte
 	binary.BigEndian.PutUint64(key[:], name)
 	return r.numbers[list.hash.Lookup(string(key[:]))]
 }
 
 // Set installs a new list. It reports whether it differs from the current one.
-func (r *Ring) Set(now time.Duration, addrs []string) bool {
+func (r *Sharder) Set(now time.Duration, addrs []string) bool {
 	next := r.newList(addrs)
 	if slices.Equal(next.addrs, r.current.addrs) {
 		return false
@@ -128,14 +128,14 @@
 	} else if len(r.formerLists) < maxFormerLists {
 		r.formerLists = append(r.formerLists, formerList{r.current, now})
 	} else {
-		r.unknownBefore = max(r.unknownBefore, now+Slack)
+		r.unknownBefore = max(r.unknownBefore, now+MaxListSkew)
 	}
 	r.current = next
 	return true
 }
 
 // Advance drops former lists whose retention has ended, and reports whether there were any.
-func (r *Ring) Advance(now time.Duration) bool {
+func (r *Sharder) Advance(now time.Duration) bool {
 	before := len(r.formerLists)
 	r.formerLists = slices.DeleteFunc(r.formerLists, func(f formerList) bool { return now >= f.replacedAt+ListRetention })
 	if len(r.formerLists) == before {
@@ -152,7 +152,7 @@
 }
 
 // Next returns when the retention of a former list ends next; due is false if there is none.
-func (r *Ring) Next() (at time.Duration, due bool) {
+func (r *Sharder) Next() (at time.Duration, due bool) {
 	for _, f := range r.formerLists {
 		if !due || f.replacedAt+ListRetention < at {
 			at, due = f.replacedAt+ListRetention, true
@@ -161,7 +161,7 @@
 	return at, due
 }
 
-func (r *Ring) lists() []counterList {
+func (r *Sharder) lists() []counterList {
 	all := []counterList{r.current}
 	for _, f := range r.formerLists {
 		all = append(all, f.counterList)
@@ -176,13 +176,13 @@
 }
 
 // Fingerprint returns the fingerprint of the current list.
-func (r *Ring) Fingerprint() string { return Fingerprint(r.current.addrs) }
+func (r *Sharder) Fingerprint() string { return Fingerprint(r.current.addrs) }
 
 // Len returns the number of counters in the current list.
-func (r *Ring) Len() int { return len(r.current.addrs) }
+func (r *Sharder) Len() int { return len(r.current.addrs) }
 
 // Addresses returns the address of every counter that may be called, by its number.
-func (r *Ring) Addresses() map[int]string {
+func (r *Sharder) Addresses() map[int]string {
 	all := map[int]string{}
 	for _, t := range r.lists() {
 		for _, a := range t.addrs {
@@ -193,42 +193,42 @@
 }
 
 // Of returns the counters of a name that limiters may have added to since began.
-func (r *Ring) Of(now time.Duration, name uint64, began time.Duration) Targets {
+func (r *Sharder) Targets(now time.Duration, name uint64, began time.Duration) Targets {
 	if began < r.unknownBefore {
 		return Targets{}
 	}
-	t := Targets{To: []int{r.lookup(r.current, name)}}
-	t.Oldest = t.To[0]
+	t := Targets{Counters: []int{r.lookup(r.current, name)}}
+	t.Oldest = t.Counters[0]
 	for k := len(r.formerLists) - 1; k >= 0; k-- {
 		f := r.formerLists[k]
-		if began >= f.replacedAt+Slack || now >= f.replacedAt+ListRetention {
+		if began >= f.replacedAt+MaxListSkew || now >= f.replacedAt+ListRetention {
 			continue
 		}
 		t.Oldest = r.lookup(f.counterList, name)
-		if !slices.Contains(t.To, t.Oldest) {
-			t.To = append(t.To, t.Oldest)
+		if !slices.Contains(t.Counters, t.Oldest) {
+			t.Counters = append(t.Counters, t.Oldest)
 		}
 	}
-	if len(t.To) > maxCountersPerName {
+	if len(t.Counters) > maxCountersPerName {
 		return Targets{}
 	}
 	return t
 }
 
 // Counters implements logic.Counters.
-func (r *Ring) Counters(now time.Duration, name uint64, began time.Duration) []int {
-	return r.Of(now, name, began).To
+func (r *Sharder) Holders(now time.Duration, name uint64, began time.Duration) []int {
+	return r.Targets(now, name, began).Counters
 }
 
 // Join combines the answers to one addition into the total to use; known is false if the total is not known.
-func (r *Ring) Join(now time.Duration, name uint64, amount float64, t Targets, answers []Answer) (total float64, known bool) {
+func (r *Sharder) Merge(now time.Duration, name uint64, amount float64, t Targets, answers []Answer) (total float64, known bool) {
 	var newAnswer *Answer
 	answered := false
 	for k, a := range answers {
 		if !a.OK {
 			continue
 		}
-		if a.Counter == t.To[0] {
+		if a.Counter == t.Counters[0] {
 			newAnswer = &answers[k]
 		}
 		if !answered || a.Total > total {
@@ -236,14 +236,14 @@
 		}
 		answered, known = true, known || a.Counter == t.Oldest
 	}
-	if t.To[0] == t.Oldest { // as with a single counter; includes a list that was reinstalled
+	if t.Counters[0] == t.Oldest { // as with a single counter; includes a list that was reinstalled
 		if known {
 			r.remember(now, name, knownTotal{total: total, newCounter: noCounter})
 		}
 		return total, known
 	}
 	last, seen := r.lastTotal(name)
-	if last.newCounter != t.To[0] { // this counter had received nothing at that time
+	if last.newCounter != t.Counters[0] { // this counter had received nothing at that time
 		last.newTotal = 0
 	}
 	switch { // guards against a former counter that is unreachable or has lost its data
@@ -254,7 +254,7 @@
 	}
 	switch {
 	case known && newAnswer != nil:
-		r.remember(now, name, knownTotal{total, newAnswer.Total, t.To[0]})
+		r.remember(now, name, knownTotal{total, newAnswer.Total, t.Counters[0]})
 	// The new counter has not reported its total. Of what is missing there, only this limiter's own addition is known.
 	case known && seen:
 		r.remember(now, name, knownTotal{last.total + amount, last.newTotal, last.newCounter})
@@ -262,7 +262,7 @@
 	return total, known
 }
 
-func (r *Ring) lastTotal(name uint64) (knownTotal, bool) {
+func (r *Sharder) lastTotal(name uint64) (knownTotal, bool) {
 	t, ok := r.recentTotals[name]
 	if !ok {
 		t, ok = r.olderTotals[name]
@@ -271,11 +271,11 @@
 }
 
 // remember stores a total for one to two minutes.
-func (r *Ring) remember(now time.Duration, name uint64, t knownTotal) {
+func (r *Sharder) remember(now time.Duration, name uint64, t knownTotal) {
 	if now-r.rotatedAt >= time.Minute || len(r.recentTotals) >= maxTotalsPerHalf {
 		r.rotatedAt, r.olderTotals, r.recentTotals = now, r.recentTotals, map[uint64]knownTotal{}
 	}
 	r.recentTotals[name] = t
 }
 
-var _ logic.Counters = (*Ring)(nil)
+var _ logic.CounterMap = (*Sharder)(nil)
--- a/internal/socket/momentary.go
+++ b/internal/socket/momentary.go
@@ -92,7 +92,7 @@
 }
 
 // Steady returns a listener whose Accept retries after errors other than its own close.
-func Steady(l net.Listener) net.Listener { return &retryListener{Listener: l} }
+func RetryAccept(l net.Listener) net.Listener { return &retryListener{Listener: l} }
 
 // Accept implements net.Listener.
 func (l *retryListener) Accept() (net.Conn, error) {
--- a/internal/standin/audit.go
+++ b/internal/standin/audit.go
@@ -43,7 +43,7 @@
 func NewAuditor() *Auditor { return &Auditor{requests: map[string]*record{}} }
 
 // Find records a violation.
-func (a *Auditor) Find(format string, args ...any) {
+func (a *Auditor) Reportf(format string, args ...any) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.reportf(format, args...)
--- a/internal/standin/ceiling.go
+++ b/internal/standin/ceiling.go
@@ -18,7 +18,7 @@
 }
 
 // Sent takes the units of a request from the bucket when the request reaches a node.
-func (c *Ceiling) Sent(units float64) {
+func (c *Ceiling) Take(units float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
@@ -32,7 +32,7 @@
 }
 
 // Lowest returns the lowest level that the bucket has had, at most 0, and the number of requests that were sent.
-func (c *Ceiling) Lowest() (float64, int) {
+func (c *Ceiling) LowestLevel() (float64, int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lowest, c.sends
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -31,7 +31,7 @@
 
 // Play runs the plan's scripts of clients and gRPC callers against a limiter, at most atOnce at a time. Scripts of callers
 // are skipped if grpcAddr is empty.
-func (w *World) Play(p fault.Plan, addr, grpcAddr string, atOnce int) {
+func (w *World) RunClients(p fault.Plan, addr, grpcAddr string, atOnce int) {
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, atOnce)
 	for k, s := range p.Scripts {
@@ -56,7 +56,7 @@
 func (w *World) runClient(s fault.Script, addr, name string) {
 	raw, err := net.DialTimeout("tcp", addr, waitTimeout)
 	if err != nil {
-		w.Audit.Find("client %s cannot connect: %v", name, err)
+		w.Audit.Reportf("client %s cannot connect: %v", name, err)
 		return
 	}
 	defer raw.Close()
@@ -95,7 +95,7 @@
 }
 
 func (a *answerReader) send(rng *rand.Rand, id string) error {
-	args := Command(rng, id)
+	args := RandomCommand(rng, id)
 	a.world.Audit.BeginSend(id, args, a.conn.DuplicatesNext())
 	copies, err := a.conn.Send(resp.AppendCommand(nil, args...))
 	a.world.Audit.EndSend(id, copies, err == nil || errors.Is(err, fault.ErrScriptEnded))
@@ -106,7 +106,7 @@
 }
 
 // Command returns a random request of one of firmCount firms: a read, or, in 40 % of cases, a post with a body.
-func Command(rng *rand.Rand, id string) [][]byte {
+func RandomCommand(rng *rand.Rand, id string) [][]byte {
 	name, terms := "Q.ASK", "c=balance-read,t=regular,d=4000,units=1,spread=1,first=0"
 	if rng.Float64() < 0.4 {
 		name, terms = "Q.DO", fmt.Sprintf("c=transfer-post,t=regular,d=6000,k=%016x,units=1,spread=1,first=0", rng.Uint64())
@@ -131,7 +131,7 @@
 		for {
 			r, ok, bad := a.parser.Reply()
 			if bad != nil {
-				a.world.Audit.Find("client %s received bytes that are no valid reply: %v", a.name, bad)
+				a.world.Audit.Reportf("client %s received bytes that are no valid reply: %v", a.name, bad)
 				a.done = true
 			}
 			if !ok || bad != nil {
@@ -153,9 +153,9 @@
 
 func (a *answerReader) connectionEnded(want int, err error) {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		a.world.Audit.Find("client %s received %d of %d answers, and its connection did not end in time: %s", a.name, a.received, want, a.script)
+		a.world.Audit.Reportf("client %s received %d of %d answers, and its connection did not end in time: %s", a.name, a.received, want, a.script)
 	} else if len(a.script.Steps) == 0 && a.received < want {
-		a.world.Audit.Find("client %s, which injected no faults, was cut off after %d of %d answers: %v", a.name, a.received, want, err)
+		a.world.Audit.Reportf("client %s, which injected no faults, was cut off after %d of %d answers: %v", a.name, a.received, want, err)
 	}
 }
 
@@ -177,7 +177,7 @@
 	client, err := grpc.NewClient("passthrough:///"+addr, grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithContextDialer(dial))
 	if err != nil {
-		w.Audit.Find("cannot create a gRPC caller: %v", err)
+		w.Audit.Reportf("cannot create a gRPC caller: %v", err)
 		return
 	}
 	defer client.Close()
@@ -194,7 +194,7 @@
 			continue
 		}
 		if code := status.Code(err); code != codes.OK && code != codes.DeadlineExceeded {
-			w.Audit.Find("a gRPC caller that injected no faults got an error: %v", err)
+			w.Audit.Reportf("a gRPC caller that injected no faults got an error: %v", err)
 		}
 	}
 }
--- a/internal/standin/counter.go
+++ b/internal/standin/counter.go
@@ -59,7 +59,7 @@
 		return "pong"
 	}
 	if !addCommand.MatchString(line) {
-		c.world.Audit.Find("the counter received %q, want ping or add NAME AMOUNT LIVES", line)
+		c.world.Audit.Reportf("the counter received %q, want ping or add NAME AMOUNT LIVES", line)
 		return "error"
 	}
 	words := strings.Fields(line)
@@ -79,7 +79,7 @@
 }
 
 // Wipe forgets all names.
-func (c *Counter) Wipe() {
+func (c *Counter) Clear() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	clear(c.counts)
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -24,19 +24,19 @@
 	mu           sync.Mutex
 	version      int
 	changed      chan struct{} // closed and replaced when the list changes
-	troubles     map[int]func(answer int) Trouble
+	troubles     map[int]func(answer int) AnswerFault
 	answerCounts map[int]int
 }
 
 // Trouble is the fault of an answer. It takes effect on the first line that carries a list.
-type Trouble uint8
+type AnswerFault uint8
 
 // The faults of discovery's answers.
 const (
-	Fine  Trouble = iota
-	Cut           // the connection closes in the middle of the line
-	Short         // the line stops in the middle, and the connection stays open
-	Mute          // nothing is sent any more, not even empty lines; the connection stays open
+	NoFault          AnswerFault = iota
+	TruncatedLine                // the connection closes in the middle of the line
+	StalledLine                  // the line stops in the middle, and the connection stays open
+	SilentConnection             // nothing is sent any more, not even empty lines; the connection stays open
 )
 
 // sharedAgent is the limiter number of the agent and the ports that all limiters without an agent of their own share.
@@ -47,7 +47,7 @@
 
 // AddDiscovery starts a stand-in for discovery that lists the world's nodes.
 func (w *World) AddDiscovery() (*Discovery, error) {
-	d := &Discovery{world: w, version: 1, changed: make(chan struct{}), troubles: map[int]func(int) Trouble{}, answerCounts: map[int]int{}}
+	d := &Discovery{world: w, version: 1, changed: make(chan struct{}), troubles: map[int]func(int) AnswerFault{}, answerCounts: map[int]int{}}
 	var err error
 	d.Addr, err = w.listen(fault.Discovery, func(c *fault.Conn, _ fault.Script) { d.serve(c, sharedAgent) })
 	w.Discovery = d
@@ -56,14 +56,14 @@
 
 // AddAgent starts a discovery agent for one limiter. troubleOf returns the trouble of each of its answers, counted from 0;
 // nil stands for no trouble.
-func (d *Discovery) AddAgent(limiter int, troubleOf func(answer int) Trouble) (addr string, err error) {
+func (d *Discovery) AddAgent(limiter int, troubleOf func(answer int) AnswerFault) (addr string, err error) {
 	for _, n := range d.world.Nodes {
 		if err := n.addPort(limiter); err != nil {
 			return "", err
 		}
 	}
 	if troubleOf == nil {
-		troubleOf = func(int) Trouble { return Fine }
+		troubleOf = func(int) AnswerFault { return NoFault }
 	}
 	d.mu.Lock()
 	d.troubles[limiter] = troubleOf
@@ -72,7 +72,7 @@
 }
 
 // Changed publishes a new version after a node's state has changed. Watches get the whole list for every change.
-func (d *Discovery) Changed() {
+func (d *Discovery) Publish() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.version++
@@ -81,10 +81,10 @@
 }
 
 // List returns the current list in discovery's JSON form, as limiters without an agent of their own get it.
-func (d *Discovery) List() map[string]any { return d.Known(sharedAgent) }
+func (d *Discovery) List() map[string]any { return d.ListFor(sharedAgent) }
 
 // Known returns the list that a limiter with its own agent starts with, and tells the auditor that the limiter knows it.
-func (d *Discovery) Known(limiter int) map[string]any {
+func (d *Discovery) ListFor(limiter int) map[string]any {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.recordTold(limiter, true)
@@ -128,14 +128,14 @@
 		return
 	}
 	if req.URL.Path != "/registry/instances" {
-		d.world.Audit.Find("discovery received a request for %q, want /registry/instances", req.URL.Path)
+		d.world.Audit.Reportf("discovery received a request for %q, want /registry/instances", req.URL.Path)
 		return
 	}
 	if _, err := conn.Send([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")); err != nil {
 		return
 	}
 	d.mu.Lock()
-	trouble := Fine
+	trouble := NoFault
 	if troubleOf := d.troubles[limiter]; troubleOf != nil {
 		trouble = troubleOf(d.answerCounts[limiter])
 		d.answerCounts[limiter]++
@@ -147,8 +147,8 @@
 		d.mu.Lock()
 		list, version, changed := d.list(limiter), d.version, d.changed
 		hasChange := version > from || !watch
-		if hasChange && trouble != Mute {
-			d.recordTold(limiter, trouble == Fine)
+		if hasChange && trouble != SilentConnection {
+			d.recordTold(limiter, trouble == NoFault)
 		}
 		d.mu.Unlock()
 		line := []byte("\n")
@@ -156,7 +156,7 @@
 			raw, _ := json.Marshal(list)
 			line, from = append(raw, '\n'), version
 		}
-		if hasChange && trouble == Mute {
+		if hasChange && trouble == SilentConnection {
 			_, _ = conn.Read(make([]byte, 1)) // until the limiter leaves
 			return
 		}
@@ -178,14 +178,14 @@
 }
 
 // sendLine sends a line, applying the trouble if the line carries a change. It reports whether the answer has ended.
-func (d *Discovery) sendLine(conn *fault.Conn, line []byte, hasChange bool, trouble Trouble) bool {
+func (d *Discovery) sendLine(conn *fault.Conn, line []byte, hasChange bool, trouble AnswerFault) bool {
 	chunk := fmt.Appendf(nil, "%x\r\n%s\r\n", len(line), line)
-	if hasChange && trouble != Fine {
+	if hasChange && trouble != NoFault {
 		chunk = chunk[:len(chunk)*3/4]
 	}
 	_, err := conn.Send(chunk)
-	if hasChange && trouble == Short && err == nil {
+	if hasChange && trouble == StalledLine && err == nil {
 		_, _ = conn.Read(make([]byte, 1)) // until the limiter leaves
 	}
-	return err != nil || hasChange && trouble != Fine
+	return err != nil || hasChange && trouble != NoFault
 }
--- a/internal/standin/drains.go
+++ b/internal/standin/drains.go
@@ -21,7 +21,7 @@
 
 // Drains enables the checks of drains: limiters with an agent of their own must not send commands to machines that they
 // were not told of, nor to machines that they were told longer than grace ago are draining or gone.
-func (a *Auditor) Drains(grace time.Duration) {
+func (a *Auditor) CheckDrains(grace time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.drains = &drainAudit{grace, map[string]time.Time{}, map[limiterMachine]bool{}, map[limiterMachine]time.Time{}, 0}
@@ -78,7 +78,7 @@
 }
 
 // Sends returns the number of commands for which drains were checked.
-func (a *Auditor) Sends() int {
+func (a *Auditor) CheckedCommands() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.drains == nil {
--- a/internal/standin/limiter.go
+++ b/internal/standin/limiter.go
@@ -90,7 +90,7 @@
 }
 
 // Crashed returns the log from the first sign of a crash or a data race on, at most 4000 bytes; "" if there is none.
-func (l *Limiter) Crashed() string {
+func (l *Limiter) CrashLog() string {
 	log := l.Log()
 	for _, sign := range []string{"DATA RACE", "msg=panic", "panic:", "fatal error:", "unexpected signal"} {
 		if at := strings.Index(log, sign); at >= 0 {
@@ -101,7 +101,7 @@
 }
 
 // Descriptors returns the number of file descriptors that the process has open.
-func (l *Limiter) Descriptors() (int, error) {
+func (l *Limiter) OpenFiles() (int, error) {
 	list, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", l.Cmd.Process.Pid))
 	return len(list), err
 }
--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -79,7 +79,7 @@
 }
 
 // Back returns the number of chunks that were forwarded from the peer.
-func (l *Link) Back() int64 { return l.chunksBack.Load() }
+func (l *Link) ChunksBack() int64 { return l.chunksBack.Load() }
 
 // Reset closes all connections with a TCP reset.
 func (l *Link) Reset() {
@@ -232,7 +232,7 @@
 }
 
 // Play runs the phases one after the other and returns after the last.
-func (l *Link) Play(phases []Phase) {
+func (l *Link) RunPhases(phases []Phase) {
 	for _, phase := range phases {
 		if l.Set(phase.Conditions); phase.Reset {
 			l.Reset()
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -117,7 +117,7 @@
 		for {
 			args, ok, bad := p.Command()
 			if bad != nil {
-				n.world.Audit.Find("node %s received bytes that are no valid command: %v", n.ID, bad)
+				n.world.Audit.Reportf("node %s received bytes that are no valid command: %v", n.ID, bad)
 				return
 			}
 			if !ok {
@@ -144,7 +144,7 @@
 		text = resp.AppendBulk(nil, []byte("inflight=1,queue=0,util=0.1"))
 	} else if n.Handle != nil {
 		answer, mayRun, delay := n.Handle(n, args)
-		if !n.world.Unchecked {
+		if !n.world.SkipAudit {
 			n.world.Audit.Received(args, n.Hall, string(answer), mayRun)
 		}
 		time.Sleep(delay)
@@ -178,17 +178,17 @@
 	case outcome >= 0.88:
 		return []byte("-ERR failed\r\n")
 	}
-	return Value(value)
+	return ValueReply(value)
 }
 
 // Value returns the reply of a node that serves a request with the given text.
-func Value(text string) []byte {
+func ValueReply(text string) []byte {
 	b := resp.AppendBulk([]byte("*3\r\n"), []byte(text))
 	return append(b, "$-1\r\n$-1\r\n"...)
 }
 
 // Tell sets the state and the start time of a node that discovery lists. A zero start time leaves the old one.
-func (w *World) Tell(n *Node, state string, started time.Time) {
+func (w *World) SetState(n *Node, state string, started time.Time) {
 	w.Discovery.mu.Lock()
 	if n.State.Store(state); state != "ready" {
 		w.Discovery.recordLeaving(n)
@@ -197,16 +197,16 @@
 		n.Started = started.UnixMilli()
 	}
 	w.Discovery.mu.Unlock()
-	w.Discovery.Changed()
+	w.Discovery.Publish()
 }
 
 // Renew replaces a node's machine by a new one at the same address, with another id and the given start time.
-func (w *World) Renew(n *Node, at time.Time) {
+func (w *World) ReplaceMachine(n *Node, at time.Time) {
 	w.Discovery.mu.Lock()
 	w.Discovery.recordLeaving(n)
 	n.Renewed++
 	n.Started = at.UnixMilli()
 	n.State.Store("ready")
 	w.Discovery.mu.Unlock()
-	w.Discovery.Changed()
+	w.Discovery.Publish()
 }
--- a/internal/standin/world.go
+++ b/internal/standin/world.go
@@ -11,7 +11,7 @@
 // World is the set of peers of one or more limiters. The peers take the fault scripts of a plan in turn.
 type World struct {
 	Audit     *Auditor
-	Unchecked bool // clients are not run by this world, so commands that a Handle answers are not audited
+	SkipAudit bool // clients are not run by this world, so commands that a Handle answers are not audited
 
 	mu          sync.Mutex
 	scripts     [fault.NumRoles][]fault.Script
--- a/internal/upstream/end_test.go
+++ b/internal/upstream/end_test.go
@@ -52,7 +52,7 @@
 	pool.SetAddress(1, startServer(t))
 	before := countSockets(t)
 	for n := range connections { // concurrently, so that each gets its own connection
-		pool.Try(core.Try{Key: core.Key{ID: uint64(n)}, Server: 1, Ends: reducerTime + time.Second, Until: reducerTime + time.Second, Origin: command{}})
+		pool.Try(core.Try{Key: core.Key{ID: uint64(n)}, Server: 1, Deadline: reducerTime + time.Second, SendUntil: reducerTime + time.Second, Origin: command{}})
 	}
 	for range connections {
 		require.Equal(t, logic.OK, (<-outcomes).Status)
--- a/internal/upstream/late_test.go
+++ b/internal/upstream/late_test.go
@@ -29,11 +29,11 @@
 	}, func() time.Duration { return reducerTime })
 	pool.SetAddress(1, "127.0.0.1:1")
 	for try, until := range []time.Duration{reducerTime - time.Second, reducerTime} {
-		pool.Try(core.Try{Key: core.Key{ID: 7, Try: try}, Server: 1, Ends: until, Until: until, Origin: command{}})
+		pool.Try(core.Try{Key: core.Key{ID: 7, Try: try}, Server: 1, Deadline: until, SendUntil: until, Origin: command{}})
 	}
 	require.Len(t, outcomes, 2)
 	for _, o := range outcomes {
-		require.NotEqual(t, logic.Unsent, o.Status)
+		require.NotEqual(t, logic.LocalShortage, o.Status)
 		require.NotEqual(t, logic.ConnectFailed, o.Status, "no server is to blame")
 	}
 }
--- a/internal/upstream/room_test.go
+++ b/internal/upstream/room_test.go
@@ -54,7 +54,7 @@
 		}
 		for n := range tries {
 			begun := time.Now()
-			pool.Try(core.Try{Key: core.Key{ID: uint64(n)}, Server: logic.ServerID(n % servers), Ends: reducerTime + time.Second, Until: reducerTime + time.Second, Origin: command{}})
+			pool.Try(core.Try{Key: core.Key{ID: uint64(n)}, Server: logic.ServerID(n % servers), Deadline: reducerTime + time.Second, SendUntil: reducerTime + time.Second, Origin: command{}})
 			inTry += time.Since(begun)
 			require.Equal(t, logic.OK, (<-ended).Status, "try %d", n)
 		}
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -179,7 +179,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	origin := t.Origin.(Command)
-	f := &inFlight{key: t.Key, origin: origin, waitEnds: t.Ends, sendUntil: t.Until, target: p.targets[t.Server]}
+	f := &inFlight{key: t.Key, origin: origin, waitEnds: t.Deadline, sendUntil: t.SendUntil, target: p.targets[t.Server]}
 	p.tries[t.Key] = f
 	p.start(f)
 }
@@ -237,7 +237,7 @@
 		p.finish(core.Outcome{Status: logic.ConnectFailed}, f)
 		return
 	}
-	if !p.maySend(f, logic.Late) {
+	if !p.maySend(f, logic.ExpiredUnsent) {
 		return
 	}
 	for n := len(f.target.idle) - 1; n >= 0; n-- {
@@ -270,7 +270,7 @@
 		p.shortageLoggedAt = time.Now()
 		slog.Warn("no descriptor left for a server's connection", "open", p.openConnections, "err", err)
 	}
-	p.finish(core.Outcome{Status: logic.Unsent}, f)
+	p.finish(core.Outcome{Status: logic.LocalShortage}, f)
 }
 
 // evictIdle closes the connection that has been idle longest, to make room for a new one. It reports whether there was one.
@@ -481,7 +481,7 @@
 // failGarbled closes a connection that sent something unusable and fails the try that waited for an answer on it.
 func (c *connection) failGarbled() {
 	if f := c.inFlight; f != nil {
-		c.pool.finish(core.Outcome{Status: logic.Spoilt}, f)
+		c.pool.finish(core.Outcome{Status: logic.InvalidAnswer}, f)
 	}
 	c.pool.drop(c)
 }
@@ -492,9 +492,9 @@
 	case r.Kind == '-':
 		return p.parseError(r.Text)
 	case r.Kind == '*' && len(r.Elems) == 3 && r.Elems[0].Kind == '$' && !r.Elems[0].Null:
-		return core.Outcome{Status: logic.OK, Value: r.Elems[0].Text, Load: wire.Load(string(r.Elems[2].Text), p.loadFields)}
+		return core.Outcome{Status: logic.OK, Value: r.Elems[0].Text, Load: wire.ParseLoadReport(string(r.Elems[2].Text), p.loadFields)}
 	}
-	return core.Outcome{Status: logic.Spoilt} // not the form of a value: it may be anything
+	return core.Outcome{Status: logic.InvalidAnswer} // not the form of a value: it may be anything
 }
 
 func (p *Pool) parseError(text []byte) core.Outcome {
@@ -502,7 +502,7 @@
 	words := text
 	if at := bytes.LastIndexByte(text, ' '); at >= 0 && bytes.IndexByte(text[at:], '=') >= 0 {
 		words = text[:at]
-		o.Load = wire.Load(string(text[at+1:]), p.loadFields)
+		o.Load = wire.ParseLoadReport(string(text[at+1:]), p.loadFields)
 	}
 	switch {
 	case string(words) == "BUSY": // only exactly BUSY proves that the request never ran: garbled answers may start with it
--- a/internal/wire/mutate_test.go
+++ b/internal/wire/mutate_test.go
@@ -42,9 +42,9 @@
 			}
 		}
 	}
-	do(logic.ServerList{Whole: true, Servers: []logic.Server{{ID: 1, Weight: 1}, {ID: 2, Zone: 1, Started: 4 * time.Second}, {ID: 3, Zone: 7}}})
+	do(logic.ServerList{Complete: true, Servers: []logic.Server{{ID: 1, Weight: 1}, {ID: 2, Zone: 1, Started: 4 * time.Second}, {ID: 3, Zone: 7}}})
 	for n := range uint64(120) {
-		do(logic.Request{ID: n + 1, Customer: n % 3, Class: int(n % 4), Plan: int(n % 3), TTL: 2 * time.Second, Units: float64(n % 10), Spread: int(n%5) - 1, First: int(n) - 3})
+		do(logic.Request{ID: n + 1, Customer: n % 3, Class: int(n % 4), Plan: int(n % 3), TTL: 2 * time.Second, Units: float64(n % 10), Spread: int(n%5) - 1, FirstGateway: int(n) - 3})
 		for len(out) > 2 {
 			do(logic.Outcome{ID: out[0].ID, Server: out[0].Server, Status: logic.Status(n % 7), Latency: 9 * time.Millisecond, Load: []float64{3}})
 			out = out[1:]
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -215,14 +215,14 @@
 		rec.Event, err = d.serverList()
 	case eventRequest:
 		q := logic.Request{ID: uint64(d.u32()), Class: int(d.u16()), Plan: int(d.u32()), Customer: d.u64(),
-			TTL: d.seconds(), Units: d.f32(), Spread: toInt(d.f32()), First: toInt(d.f32())}
+			TTL: d.seconds(), Units: d.f32(), Spread: toInt(d.f32()), FirstGateway: toInt(d.f32())}
 		q.Repeat = d.u8()&2 != 0
 		rec.Event = q
 	case eventOutcome:
 		o := logic.Outcome{ID: uint64(d.u32()), Attempt: int(d.u8()), Server: d.server()}
 		o.Status, err = status(d.u16())
-		o.Latency, o.Closed = d.seconds(), d.u8() != 0
-		o.Used, o.Units, o.Load = int(d.u16()), float64(d.u16()), d.load()
+		o.Latency, o.RequestOver = d.seconds(), d.u8() != 0
+		o.UsedPercentPlusOne, o.Units, o.Load = int(d.u16()), float64(d.u16()), d.load()
 		rec.Event = o
 	case eventStreamStarted:
 		s := logic.Started{ID: uint64(d.u32()), Attempt: int(d.u8())}
@@ -264,10 +264,10 @@
 	case 0:
 		l.Failed = true
 	case 1:
-		l.Whole, l.Cached = true, true
+		l.Complete, l.Cached = true, true
 	case 2:
 	case 3:
-		l.Whole = true
+		l.Complete = true
 	default:
 		return l, fmt.Errorf("unknown list mode %d, want 0 to 3", mode)
 	}
@@ -297,7 +297,7 @@
 
 var statuses = map[uint16]logic.Status{
 	200: logic.OK, 502: logic.Error, 429: logic.Full, 408: logic.Timeout,
-	521: logic.ConnectFailed, 520: logic.Reset, 444: logic.Cancelled, 409: logic.Moot,
+	521: logic.ConnectFailed, 520: logic.Reset, 444: logic.Cancelled, 409: logic.NotAttempted,
 }
 
 func status(code uint16) (logic.Status, error) {
@@ -383,7 +383,7 @@
 		r.begin(actionCount, inst)
 		r.u64(a.Name)
 		r.u32(math.Float32bits(float32(a.Amount)))
-		r.seconds(a.Lives)
+		r.seconds(a.TTL)
 	default:
 		return fmt.Errorf("action %T has no code in the protocol", a)
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -45,7 +45,7 @@
 	}
 	want := []Record{
 		{3, logic.Request{ID: 0x5d3a91c4, Customer: 0x91f03b7c55d20a64, TTL: 240 * time.Millisecond, Units: 2,
-			Spread: 3, First: 1}},
+			Spread: 3, FirstGateway: 1}},
 		{3, logic.Timer{Token: 77}},
 		{5, logic.ClientGone{ID: 0x0e6f2b19}},
 	}
@@ -64,14 +64,14 @@
 		t.Fatal(err)
 	}
 	o := b.Records[0].Event.(logic.Outcome)
-	if o.Server != 0x0a124a071f93 || o.Status != logic.OK || !o.Closed || o.Used != 86 || o.Units != 3 ||
+	if o.Server != 0x0a124a071f93 || o.Status != logic.OK || !o.RequestOver || o.UsedPercentPlusOne != 86 || o.Units != 3 ||
 		len(o.Load) != 1 || o.Load[0] != 0.5 {
 		t.Errorf("outcome %+v", o)
 	}
 	l := b.Records[1].Event.(logic.ServerList)
 	want := logic.Server{ID: 0x0a9011f21fbc, Weight: 1.5, Cell: 2, Kind: 1, Zone: 3, State: logic.Draining,
 		Started: 6100 * time.Millisecond}
-	if !l.Whole || !l.Cached || len(l.Servers) != 1 || l.Servers[0] != want {
+	if !l.Complete || !l.Cached || len(l.Servers) != 1 || l.Servers[0] != want {
 		t.Errorf("list %+v", l)
 	}
 }
--- a/internal/xds/xds.go
+++ b/internal/xds/xds.go
@@ -54,7 +54,7 @@
 type Group struct {
 	files        Files
 	group        int
-	zones        *wire.Names
+	zones        *wire.NameIndex
 	addresses    Addresses
 	post         func(core.Event)
 	pollInterval time.Duration // between two checks of the files
@@ -67,7 +67,7 @@
 
 // New returns a Group that follows a cluster and posts it as the upstream group of the given number.
 func New(files Files, group int, set logic.Settings, addresses Addresses, post func(core.Event)) *Group {
-	return &Group{files: files, group: group, zones: wire.NewNames(set.ZoneNames), addresses: addresses, post: post,
+	return &Group{files: files, group: group, zones: wire.NewNameIndex(set.ZoneNames), addresses: addresses, post: post,
 		pollInterval: min(max(set.DrainGrace/pollsPerGrace, minPollInterval), maxPollInterval), idByAddr: map[string]logic.ServerID{}, addrByID: map[logic.ServerID]string{}, listed: map[string]bool{}}
 }
 
@@ -78,10 +78,10 @@
 	if err != nil {
 		return err
 	}
-	list := logic.ServerList{Group: g.group, Whole: true}
+	list := logic.ServerList{Group: g.group, Complete: true}
 	listed := map[string]bool{}
 	for _, locality := range activePriority(assignment.GetEndpoints()) {
-		zone := g.zones.Number(locality.GetLocality().GetZone())
+		zone := g.zones.Index(locality.GetLocality().GetZone())
 		for _, e := range locality.GetLbEndpoints() {
 			addr, err := endpointAddress(e)
 			if err != nil {
--- a/logic/api.go
+++ b/logic/api.go
@@ -51,26 +51,26 @@
 }
 
 // Book tells the plans that firms are held to, where they may change in service. It does no I/O and reads no clock.
-type Book interface {
+type PlanSource interface {
 	// Plan is the plan in force for a firm whose requests name the tier of this number; false: there is no such tier.
 	Plan(firm uint64, tier int) (Plan, bool)
 }
 
 // Reserves holds what this gateway has leased of firms' reservations. It does no I/O and reads no clock.
-type Reserves interface {
+type ReservationLeases interface {
 	// Take takes units from what is leased here, or else notes that the firm wants them and returns false.
 	Take(now time.Duration, firm uint64, units float64) bool
 	// Return gives back what was taken for a request that was never sent on.
 	Return(now time.Duration, firm uint64, units float64)
 	// Coming tells whether more may be leased for the firm soon: a request is then held for leaseWait.
-	Coming(now time.Duration, firm uint64) bool
+	LeasePending(now time.Duration, firm uint64) bool
 }
 
 // Counters tells which counters hold a name, where there are several. It does no I/O and reads no clock.
-type Counters interface {
+type CounterMap interface {
 	// Counters is the numbers of the counters that a name is added to at time now, if gateways may have added to it since
 	// began. None means that its total cannot be known.
-	Counters(now time.Duration, name uint64, began time.Duration) []int
+	Holders(now time.Duration, name uint64, began time.Duration) []int
 }
 
 // Settings configure a gateway at its start.
@@ -153,27 +153,27 @@
 
 // ServerList brings news about the servers (event).
 type ServerList struct {
-	Group   int  // the upstream group that it is about; the simulator has one
-	Failed  bool // a list that was asked for did not come
-	Whole   bool // servers that are not in it are gone
-	Cached  bool // the last list that this gateway had before it started; it may be outdated
-	Servers []Server
+	Group    int  // the upstream group that it is about; the simulator has one
+	Failed   bool // a list that was asked for did not come
+	Complete bool // servers that are not in it are gone
+	Cached   bool // the last list that this gateway had before it started; it may be outdated
+	Servers  []Server
 }
 
 // Request is a client's try, which must get one final answer (event).
 type Request struct {
-	ID       uint64
-	Class    int
-	Plan     int
-	Customer uint64
-	TTL      time.Duration // the client waits for so long
-	Units    float64
-	Spread   int  // number of gateways that the customer's requests may come through
-	First    int  // number of the first of them
-	Repeat   bool // the client marks it as a later try
-	Group    int  // the upstream group whose servers may take it
-	OwnWait  bool // TTL is the caller's choice: it says nothing about a wait before this try
-	Admit    bool // admission only: the caller sends the request on itself, and is told only that it may
+	ID             uint64
+	Class          int
+	Plan           int
+	Customer       uint64
+	TTL            time.Duration // the client waits for so long
+	Units          float64
+	Spread         int  // number of gateways that the customer's requests may come through
+	FirstGateway   int  // number of the first of them
+	Repeat         bool // the client marks it as a later try
+	Group          int  // the upstream group whose servers may take it
+	CallerChoseTTL bool // TTL is the caller's choice: it says nothing about a wait before this try
+	AdmitOnly      bool // admission only: the caller sends the request on itself, and is told only that it may
 }
 
 // Status is how an attempt, probe or counter call ended.
@@ -188,16 +188,16 @@
 	ConnectFailed
 	Reset // the connection broke
 	Cancelled
-	Moot   // no attempt was made: the request was over, out of time, or had used up its attempts
-	Spoilt // an answer came that cannot be used: the attempt may have run
-	Unsent // it could not leave for want of a connection, port or buffer of this process: the server is not to blame
-	Late   // its time was over before it could leave: neither the server nor a shortage here is to blame
+	NotAttempted  // no attempt was made: the request was over, out of time, or had used up its attempts
+	InvalidAnswer // an answer came that cannot be used: the attempt may have run
+	LocalShortage // it could not leave for want of a connection, port or buffer of this process: the server is not to blame
+	ExpiredUnsent // its time was over before it could leave: neither the server nor a shortage here is to blame
 )
 
 // provesNothingRan tells whether an attempt that ended with this status has certainly not run at its server.
 func (s Status) provesNothingRan() bool {
 	switch s {
-	case Full, ConnectFailed, Moot, Unsent, Late:
+	case Full, ConnectFailed, NotAttempted, LocalShortage, ExpiredUnsent:
 		return true
 	}
 	return false
@@ -205,15 +205,15 @@
 
 // Outcome is the end of an attempt (event).
 type Outcome struct {
-	ID      uint64
-	Attempt int
-	Server  ServerID
-	Status  Status
-	Latency time.Duration
-	Closed  bool    // the request is over
-	Used    int     // 1 + percent of the quota used by all gateways; 0: not known
-	Units   float64 // true units; 0: not known
-	Load    []float64
+	ID                 uint64
+	Attempt            int
+	Server             ServerID
+	Status             Status
+	Latency            time.Duration
+	RequestOver        bool    // the request is over
+	UsedPercentPlusOne int     // 1 + percent of the quota used by all gateways; 0: not known
+	Units              float64 // true units; 0: not known
+	Load               []float64
 }
 
 // Started says that a streamed answer has begun to arrive (event).
@@ -236,8 +236,8 @@
 
 // CountersChanged says that the list of counters has changed (event).
 type CountersChanged struct {
-	Listed []int // the numbers of all counters that may be called
-	Among  int   // number of counters that names are spread over
+	Numbers    []int // the numbers of all counters that may be called
+	SpreadOver int   // number of counters that names are spread over
 }
 
 // Timer says that a timer has expired (event).
@@ -321,12 +321,12 @@
 
 // Count adds to a named number on the counter service (action).
 type Count struct {
-	Name   uint64
-	Amount float64
-	Lives  time.Duration // how long the counter keeps the name
-	Wait   time.Duration // how long to wait for an answer, if longer than the settings' limit; 0: that limit
-	Began  time.Duration // since when gateways may have added to the name; 0: not known
-	Spared uint8         // bit n: the name's nth counter is not called
+	Name        uint64
+	Amount      float64
+	TTL         time.Duration // how long the counter keeps the name
+	Wait        time.Duration // how long to wait for an answer, if longer than the settings' limit; 0: that limit
+	Since       time.Duration // since when gateways may have added to the name; 0: not known
+	SkippedMask uint8         // bit n: the name's nth counter is not called
 }
 
 // Watch starts, or ends, the watch on the list of servers (action).
--- a/logic/counters.go
+++ b/logic/counters.go
@@ -23,7 +23,7 @@
 }
 
 // Spread sets where names are spread over several counters; nil: there is one. It is called before the first event.
-func (g *Gateway) Spread(c Counters) { g.counterMap = c }
+func (g *Gateway) SetCounterMap(c CounterMap) { g.counterMap = c }
 
 // newCounter is the record of a counter that has not been called.
 func (g *Gateway) newCounter(number int) *counter {
@@ -69,6 +69,6 @@
 
 // onCountersChanged takes a changed list of counters: what is known of those that are no longer on it is forgotten.
 func (g *Gateway) onCountersChanged(e CountersChanged) {
-	g.counters = slices.DeleteFunc(g.counters, func(k *counter) bool { return !slices.Contains(e.Listed, k.number) })
-	g.counterCount = max(e.Among, 1)
+	g.counters = slices.DeleteFunc(g.counters, func(k *counter) bool { return !slices.Contains(e.Numbers, k.number) })
+	g.counterCount = max(e.SpreadOver, 1)
 }
--- a/logic/counters_test.go
+++ b/logic/counters_test.go
@@ -9,13 +9,13 @@
 // fixedCounters holds every name on the same counters.
 type fixedCounters []int
 
-func (a fixedCounters) Counters(time.Duration, uint64, time.Duration) []int { return a }
+func (a fixedCounters) Holders(time.Duration, uint64, time.Duration) []int { return a }
 
 // newManyCountersHarness is the harness of one of two hundred gateways whose names are on some of eight counters.
 func newManyCountersHarness(t *testing.T, on ...int) *harness {
 	h := newManyGatewaysHarness(t, false)
-	h.g.Spread(fixedCounters(on))
-	h.handle(CountersChanged{Listed: []int{0, 1, 2, 3, 4, 5, 6, 7}, Among: 8})
+	h.g.SetCounterMap(fixedCounters(on))
+	h.handle(CountersChanged{Numbers: []int{0, 1, 2, 3, 4, 5, 6, 7}, SpreadOver: 8})
 	return h
 }
 
@@ -63,13 +63,13 @@
 	for k := range 20 {
 		h.arrive(Request{Customer: uint64(200 + k), Units: 1})
 		for _, c := range h.counts {
-			if c.Spared != 2 {
-				t.Fatalf("counters spared: bits %b, want 10", c.Spared)
+			if c.SkippedMask != 2 {
+				t.Fatalf("counters spared: bits %b, want 10", c.SkippedMask)
 			}
 		}
 		h.answerCallsBy(Timeout, 0, CountPart{Counter: 1})
 	}
-	h.handle(CountersChanged{Listed: []int{1, 5}, Among: 2})
+	h.handle(CountersChanged{Numbers: []int{1, 5}, SpreadOver: 2})
 	if slices.ContainsFunc(h.g.counters, func(k *counter) bool { return k.number == 2 }) || h.g.counterNumbered(1) != one {
 		t.Error("a counter that left the list is still known, or one that stayed was forgotten")
 	}
--- a/logic/due_test.go
+++ b/logic/due_test.go
@@ -42,7 +42,7 @@
 	for k := range pair {
 		pair[k] = New(set, 1)
 		if seed%2 == 1 {
-			pair[k].Use(book, nil)
+			pair[k].SetPlanSource(book, nil)
 			pair[k].dormant = nil // a change takes from dormant firms, and the two make them dormant at different times
 		}
 	}
@@ -70,7 +70,7 @@
 				todo = append(todo, later{now + a.After, Timer{a.Token}})
 			case Send:
 				status := []Status{OK, OK, OK, OK, Full, Error}[rng.IntN(6)]
-				todo = append(todo, later{now + after, Outcome{ID: a.ID, Attempt: sent[a.ID], Server: a.Server, Status: status, Closed: status == OK}})
+				todo = append(todo, later{now + after, Outcome{ID: a.ID, Attempt: sent[a.ID], Server: a.Server, Status: status, RequestOver: status == OK}})
 				sent[a.ID]++
 			case Count:
 				e := CountResult{Name: a.Name, Total: a.Amount * float64(1+rng.IntN(3)), Latency: after / 5, Status: []Status{OK, OK, OK, OK, Full, Timeout}[rng.IntN(6)]}
@@ -79,7 +79,7 @@
 		}
 	}
 	list := readyServers(12)
-	handle(ServerList{Whole: true, Servers: list})
+	handle(ServerList{Complete: true, Servers: list})
 	end := now + 100*time.Second // long enough for firms to be forgotten
 	for now < end {
 		next := 0
@@ -115,7 +115,7 @@
 			}
 			switch rng.IntN(4) {
 			case 0:
-				handle(ServerList{Whole: true, Servers: list})
+				handle(ServerList{Complete: true, Servers: list})
 			case 1: // nothing new
 				list[k] = was
 				handle(ServerList{})
@@ -198,11 +198,11 @@
 			g.Handle(now, Timer{tickToken})
 		}
 	}
-	g.Handle(now, ServerList{Whole: true, Servers: readyServers(4)})
+	g.Handle(now, ServerList{Complete: true, Servers: readyServers(4)})
 	for k := range uint64(100_000) {
 		for _, a := range g.Handle(now, Request{ID: k, Customer: k, Units: 1, TTL: time.Second, Spread: 3}) {
 			if s, ok := a.(Send); ok {
-				g.Handle(now, Outcome{ID: k, Server: s.Server, Status: OK, Closed: true})
+				g.Handle(now, Outcome{ID: k, Server: s.Server, Status: OK, RequestOver: true})
 			}
 		}
 		if k%100 == 99 {
@@ -242,7 +242,7 @@
 			set.Gateways, set.HasCounter = 1, false
 			book := &fakeBook{plan: set.Plans[0]}
 			g, now, id := New(set, 1), time.Second, uint64(0)
-			g.Use(book, nil)
+			g.SetPlanSource(book, nil)
 			if k == 1 {
 				g.dormant = nil
 			}
@@ -256,14 +256,14 @@
 					id++
 					for _, a := range g.Handle(now, Request{ID: id, Customer: 7, Units: 1, TTL: time.Second, Spread: 1}) {
 						if s, ok := a.(Send); ok {
-							g.Handle(now, Outcome{ID: id, Server: s.Server, Status: OK, Closed: true})
+							g.Handle(now, Outcome{ID: id, Server: s.Server, Status: OK, RequestOver: true})
 							n++
 						}
 					}
 				}
 				return n
 			}
-			g.Handle(now, ServerList{Whole: true, Servers: readyServers(4)})
+			g.Handle(now, ServerList{Complete: true, Servers: readyServers(4)})
 			burst(1)
 			ticks(5 * time.Second)
 			if dormant := len(g.dormant); dormant != 1-k {
@@ -296,13 +296,13 @@
 			set.Gateways = gateways
 			g, now, sent := New(set, 1), time.Second, 0
 			list := readyServers(1000)
-			g.Handle(now, ServerList{Whole: true, Servers: list})
+			g.Handle(now, ServerList{Complete: true, Servers: list})
 			for k := range uint64(600) {
 				if k == 300 {
 					for n := range list {
 						change(n, &list[n], now)
 					}
-					g.Handle(now, ServerList{Whole: true, Servers: list})
+					g.Handle(now, ServerList{Complete: true, Servers: list})
 					sent = 0
 				}
 				now += tick
@@ -313,7 +313,7 @@
 						if sent++; at == nil || at.State != Ready {
 							t.Fatalf("%s: sent to server %d, which is not ready", name, a.Server)
 						}
-						g.Handle(now, Outcome{ID: a.ID, Server: a.Server, Status: OK, Closed: true})
+						g.Handle(now, Outcome{ID: a.ID, Server: a.Server, Status: OK, RequestOver: true})
 					}
 				}
 				checkSums(t, g)
@@ -335,14 +335,14 @@
 		for _, a := range g.Handle(now, ev) {
 			switch a := a.(type) {
 			case Send:
-				g.Handle(now, Outcome{ID: a.ID, Server: a.Server, Status: OK, Closed: true})
+				g.Handle(now, Outcome{ID: a.ID, Server: a.Server, Status: OK, RequestOver: true})
 				answers[a.ID]++
 			case Refuse:
 				answers[a.ID]++
 			}
 		}
 	}
-	handle(ServerList{Whole: true, Servers: readyServers(400)})
+	handle(ServerList{Complete: true, Servers: readyServers(400)})
 	for k := range uint64(n) {
 		handle(Request{ID: k, Customer: 7, Units: 1, TTL: time.Second, Spread: 1})
 	}
--- a/logic/example_test.go
+++ b/logic/example_test.go
@@ -25,7 +25,7 @@
 			}
 		}
 	}
-	show(logic.ServerList{Whole: true, Servers: []logic.Server{{ID: 7, Weight: 1, State: logic.Ready}}})
+	show(logic.ServerList{Complete: true, Servers: []logic.Server{{ID: 7, Weight: 1, State: logic.Ready}}})
 	for id := uint64(1); id <= 4; id++ {
 		show(logic.Request{ID: id, Customer: 99, TTL: time.Second, Units: 1, Spread: 1})
 	}
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -78,7 +78,7 @@
 		upstream: g.upstreamNumbered(q.Group)}
 	r.TTL = min(r.TTL, time.Hour)
 	r.deadline = g.now + r.TTL - answerMargin
-	if !q.OwnWait {
+	if !q.CallerChoseTTL {
 		g.longestTTL[q.Class] = max(g.longestTTL[q.Class], r.TTL)
 	}
 	// A later try has less time left than the longest seen of its class: the difference is what its client has
@@ -88,7 +88,7 @@
 	// Tries that only took a moment longer to get here are not taken for later ones, nor are unmarked ones where
 	// clients mark their later tries.
 	g.repeatsMarked = g.repeatsMarked || q.Repeat
-	if !q.OwnWait && r.TTL < g.longestTTL[q.Class]-ttlTolerance && (q.Repeat || !g.repeatsMarked) {
+	if !q.CallerChoseTTL && r.TTL < g.longestTTL[q.Class]-ttlTolerance && (q.Repeat || !g.repeatsMarked) {
 		aim -= max(0, r.class.Deadline-r.TTL)
 	}
 	r.arrivedLate = aim <= time.Duration(r.upstream.idleLatency/2) && r.class.Late < 0.5
@@ -165,14 +165,14 @@
 	}
 	r.cancelled, r.streaming = false, false
 	switch {
-	case o.Closed || o.Status == OK || r.answered:
+	case o.RequestOver || o.Status == OK || r.answered:
 		g.drop(r)
-	case o.Status == Moot || !g.mayRetry(r):
+	case o.Status == NotAttempted || !g.mayRetry(r):
 		g.finish(r, 0)
 	default:
 		r.upstream.chargeRetry(o.Status, neverRan && g.unseenShare > 0)
 		r.queued = true
-		g.enqueue(r, o.Status != Unsent) // Unsent: another request finds out first if the shortage here lasts
+		g.enqueue(r, o.Status != LocalShortage) // Unsent: another request finds out first if the shortage here lasts
 	}
 	g.releaseHeld(r.customer)
 	g.dispatch()
@@ -193,7 +193,7 @@
 		p := r.plan
 		c = &customer{id: r.Customer, tier: r.Plan, planRevision: g.planRevision, filledAt: g.now}
 		c.gateways = float64(min(max(r.Spread, 1), g.set.Gateways))
-		c.rank = float64(((g.set.Rank-r.First)%g.set.Gateways + g.set.Gateways) % g.set.Gateways)
+		c.rank = float64(((g.set.Rank-r.FirstGateway)%g.set.Gateways + g.set.Gateways) % g.set.Gateways)
 		g.setPlan(c, p)
 		c.level = c.bucketSize()
 		// A new gateway may be a restarted one, whose bucket was in use a moment ago: the ceiling's bucket starts
@@ -311,7 +311,7 @@
 	case g.counterMap == nil:
 		return g.counters, 0
 	}
-	for n, number := range g.counterMap.Counters(g.now, c.countName(what), c.countStart(what)) {
+	for n, number := range g.counterMap.Holders(g.now, c.countName(what), c.countStart(what)) {
 		if k := g.counterNumbered(number); available(k) {
 			to = append(to, k)
 		} else {
@@ -700,12 +700,12 @@
 // letThrough sends a request on from its customer's admission: to the queue for a server, or back to its
 // caller.
 func (g *Gateway) letThrough(r *request) {
-	r.queued, r.countedInFlight = !r.Admit, true
+	r.queued, r.countedInFlight = !r.AdmitOnly, true
 	r.customer.inFlight++
 	if r.customer.plan.CeilingRate > 0 {
 		r.customer.ceiling -= r.Units
 	}
-	if r.Admit { // its caller sends it on: it has taken its units, and no attempt of it will end here
+	if r.AdmitOnly { // its caller sends it on: it has taken its units, and no attempt of it will end here
 		r.attempts++
 		g.do(Admit{r.ID})
 		g.drop(r)
@@ -838,7 +838,7 @@
 			g.unseenShare > 0 && u.sendTokens < 1) {
 			u.limitPerServer = min(u.limitPerServer*(1+0.005*(1+9*g.unseenShare)), maxServerLimit)
 		}
-	case Cancelled, Moot, Unsent, Late:
+	case Cancelled, NotAttempted, LocalShortage, ExpiredUnsent:
 		s.trialPending = false
 	default:
 		// Overload shows in time-outs, too, but it also makes the answers slow. While answers are quick, a time-out
@@ -860,7 +860,7 @@
 		}
 		// A server that turns all away at once looks idle and would attract every request: it counts as failing.
 		// So does one whose answers nobody can use, though any server has one now and then. Both weigh half.
-		if s.failureRate += failureSmoothing / 2 * (1 - s.failureRate); o.Status != Full && o.Status != Spoilt {
+		if s.failureRate += failureSmoothing / 2 * (1 - s.failureRate); o.Status != Full && o.Status != InvalidAnswer {
 			s.failureRate += failureSmoothing / 2 * (1 - s.failureRate)
 		}
 		// Each of many gateways meets a server seldom: waiting for more would cost each as many requests.
--- a/logic/many_test.go
+++ b/logic/many_test.go
@@ -440,7 +440,7 @@
 
 // Each of many gateways sends to a server seldom: the first sign that it is gone must be enough, or each gateway pays for more.
 func TestOneFailureEjectsAmongManyGateways(t *testing.T) {
-	for _, st := range []Status{Full, Timeout, Reset, ConnectFailed, Error, Spoilt} {
+	for _, st := range []Status{Full, Timeout, Reset, ConnectFailed, Error, InvalidAnswer} {
 		h := newManyGatewaysHarness(t, false)
 		h.g.set.HasCounter = false
 		p := h.arrive(Request{Customer: 1, Units: 0.1})
@@ -533,7 +533,7 @@
 		set.Gateways = 60
 		h := newHarness(t, set, readyServers(60)...)
 		book := &fakeBook{plan: fullPlan}
-		h.g.Use(book, nil)
+		h.g.SetPlanSource(book, nil)
 		h.arrive(Request{Customer: 7, Units: 1})
 		if len(h.counts) != 1 {
 			t.Fatalf("counter calls %+v, want one", h.counts)
--- a/logic/plans.go
+++ b/logic/plans.go
@@ -14,7 +14,9 @@
 
 // Use sets where the plans in force and the leases of reservations come from; nil: the settings' plans stay, and there
 // are no reservations. It is called before the first event.
-func (g *Gateway) Use(book Book, reserves Reserves) { g.book, g.reserves = book, reserves }
+func (g *Gateway) SetPlanSource(book PlanSource, reserves ReservationLeases) {
+	g.book, g.reserves = book, reserves
+}
 
 // planOf is the plan in force for a firm's request that names a tier; false: there is no such tier.
 func (g *Gateway) planOf(firm uint64, tier int) (Plan, bool) {
@@ -140,7 +142,7 @@
 
 // shortenForLease shortens the wait for the bucket where more of a reservation may be leased before.
 func (g *Gateway) shortenForLease(c *customer, wait time.Duration) time.Duration {
-	if wait > leaseWait && g.reserves != nil && g.reserves.Coming(g.now, c.id) {
+	if wait > leaseWait && g.reserves != nil && g.reserves.LeasePending(g.now, c.id) {
 		return leaseWait
 	}
 	return wait
--- a/logic/plans_test.go
+++ b/logic/plans_test.go
@@ -25,7 +25,7 @@
 
 func (f *fakeBook) Return(_ time.Duration, _ uint64, units float64) { f.left += units }
 
-func (f *fakeBook) Coming(time.Duration, uint64) bool { return false }
+func (f *fakeBook) LeasePending(time.Duration, uint64) bool { return false }
 
 // planHarness plays one gateway with servers, on a book.
 type planHarness struct {
@@ -41,8 +41,8 @@
 	set := testSettings()
 	set.Gateways, set.Plans, set.HasCounter = 1, []Plan{p}, false
 	h := &planHarness{g: New(set, 1), f: &fakeBook{plan: p}, now: time.Hour}
-	h.g.Use(h.f, h.f)
-	h.handle(ServerList{Whole: true, Servers: readyServers(4)})
+	h.g.SetPlanSource(h.f, h.f)
+	h.handle(ServerList{Complete: true, Servers: readyServers(4)})
 	return h
 }
 
@@ -51,7 +51,7 @@
 		switch a := a.(type) {
 		case Send:
 			h.sent++
-			h.handle(Outcome{ID: a.ID, Server: a.Server, Status: OK, Closed: true})
+			h.handle(Outcome{ID: a.ID, Server: a.Server, Status: OK, RequestOver: true})
 			h.done++
 		case Refuse, Fail:
 			h.done++
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -69,7 +69,7 @@
 func newHarness(t *testing.T, set Settings, servers ...Server) *harness {
 	h := &harness{t: t, g: New(set, 1), set: set, now: 5 * time.Second, requests: map[uint64]*trackedRequest{},
 		servers: map[ServerID]Server{}, unavailableSince: map[ServerID]time.Duration{}}
-	h.list(ServerList{Whole: true, Cached: true, Servers: servers})
+	h.list(ServerList{Complete: true, Cached: true, Servers: servers})
 	return h
 }
 
@@ -82,7 +82,7 @@
 }
 
 func (h *harness) list(l ServerList) {
-	if l.Whole {
+	if l.Complete {
 		clear(h.servers)
 	}
 	for _, s := range l.Servers {
@@ -116,7 +116,7 @@
 		h.t.Fatalf("request %d has no attempt in flight that could end", p.ID)
 	}
 	p.inFlight = false
-	if st != Full && st != ConnectFailed && st != Moot && st != Unsent && st != Late && !p.mayHaveRun {
+	if st != Full && st != ConnectFailed && st != NotAttempted && st != LocalShortage && st != ExpiredUnsent && !p.mayHaveRun {
 		p.mayHaveRun, p.firstRunServer, p.firstRunAt = true, p.server, p.sentAt
 	}
 	closed := p.answer != ""
@@ -124,7 +124,7 @@
 		p.answer, closed = "served", true
 	}
 	h.handle(Outcome{ID: p.ID, Attempt: p.attempts - 1, Server: p.server, Status: st, Latency: h.now - p.sentAt,
-		Closed: closed})
+		RequestOver: closed})
 }
 
 // sentTo appends the present time for each attempt that was just sent to a server.
@@ -252,7 +252,7 @@
 func playRandom(t *testing.T, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 5))
 	h := newHarness(t, testSettings(), readyServers(6)...)
-	statuses := []Status{OK, OK, OK, OK, OK, Error, Full, Timeout, ConnectFailed, Reset, Cancelled, Moot, Unsent, Late}
+	statuses := []Status{OK, OK, OK, OK, OK, Error, Full, Timeout, ConnectFailed, Reset, Cancelled, NotAttempted, LocalShortage, ExpiredUnsent}
 	h.run(20*time.Second, func() {
 		if rng.Float64() < 0.3 {
 			h.arrive(Request{Class: rng.IntN(4), Plan: rng.IntN(4), Customer: uint64(rng.IntN(40)),
@@ -329,7 +329,7 @@
 		{1, Error, true, "failed"}, {1, Full, true, "refused"}, {1, Timeout, true, "failed"},
 		{2, Error, false, "failed"}, {2, Timeout, false, "failed"}, {2, Reset, false, "failed"},
 		{2, Cancelled, false, "failed"}, {2, Full, true, "refused"}, {2, ConnectFailed, true, "refused"},
-		{2, Moot, false, "refused"}, {3, Error, true, "refused"},
+		{2, NotAttempted, false, "refused"}, {3, Error, true, "refused"},
 	}
 	for _, c := range cases {
 		h := newHarness(t, testSettings(), readyServers(4)...)
@@ -344,7 +344,7 @@
 			t.Errorf("class %d, status %d: sent again %v, answer %q; want %v, %q", c.class, c.status, p.inFlight, p.answer, c.resend, c.answer)
 		}
 		if c.resend {
-			h.list(ServerList{Whole: true}) // no servers are left
+			h.list(ServerList{Complete: true}) // no servers are left
 			h.end(p, c.status)
 			h.run(2*time.Second, nil)
 			if p.answer != c.answer {
@@ -364,7 +364,7 @@
 			t.Fatalf("sent to server %d, want 2: server 1 drains", p.server)
 		}
 	}
-	h.list(ServerList{Whole: true, Servers: []Server{{ID: 3, Weight: 1, State: Ready}}})
+	h.list(ServerList{Complete: true, Servers: []Server{{ID: 3, Weight: 1, State: Ready}}})
 	if p := h.arrive(Request{Customer: 11, Units: 1}); !p.inFlight || p.server != 3 {
 		t.Errorf("sent %v, to server %d; want server 3, since server 2 is not in the whole list", p.inFlight, p.server)
 	}
@@ -640,7 +640,7 @@
 	if !p.inFlight {
 		t.Fatal("not sent")
 	}
-	h.list(ServerList{Whole: true})
+	h.list(ServerList{Complete: true})
 	h.run(50*ms, nil)
 	h.end(p, Error)
 	h.run(set.Classes[1].KeyTTL-40*ms, nil)
@@ -743,10 +743,10 @@
 		}
 		return len(h.sent) - before
 	}
-	if n := sentBehind(Late); n != 4 {
+	if n := sentBehind(ExpiredUnsent); n != 4 {
 		t.Errorf("%d of 4 requests are sent behind a late one, want all", n)
 	}
-	if n := sentBehind(Unsent); n >= 4 {
+	if n := sentBehind(LocalShortage); n >= 4 {
 		t.Errorf("%d of 4 requests are sent at once after a shortage, want fewer", n)
 	}
 }
--- a/logic/servers.go
+++ b/logic/servers.go
@@ -210,7 +210,7 @@
 		return
 	}
 	u := g.upstreamNumbered(l.Group)
-	if l.Whole {
+	if l.Complete {
 		for _, s := range u.list {
 			s.listed = false
 		}
@@ -246,7 +246,7 @@
 			}
 		}
 	}
-	if l.Whole || len(l.Servers) > len(u.list)/8 {
+	if l.Complete || len(l.Servers) > len(u.list)/8 {
 		old := u.list
 		u.list = make([]*server, 0, len(l.Servers))
 		for _, s := range old {
@@ -374,7 +374,7 @@
 // late to leave says nothing about a shortage.
 func (u *upstream) noteSent(st Status) {
 	switch {
-	case st == Unsent:
+	case st == LocalShortage:
 		u.localLimit = max(1, u.inFlight)
 	case st == OK && u.localLimit > 0: // the shortage may have lasted for a moment only
 		u.localLimit += 1 / u.localLimit
@@ -395,7 +395,7 @@
 // servers next to nothing. What did not leave costs nothing at all.
 func (u *upstream) chargeRetry(st Status, little bool) {
 	switch {
-	case st == Unsent || st == Late:
+	case st == LocalShortage || st == ExpiredUnsent:
 		u.sendTokens++
 	case little:
 		u.retryTokens, u.sendTokens = u.retryTokens-unrunRetryCost, u.sendTokens+1
--- a/logic/size_test.go
+++ b/logic/size_test.go
@@ -39,13 +39,13 @@
 	}
 	before := heap()
 	g := New(set, 1)
-	g.Handle(now, ServerList{Whole: true, Servers: readyServers(nodes)})
+	g.Handle(now, ServerList{Complete: true, Servers: readyServers(nodes)})
 	var handle func(ev Event)
 	handle = func(ev Event) {
 		for _, a := range g.Handle(now, ev) {
 			switch a := a.(type) {
 			case Send:
-				handle(Outcome{ID: a.ID, Server: a.Server, Status: OK, Closed: true})
+				handle(Outcome{ID: a.ID, Server: a.Server, Status: OK, RequestOver: true})
 			case Count:
 				handle(CountResult{Name: a.Name, Total: a.Amount})
 			}
--- a/logic/state.go
+++ b/logic/state.go
@@ -66,12 +66,12 @@
 // Gateway holds what one gateway knows.
 type Gateway struct {
 	set            Settings
-	book           Book          // nil: the settings' plans stay
-	reserves       Reserves      // nil: there are none
-	planRevision   int           // number of changes of plans so far
-	plansChangedAt time.Duration // the last of them
-	tickedAt       time.Duration // the last tick
-	awaitingPlans  []*customer   // may not have taken up the last change of plans
+	book           PlanSource        // nil: the settings' plans stay
+	reserves       ReservationLeases // nil: there are none
+	planRevision   int               // number of changes of plans so far
+	plansChangedAt time.Duration     // the last of them
+	tickedAt       time.Duration     // the last tick
+	awaitingPlans  []*customer       // may not have taken up the last change of plans
 	rng            uint64
 	now            time.Duration
 	resumedAt      time.Duration // when this process last went on after a pause of its own
@@ -111,7 +111,7 @@
 	maxPrice   float64       // highest price of a plan
 	turnTime   time.Duration // length of a turn at a cap, by the settings: the same at all gateways
 	callBurst  float64       // calls saved up at most, for each counter
-	counterMap Counters      // which counters hold a name; nil: there is one counter
+	counterMap CounterMap    // which counters hold a name; nil: there is one counter
 
 	*counter                // number 0, the only one where no list names several
 	counters     []*counter // those that have been called, by number
@@ -281,9 +281,9 @@
 	if r != nil && g.unseenShare == 0 {
 		wait = 0 // the settings' limit: a request is waiting for the answer
 	}
-	count := Count{Name: name, Amount: amount, Lives: 3 * c.countLength(what), Wait: wait, Began: c.countStart(what), Spared: spared}
+	count := Count{Name: name, Amount: amount, TTL: 3 * c.countLength(what), Wait: wait, Since: c.countStart(what), SkippedMask: spared}
 	if name != c.countName(what) { // it is of an interval that is over, whose start is not known any more
-		count.Began = 0
+		count.Since = 0
 	}
 	g.do(count)
 }
--- a/logic/trace_test.go
+++ b/logic/trace_test.go
@@ -32,7 +32,7 @@
 		for _, a := range g.Handle(now, ev) {
 			switch a := a.(type) {
 			case Count: // the fields that go to the counter
-				fmt.Fprintf(hash, "%d count %x %g %d %d\n", now, a.Name, a.Amount, a.Lives, a.Wait)
+				fmt.Fprintf(hash, "%d count %x %g %d %d\n", now, a.Name, a.Amount, a.TTL, a.Wait)
 			default:
 				fmt.Fprintf(hash, "%d %T %+v\n", now, a, a)
 			}
@@ -68,7 +68,7 @@
 			}
 		}
 	}
-	handle(ServerList{Whole: true, Servers: readyServers(8)})
+	handle(ServerList{Complete: true, Servers: readyServers(8)})
 	end, id, next := now+40*time.Second, uint64(0), now
 	for now < end {
 		slices.SortStableFunc(list, func(a, b due) int { return int(a.at - b.at) })
@@ -96,7 +96,7 @@
 			id++
 			firm := uint64(rng.IntN(60))
 			handle(Request{ID: id, Class: rng.IntN(4), Plan: int(firm) % 4, Customer: firm, Units: 1 + float64(rng.IntN(3)),
-				TTL: 300*ms + time.Duration(rng.IntN(1200))*ms, Spread: 2 + int(firm)%gateways, First: int(firm)})
+				TTL: 300*ms + time.Duration(rng.IntN(1200))*ms, Spread: 2 + int(firm)%gateways, FirstGateway: int(firm)})
 		}
 	}
 	return hash.Sum64()
