--- a/cmd/bramblefall/serve.go
+++ b/cmd/bramblefall/serve.go
@@ -138,7 +138,7 @@
 	return nil
 }
 
-// lastAnswersAfter returns how long after SIGTERM the requests that are still open get their final answers. The platform waits
+// finalAnswersAfter returns how long after SIGTERM the requests that are still open get their final answers. The platform waits
 // at least the longest deadline plus 0.7 s after SIGTERM before it sends SIGKILL. It takes a deadline above 3 s as 3 s.
 func finalAnswersAfter(classes []logic.Class) time.Duration {
 	longest := time.Duration(0)
--- a/cmd/bramblelab/capacity.go
+++ b/cmd/bramblelab/capacity.go
@@ -111,7 +111,7 @@
 	return c
 }
 
-// readFigures reads files of figures as scale.Figures.Keep and the measure command write them.
+// readFigures reads files of figures as scale.Figures.Write and the measure command write them.
 func readFigures(files []string) (all []capacity.File, err error) {
 	for _, name := range files {
 		raw, err := os.ReadFile(name)
--- a/internal/admin/convert.go
+++ b/internal/admin/convert.go
@@ -39,7 +39,7 @@
 		CeilingBurst: t.GetCeilingBurst(), CeilingSlack: t.GetCeilingSlack()}
 }
 
-// VersionOut converts a version to its protobuf message.
+// VersionToProto converts a version to its protobuf message.
 func VersionToProto(v plans.Version) *adminpb.Version {
 	out := &adminpb.Version{Number: v.Number, Effective: toTimestamp(v.Effective), Note: v.Note, Author: v.Author, Source: string(v.Source)}
 	for _, t := range v.Tiers {
@@ -73,7 +73,7 @@
 	return out
 }
 
-// ReservationOut converts a reservation and its use to its protobuf message.
+// ReservationToProto converts a reservation and its use to its protobuf message.
 func ReservationToProto(r plans.Reservation, use core.ReservationUse) *adminpb.Reservation {
 	return &adminpb.Reservation{Id: r.ID, Firm: r.Firm, Units: r.Units, Rate: r.Rate, Start: toTimestamp(r.From), End: toTimestamp(r.Until),
 		Note: r.Note, Source: string(r.Source), State: string(r.State), Used: use.Used, Leased: use.Leased}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -78,8 +78,8 @@
 	Group    int
 	Server   logic.ServerID
 	Timeout  time.Duration // timeout of the try
-	Deadline time.Duration // deadline of the try: when Wait has elapsed
-	// Until is the time from which no byte of the try may be sent: its deadline, or the end of the window in which the
+	Deadline time.Duration // deadline of the try: when Timeout has elapsed
+	// SendUntil is the time from which no byte of the try may be sent: its deadline, or the end of the window in which the
 	// request may be repeated, whichever comes first.
 	SendUntil time.Duration
 	Origin    Origin
@@ -111,7 +111,7 @@
 // Fail ends a request context that may have run (effect).
 type Fail struct{ Origin Origin }
 
-// Count adds Amount to a name on a counter, unless the call cannot be made before Until (effect).
+// Count adds Amount to a name on a counter, unless the call cannot be made before Deadline (effect).
 type Count struct {
 	Call     uint64
 	Counter  int // number of the counter; 0 is the platform's own unless a list names others
@@ -267,7 +267,7 @@
 // shutdownRetryAfter is short because another limiter accepts the retry.
 const shutdownRetryAfter = 10 * time.Millisecond
 
-// Elsewhere returns the retry-after time for clients that a limiter turns away while it shuts down. It is 0 if the
+// ShutdownRetryAfter returns the retry-after time for clients that a limiter turns away while it shuts down. It is 0 if the
 // settings disable retry-after times.
 func ShutdownRetryAfter(settings logic.Settings) time.Duration {
 	if !settings.RetryAfter {
--- a/internal/core/counters.go
+++ b/internal/core/counters.go
@@ -9,13 +9,13 @@
 	"bramblefall/logic"
 )
 
-// Counters sets the counters over which names are sharded from now on (event).
+// CounterList sets the counters over which names are sharded from now on (event).
 type CounterList struct {
 	Previous  string // address of the single counter, number 0, that was in use if this is the first list
 	Addresses []string
 }
 
-// Reach sets which counters may be called (effect).
+// SetCounters sets which counters may be called (effect).
 type SetCounters struct {
 	Counters    map[int]string // addresses by number, including those of former lists
 	ListedCount int            // on the newest list
@@ -45,7 +45,7 @@
 	index int // into the call's parts
 }
 
-// Spread shards names over several counters from the start. It must be called before Begin. settled says that the list has
+// ShardCounters shards names over several counters from the start. It must be called before Start. settled says that the list has
 // been in force for long. A process that starts in service passes false, since it cannot know whether the list has just
 // changed.
 func (r *Reducer) ShardCounters(now time.Duration, addresses []string, settled bool) {
--- a/internal/core/counters_test.go
+++ b/internal/core/counters_test.go
@@ -185,7 +185,7 @@
 	t.Logf("%d counters: %d requests, calls by counter %v", counters, requests, f.calls)
 }
 
-// A process that starts with a list of counters cannot know whether the list has just changed. Until sharding.Slack has
+// A process that starts with a list of counters cannot know whether the list has just changed. Until sharding.MaxListSkew has
 // passed it must not count under names that other limiters may still count on the counters of another list.
 func TestStartWithCounterListWaitsOutSlack(t *testing.T) {
 	set := oneTier(20, 20)
--- a/internal/core/plans.go
+++ b/internal/core/plans.go
@@ -8,7 +8,7 @@
 	"bramblefall/logic"
 )
 
-// Ask queries or changes the plan book (event). It is answered by a SendReply effect.
+// PlanCommand queries or changes the plan book (event). It is answered by a SendReply effect.
 type PlanCommand struct {
 	Command any         // a Replace, Reread, Propose, Withdraw, Grant, Revoke or Show
 	Reply   func(Reply) // called in the loop's goroutine; must not block
@@ -42,7 +42,7 @@
 // Show is a question that changes nothing and returns the plan book.
 type Show struct{}
 
-// Reply answers an Ask.
+// Reply answers a PlanCommand.
 type Reply struct {
 	Err     error
 	Effects []plans.Effect // what a proposed version changes or would change
@@ -52,7 +52,7 @@
 	Now     time.Duration // wall-clock time of the reply
 }
 
-// ReservationUse is what this limiter knows of the use of a reservation, in units: Used by this limiter, in Hand here
+// ReservationUse is what this limiter knows of the use of a reservation, in units: Used by this limiter, Unused here
 // (leased and not yet used), and Leased by all limiters.
 type ReservationUse struct{ Used, Unused, Leased float64 }
 
@@ -104,7 +104,7 @@
 	t.Versions = append(t.Versions, VersionTally{version, 1})
 }
 
-// Begin brings into force the plans and reservations that are due at the start and publishes them to the fronts. It is called
+// Start brings into force the plans and reservations that are due at the start and publishes them to the fronts. It is called
 // before the first event.
 func (r *Reducer) Start(now time.Duration, effects []Effect) []Effect {
 	r.now, r.effects = max(r.now, now), effects
--- a/internal/counter/set.go
+++ b/internal/counter/set.go
@@ -29,12 +29,12 @@
 	clients map[int]*Client
 }
 
-// Connections is how many connections a limiter may keep to the given number of counters, with sockets descriptors in all.
+// MaxConnections is how many connections a limiter may keep to the given number of counters, with sockets descriptors in all.
 func MaxConnections(counters, sockets int) int {
 	return max(minConnectionLimit, min(2*counters, sockets/4))
 }
 
-// New returns a Set with one counter, number 0, at addr. Reach can replace it by a list of counters. The Set opens at most
+// New returns a Set with one counter, number 0, at addr. SetAddresses can replace it by a list of counters. The Set opens at most
 // the given number of connections; post receives the results, and now is the reducer's clock.
 func New(addr string, maxOpen int, post func(core.Event), now func() time.Duration) *Set {
 	s := &Set{post: post, now: now, maxOpen: maxOpen, clients: map[int]*Client{}}
@@ -75,7 +75,7 @@
 	return slices.Collect(maps.Values(s.clients))
 }
 
-// Move changes the address of counter 0.
+// SetAddress changes the address of counter 0.
 func (s *Set) SetAddress(addr string) {
 	s.mu.Lock()
 	c := s.clients[0]
@@ -85,7 +85,7 @@
 	}
 }
 
-// Reach sets the addresses of the counters that may be called from now on, by number. The client of a counter that is not
+// SetAddresses sets the addresses of the counters that may be called from now on, by number. The client of a counter that is not
 // listed, or has another address now, is stopped. From then on counters are connected only while they are called.
 func (s *Set) SetAddresses(list map[int]string) {
 	s.mu.Lock()
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -106,10 +106,10 @@
 	}
 }
 
-// Known applies the list that this limiter held before it was restarted, which may be out of date.
+// ApplyCached applies the list that this limiter held before it was restarted, which may be out of date.
 func (c *Client) ApplyCached(l List) { c.apply(l, true) }
 
-// Heard is closed once a complete message from discovery (a list, or an empty line between lists) has been received and
+// Synced is closed once a complete message from discovery (a list, or an empty line between lists) has been received and
 // applied. A new process that waits for it does not serve by an old list: it is bound from its first moment by what the
 // discovery agent has.
 func (c *Client) Synced() <-chan struct{} { return c.synced }
--- a/internal/lab/experiments.go
+++ b/internal/lab/experiments.go
@@ -26,14 +26,14 @@
 	MeasureCPU bool // measure the CPU time of the limiters' decisions, the only figure that differs between runs with the same seed
 }
 
-// Done is a finished job with its result.
+// JobResult is a finished job with its result.
 type JobResult struct {
 	Job
 	Result   model.Result
 	WallTime time.Duration // how long the run took in real time
 }
 
-// Parallel runs jobs on all cores and returns their results in the order of the jobs. It calls report, if not nil, for each
+// RunJobs runs jobs on all cores and returns their results in the order of the jobs. It calls report, if not nil, for each
 // finished job in the same order, n counting from 1. Once the context has ended it reports no more and returns only what it
 // has reported.
 func RunJobs(ctx context.Context, jobs []Job, report func(n int, d JobResult)) []JobResult {
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -31,7 +31,7 @@
 	endedCPU       []time.Duration // by limiter: CPU time of its processes that have ended
 }
 
-// Build compiles the limiter and its evaluator into dir, from the module in the current directory, and returns the path of
+// BuildLimiter compiles the limiter and its evaluator into dir, from the module in the current directory, and returns the path of
 // the limiter's program.
 func BuildLimiter(ctx context.Context, dir string) (string, error) {
 	path := filepath.Join(dir, "bramblefall")
@@ -147,7 +147,7 @@
 	f.World.Close()
 }
 
-// Settings returns the settings of one limiter, the one at index rank, in a small deployment of the given size.
+// LimiterSettings returns the settings of one limiter, the one at index rank, in a small deployment of the given size.
 func LimiterSettings(limiters, rank int, tiers []logic.Plan) jsonObject {
 	var tariffs []jsonObject
 	for _, tier := range tiers {
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -153,7 +153,7 @@
 	require.Less(t, sendLog.Evaluate(0, "full", timeline, began, 0, 20, nil).BeyondQuota, use.BeyondQuota-15, "reserved units count as inside the quota")
 }
 
-// Parallel must report no job after the context has ended, even if all jobs have finished by then and select could pick
+// RunJobs must report no job after the context has ended, even if all jobs have finished by then and select could pick
 // either channel.
 func TestParallelReportsNothingAfterContextEnd(t *testing.T) {
 	s, err := LoadScenario("calm")
--- a/internal/lab/plans.go
+++ b/internal/lab/plans.go
@@ -509,7 +509,7 @@
 
 // runLossyReservation draws a reservation while a limiter is killed and restarted and the counter loses all its state.
 // It checks that no more is passed on than the stated bound: the reserved units, what the plan grants in that time, one
-// lease for each limiter, and what the firm asks for within reserve.Blind before and after the counter's loss.
+// lease for each limiter, and what the firm asks for within reserve.MaxLossWindow before and after the counter's loss.
 func runLossyReservation(ctx context.Context, options Options, binary, dir string, length time.Duration, result *Result) error {
 	run, err := newPlansRun(options, binary, dir, 0)
 	if err != nil {
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -50,7 +50,7 @@
 	return b.String()
 }
 
-// Keep writes the table into dir as CSV and Markdown.
+// WriteFiles writes the table into dir as CSV and Markdown.
 func (t *Table) WriteFiles(dir string) error {
 	f, err := os.Create(filepath.Join(dir, t.Name+".csv"))
 	if err != nil {
@@ -72,7 +72,7 @@
 	LogX                        bool
 }
 
-// Keep writes the chart into dir as SVG.
+// WriteSVG writes the chart into dir as SVG.
 func (c Chart) WriteSVG(dir string) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = c.Title, c.XLabel, c.YLabel
@@ -115,7 +115,7 @@
 	return p.Save(18*vg.Centimeter, 10*vg.Centimeter, filepath.Join(dir, b.Name+".svg"))
 }
 
-// Page writes index.html into dir, a page with all tables (*.csv) and charts (*.svg) of that directory. It returns the
+// WriteHTMLPage writes index.html into dir, a page with all tables (*.csv) and charts (*.svg) of that directory. It returns the
 // page's path.
 func WriteHTMLPage(dir string) (string, error) {
 	var b strings.Builder
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -26,11 +26,11 @@
 // CounterClient makes the calls to the counters. Its methods must not block.
 type CounterClient interface {
 	Count(core.Count)
-	// Reach sets the addresses of the counters that may be called, by number.
+	// SetAddresses sets the addresses of the counters that may be called, by number.
 	SetAddresses(map[int]string)
 }
 
-// Keeper saves the plan book for a restart. It must not block.
+// PlanStore saves the plan book for a restart. It must not block.
 type PlanStore interface {
 	// Save calls after with the result once the book has been saved or could not be.
 	Save(book plans.Snapshot, after func(error))
@@ -57,7 +57,7 @@
 	traceTries     bool // whether to log tries and outcomes at debug level; off in service
 }
 
-// New returns a loop for a reducer. Connect and Begin must be called before Run.
+// New returns a loop for a reducer. Connect and Start must be called before Run.
 func New(r *core.Reducer) *Loop {
 	return &Loop{reducer: r, wake: make(chan struct{}, 1), traceTries: slog.Default().Enabled(context.Background(), slog.LevelDebug)}
 }
@@ -68,7 +68,7 @@
 	l.callers, l.counters, l.board, l.planStore = callers, counters, board, planStore
 }
 
-// Begin brings into force the plans and reservations that are due before the first event. It must be called before Run.
+// Start brings into force the plans and reservations that are due before the first event. It must be called before Run.
 func (l *Loop) Start() {
 	l.effects = l.reducer.Start(Now(), l.effects)
 	l.runEffects()
--- a/internal/model/audit.go
+++ b/internal/model/audit.go
@@ -77,7 +77,7 @@
 }
 
 // Result holds the figures of a run. Figures of tries, units and worth leave out requests whose first try came in the warm-up;
-// attempts, counter calls, changes and violations are counted from the start of the run; Called alone leaves out the calls of the
+// attempts, counter calls, changes and violations are counted from the start of the run; CounterCalls alone leaves out the calls of the
 // warm-up.
 type Result struct {
 	Scenario            string
@@ -150,21 +150,21 @@
 	AnsweredSlowly int // of these, later than the timeout in the settings
 }
 
-// Unanswered is the share of the calls that brought no total within the timeout in the settings: late, lost or rejected.
+// UnansweredShare is the share of the calls that brought no total within the timeout in the settings: late, lost or rejected.
 func (c CallResult) UnansweredShare() float64 {
 	return float64(c.Made-c.Answered+c.AnsweredSlowly) / float64(max(c.Made, 1))
 }
 
-// Lost is the share of the calls that brought no total while the limiter waited for one, which may be longer than the timeout.
+// LostShare is the share of the calls that brought no total while the limiter waited for one, which may be longer than the timeout.
 func (c CallResult) LostShare() float64 { return float64(c.Made-c.Answered) / float64(max(c.Made, 1)) }
 
-// Worth is the served share of the worth that was asked for within quotas.
+// WorthShare is the served share of the worth that was asked for within quotas.
 func (r Result) WorthShare() float64 { return r.WorthServed / max(r.WorthRequested, 1e-9) }
 
-// OverQuota is the share of the units sent to nodes that was beyond a quota.
+// OverQuotaShare is the share of the units sent to nodes that was beyond a quota.
 func (r Result) OverQuotaShare() float64 { return r.UnitsOverQuota / max(r.UnitsSent, 1) }
 
-// CallsEach is the number of counter calls for each first try.
+// CallsPerRequest is the number of counter calls for each first try.
 func (r Result) CallsPerRequest() float64 { return float64(r.Calls) / float64(max(r.Requests, 1)) }
 
 // RefusedShare is the share of the tries that were refused.
--- a/internal/model/limiter.go
+++ b/internal/model/limiter.go
@@ -21,7 +21,7 @@
 	New  func(set logic.Settings, seed uint64) Decider
 }
 
-// Own is the policy that runs the project's own reducer and module.
+// ProjectPolicy is the policy that runs the project's own reducer and module.
 func ProjectPolicy() Policy {
 	return Policy{"bramblefall", func(set logic.Settings, seed uint64) Decider {
 		limits := plans.DefaultLimits
--- a/internal/model/scenario.go
+++ b/internal/model/scenario.go
@@ -64,7 +64,7 @@
 	OverloadWindowSeconds float64 `json:"fall"`
 }
 
-// UnitKind configures the units that a request takes: in proportion to its work, from 1 to Most.
+// UnitKind configures the units that a request takes: in proportion to its work, from 1 to Max.
 type UnitKind struct {
 	Max  int     `json:"most"`
 	Mean float64 `json:"mean"` // units of a request of mean work
@@ -196,7 +196,7 @@
 	MaxP99Seconds      float64 `json:"p99_seconds"` // latency of the requests that were served
 }
 
-// Base is a small deployment without faults, which other scenarios are derived from.
+// BaseScenario is a small deployment without faults, which other scenarios are derived from.
 func BaseScenario() Scenario {
 	return Scenario{
 		Name:          "calm",
@@ -271,7 +271,7 @@
 	}
 }
 
-// Scale is the base with other numbers of limiters, nodes and firms. Quotas are scaled so that the load on each node stays
+// ScaledScenario is the base with other numbers of limiters, nodes and firms. Quotas are scaled so that the load on each node stays
 // the same.
 func ScaledScenario(limiters, nodes, firms int, oneOffs float64) Scenario {
 	s := BaseScenario()
--- a/internal/model/textbook.go
+++ b/internal/model/textbook.go
@@ -13,7 +13,7 @@
 // to the node with the fewest attempts in flight from the same limiter. An attempt that could not connect or was rejected is
 // repeated once, at a node that is chosen anew and may be the same. At its deadline a request fails.
 
-// Textbook returns the policies for comparison: each rule of admission with each rule of choosing a node.
+// TextbookPolicies returns the policies for comparison: each rule of admission with each rule of choosing a node.
 func TextbookPolicies() (all []Policy) {
 	for _, admission := range []string{"even-split", "whole-quota", "count-each", "leases"} {
 		for _, choose := range []string{"random", "least"} {
--- a/internal/model/unbudgeted.go
+++ b/internal/model/unbudgeted.go
@@ -9,7 +9,7 @@
 	"bramblefall/logic"
 )
 
-// Unbudgeted is the policy that runs the project's own reducer and module with the module's budget of counter calls made
+// UnbudgetedPolicy is the policy that runs the project's own reducer and module with the module's budget of counter calls made
 // ineffective. Requests earn that budget, so wherever calls were spent, a firm that only the model knows asks for admission.
 // Its plan has no quota: it takes no units, makes no counter calls and is counted in no figure. The budget is refilled after
 // each event, so only the calls of a single event are bounded, by the budget that a limiter can save up.
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -385,7 +385,7 @@
 	return rng.Perm(of)[:max(1, min(of, int(f.Part*float64(of)+0.5)))]
 }
 
-// Hot draws the indices of the firms, three at most, that flood in a scenario's n-th fault, for a seed.
+// DrawFloodingFirms draws the indices of the firms, three at most, that flood in a scenario's n-th fault, for a seed.
 func DrawFloodingFirms(seed uint64, n, firms int) []int {
 	return newRand(seed, "hot", n).Perm(firms)[:min(3, firms)]
 }
@@ -464,7 +464,7 @@
 	})
 }
 
-// Play runs the simulation until the given number of seconds after its start and returns the result so far.
+// RunUntil runs the simulation until the given number of seconds after its start and returns the result so far.
 func (w *World) RunUntil(to float64) Result {
 	w.sim.Run(epoch + seconds(to))
 	return w.audit.result()
--- a/internal/plans/book.go
+++ b/internal/plans/book.go
@@ -117,7 +117,7 @@
 	return &c // versions are never changed in place, so the copies share their tiers and firms
 }
 
-// Plan implements logic.Book.
+// Plan implements logic.PlanSource.
 func (b *Book) Plan(firm uint64, tier int) (logic.Plan, bool) {
 	if o, ok := b.firmOverrides[firm]; ok {
 		if o.own != nil {
@@ -220,7 +220,7 @@
 	return len(b.tierNames) - 1
 }
 
-// Reread installs the tiers of the platform's configuration when it is read again. If they differ from those read
+// UpdatePlatform installs the tiers of the platform's configuration when it is read again. If they differ from those read
 // before, they form a version that is effective on receipt. Such versions have no number, because each limiter reads
 // the configuration by itself.
 func (b *Book) UpdatePlatform(tiers []logic.Plan, now time.Duration, inUse func(string) int) error {
--- a/internal/plans/reservation.go
+++ b/internal/plans/reservation.go
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// Spend records that a reservation is used up.
+// MarkSpent records that a reservation is used up.
 func (b *Book) MarkSpent(id string, now time.Duration) {
 	if r, ok := b.reservations[id]; ok && !r.State.Over() {
 		b.setState(r, Spent, now)
@@ -94,7 +94,7 @@
 	b.reservations[r.ID] = r
 }
 
-// Turn updates the states of the reservations to now and reports whether any has begun or ended.
+// AdvanceReservations updates the states of the reservations to now and reports whether any has begun or ended.
 func (b *Book) AdvanceReservations(now time.Duration) (changed bool) {
 	for _, r := range b.reservations {
 		switch {
@@ -110,7 +110,7 @@
 	return changed
 }
 
-// NextTurn returns when Turn is due; false if no reservation will change.
+// NextReservationChange returns when AdvanceReservations is due; false if no reservation will change.
 func (b *Book) NextReservationChange() (at time.Duration, ok bool) {
 	for _, r := range b.reservations {
 		due := r.Until
--- a/internal/ratelimit/caller.go
+++ b/internal/ratelimit/caller.go
@@ -108,7 +108,7 @@
 	}
 }
 
-// connect creates an endpoint's connection if there is none. It returns Unsent, which blames no endpoint, if all connections are
+// connect creates an endpoint's connection if there is none. It returns LocalShortage, which blames no endpoint, if all connections are
 // in use.
 func (c *Caller) connect(e *endpoint) logic.Status {
 	if e.client != nil {
--- a/internal/ratelimit/front.go
+++ b/internal/ratelimit/front.go
@@ -30,7 +30,7 @@
 	"bramblefall/logic"
 )
 
-// OthersGroup is the upstream group of external rate limit services. The platform's servers are group 0.
+// ExternalGroup is the upstream group of external rate limit services. The platform's servers are group 0.
 const ExternalGroup = 1
 
 const (
@@ -43,7 +43,7 @@
 	overloadRetryAfter = time.Second            // told to callers where too many requests are open
 )
 
-// Descriptors returns how many callers' connections the front may hold, and how many connections the front's Caller may hold to
+// SplitConnections returns how many callers' connections the front may hold, and how many connections the front's Caller may hold to
 // endpoints, in a program that may have total descriptors.
 func SplitConnections(total int) (callers, endpoints int) {
 	return max(total/8, 128), max(total/16, 64)
--- a/internal/ratelimit/late_test.go
+++ b/internal/ratelimit/late_test.go
@@ -11,7 +11,7 @@
 	"bramblefall/logic"
 )
 
-// A call that expires before it can be sent must not be reported as Unsent, which means that connections are short.
+// A call that expires before it can be sent must not be reported as LocalShortage, which means that connections are short.
 func TestExpiredCallIsNotReportedAsShortage(t *testing.T) {
 	const clock = 5 * time.Second
 	var outcomes []core.Outcome
--- a/internal/reserve/reserve.go
+++ b/internal/reserve/reserve.go
@@ -17,7 +17,7 @@
 //   - The counter loses data: a limiter that sees the total fall adds its own leases of the generation again,
 //     waits until the others have done so, and treats the total that it knew before as the minimum leased.
 //     Limiters that have leased read the total every second. What can be used twice is what the firm draws within
-//     Blind before and after the loss, one lease of each limiter, and what a limiter that died had leased in the
+//     MaxLossWindow before and after the loss, one lease of each limiter, and what a limiter that died had leased in the
 //     generation.
 //   - No limiter knows the base (all have restarted and the counter is empty): nothing more is leased.
 package reserve
@@ -43,7 +43,7 @@
 	counterTTL = 60 * time.Second
 	// Time to wait for the answer to a call.
 	callTimeout = 250 * time.Millisecond
-	// A lease is at most 1/Part of the reservation, or one request if that is more.
+	// A lease is at most 1/LeaseDivisor of the reservation, or one request if that is more.
 	LeaseDivisor = 64
 
 	// Leased units that no request has asked for during this time are returned.
@@ -69,11 +69,11 @@
 	unitTolerance = 1e-3
 )
 
-// Blind bounds the time around a loss of the counter's data in which a limiter may not notice it: its last read may be
+// MaxLossWindow bounds the time around a loss of the counter's data in which a limiter may not notice it: its last read may be
 // this long before the loss, and it may notice the loss this long after.
 const MaxLossWindow = readInterval + lossRecoveryDelay + 2*boundaryMargin
 
-// Call is an addition to a name on the counter, to be made by the owner. The answer goes to Counted with the token.
+// Call is an addition to a name on the counter, to be made by the owner. The answer goes to HandleResult with the token.
 type Call struct {
 	Token        uint64
 	Name         uint64
@@ -147,12 +147,12 @@
 		accountsByFirm: map[uint64][]*account{}, endedUse: map[string]Use{}, inFlight: map[uint64]*account{}}
 }
 
-// Ahead sets how far the wall clock is ahead of the time passed in. Reservations begin and end by the wall clock, but
+// SetClockOffset sets how far the wall clock is ahead of the time passed in. Reservations begin and end by the wall clock, but
 // the generations of a reservation in use continue without a jump. Guards against leaving a generation at a clock step
 // before the units that other limiters leased in it are known.
 func (m *Manager) SetClockOffset(by time.Duration) { m.clockOffset = by }
 
-// Set installs the reservations. Those that may no longer be drawn on are dropped together with the units leased and
+// SetReservations installs the reservations. Those that may no longer be drawn on are dropped together with the units leased and
 // not used, and their firms are woken.
 func (m *Manager) SetReservations(list []plans.Reservation) {
 	removed := map[string]*account{}
@@ -193,7 +193,7 @@
 	slices.Sort(m.wokenFirms)
 }
 
-// Take implements logic.Reserves.
+// Take implements logic.ReservationLeases.
 func (m *Manager) Take(now time.Duration, firm uint64, units float64) bool {
 	for _, a := range m.accountsByFirm[firm] {
 		a.lastWantedAt = now
@@ -212,7 +212,7 @@
 	return false
 }
 
-// Return implements logic.Reserves.
+// Return implements logic.ReservationLeases.
 func (m *Manager) Return(now time.Duration, firm uint64, units float64) {
 	for _, a := range m.accountsByFirm[firm] {
 		if a.used >= units-unitTolerance {
@@ -222,7 +222,7 @@
 	}
 }
 
-// Coming implements logic.Reserves.
+// LeasePending implements logic.ReservationLeases.
 func (m *Manager) LeasePending(now time.Duration, firm uint64) bool {
 	return slices.ContainsFunc(m.accountsByFirm[firm], func(a *account) bool { return a.pendingCall == takeLease || !a.exhausted && now >= a.retryAt })
 }
@@ -250,19 +250,19 @@
 	}
 }
 
-// Calls returns the calls to be made and clears the list.
+// TakeCalls returns the calls to be made and clears the list.
 func (m *Manager) TakeCalls() (calls []Call) {
 	calls, m.calls = m.calls, nil
 	return calls
 }
 
-// Woken returns the firms whose held requests must be checked again, and clears the list.
+// TakeWokenFirms returns the firms whose held requests must be checked again, and clears the list.
 func (m *Manager) TakeWokenFirms() (firms []uint64) {
 	firms, m.wokenFirms = m.wokenFirms, nil
 	return firms
 }
 
-// Spent returns the reservations of which nothing is left, and clears the list.
+// TakeSpent returns the reservations of which nothing is left, and clears the list.
 func (m *Manager) TakeSpent() (ids []string) {
 	ids, m.spentIDs = m.spentIDs, nil
 	return ids
@@ -390,7 +390,7 @@
 	return h.Sum64()
 }
 
-// Counted processes the answer to a call.
+// HandleResult processes the answer to a call.
 func (m *Manager) HandleResult(now time.Duration, token uint64, status logic.Status, total float64) {
 	a := m.inFlight[token]
 	if a == nil {
--- a/internal/reserve/reserve_test.go
+++ b/internal/reserve/reserve_test.go
@@ -101,7 +101,7 @@
 	f.takenByStep = append(f.takenByStep, f.taken)
 }
 
-// takenNear returns the units taken within Blind before and after a step.
+// takenNear returns the units taken within MaxLossWindow before and after a step.
 func (f *fleet) takenNear(at int) float64 {
 	n := int(MaxLossWindow / step)
 	return f.takenByStep[min(at+n, len(f.takenByStep)-1)] - f.takenByStep[max(at-n, 0)]
@@ -195,7 +195,7 @@
 }
 
 // Checks that under any mix of demand, lost calls, deaths, restarts and losses of the counter's data, the units drawn
-// stay within the reservation and the documented bound: for each loss, what is drawn within Blind before and after,
+// stay within the reservation and the documented bound: for each loss, what is drawn within MaxLossWindow before and after,
 // one lease of each limiter, and what limiters that died had leased in the generation of the loss.
 func TestUseStaysWithinTheLossBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/scale/bars.go
+++ b/internal/scale/bars.go
@@ -88,7 +88,7 @@
 	return Slope{}, false
 }
 
-// Broken lists the bars that do not hold, with what was measured.
+// BrokenBars lists the bars that do not hold, with what was measured.
 func (f *Figures) BrokenBars() (list []string) {
 	for _, b := range f.Bars {
 		if !b.Holds {
@@ -98,7 +98,7 @@
 	return list
 }
 
-// Main sums up the run's main figures in one line.
+// Summary sums up the run's main figures in one line.
 func (f *Figures) Summary() string {
 	worst, memory, messages := 0.0, Slope{}, Slope{}
 	for _, a := range f.Added {
--- a/internal/scale/figures.go
+++ b/internal/scale/figures.go
@@ -49,7 +49,7 @@
 	CallsPerRequest      float64 `json:"calls_per_request"` // to the counter
 	UnansweredShare      float64 `json:"unanswered"`        // share of the calls without an answer within the settings' timeout
 	Seeds                int     `json:"seeds"`             // number of runs that the other figures are means of
-	BeyondDeviation      float64 `json:"spread"`            // standard deviation of Beyond over the seeds
+	BeyondDeviation      float64 `json:"spread"`            // standard deviation of BeyondShare over the seeds
 
 	Load                     string  `json:"set"`            // name of the load, which stays the same while limiters are added
 	Held                     string  `json:"held,omitempty"` // the load in words; only in the row of all plans
@@ -59,11 +59,11 @@
 	LostCallShare            float64 `json:"lost"`           // share of the calls without a total for as long as the limiter waited, which may exceed the timeout: turned away, lost or late
 	Tries                    int     `json:"tries"`          // of this plan, summed over the seeds
 	InsideRefusedShare       float64 `json:"inside_refused"` // refused share of those tries whose requests were inside the quota as asked for
-	RefusedWithRoomDeviation float64 `json:"room_spread"`    // standard deviation of RefusedWithRoom over the seeds
+	RefusedWithRoomDeviation float64 `json:"room_spread"`    // standard deviation of RefusedWithRoomShare over the seeds
 }
 
 // Moment is a single event that has to reach all limiters or that all have to withstand. The comments below are about moments
-// measured on sockets; for modelled ones Note says what P99, Last, Messages and Bytes are.
+// measured on sockets; for modelled ones Note says what P99Seconds, LastSeconds, Messages and Bytes are.
 type Moment struct {
 	Name        string  `json:"name"` // change, rack, zone, restart, growth, regions, day
 	Limiters    int     `json:"limiters"`
@@ -88,7 +88,7 @@
 	TimedRequests     int     `json:"requests"`        // whose time was measured
 	Limiters          int     `json:"limiters"`        // in all, hollow ones included
 	Servers           int     `json:"servers"`         // on the list
-	DirectP99MS       float64 `json:"straight_p99_ms"` // P99 of the same measurement without a limiter: the part due to sockets and the machine
+	DirectP99MS       float64 `json:"straight_p99_ms"` // P99MS of the same measurement without a limiter: the part due to sockets and the machine
 	Refused           int     `json:"refused"`         // requests, also those whose time was not measured
 	Lost              int     `json:"lost"`            // requests that were neither served nor refused
 }
@@ -96,7 +96,7 @@
 // Missing is a slope that was not measured, and the reason.
 type Missing struct {
 	Role     string `json:"role"`
-	Quantity string `json:"what"`    // see Slope.What; all: every quantity; start: taking in the whole list after a start
+	Quantity string `json:"what"`    // see Slope.Quantity; all: every quantity; start: taking in the whole list after a start
 	Against  string `json:"against"` // see Slope.Against
 	Why      string `json:"why"`
 }
--- a/internal/scale/page.go
+++ b/internal/scale/page.go
@@ -82,7 +82,7 @@
 	return list
 }
 
-// Keep writes the figures, their tables and charts and a page that shows them into a directory.
+// Write writes the figures, their tables and charts and a page that shows them into a directory.
 func (f *Figures) Write(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
--- a/internal/scale/resident.go
+++ b/internal/scale/resident.go
@@ -40,14 +40,14 @@
 	Settle           time.Duration // wait between the limiter having the list and the measurement
 }
 
-// FullResident returns the target's sizes.
+// FullResidentSizes returns the target's sizes.
 func FullResidentSizes() ResidentSizes {
 	return ResidentSizes{ListedServers: []int{200, 5_700, 30_000, 57_000}, ChangesPerSecond: []float64{0, 10, 20, 40}, ActiveFirms: []int{1_000, 5_000, 10_000, 20_000},
 		ModuleFirms: []int{10_000, 50_000, 100_000, 250_000, 510_000},
 		KnownFirms:  []int{1_000, 10_000, 50_000, 100_000}, Repeats: 2, Settle: 3 * time.Second}
 }
 
-// QuickResident returns small sizes for a trial.
+// QuickResidentSizes returns small sizes for a trial.
 func QuickResidentSizes() ResidentSizes {
 	return ResidentSizes{ListedServers: []int{100, 1_000, 3_000}, ChangesPerSecond: []float64{0, 50, 100}, ActiveFirms: []int{100, 1_000, 3_000}, ModuleFirms: []int{1_000, 3_000, 10_000}, KnownFirms: []int{100, 1_000, 3_000},
 		Repeats: 1, Settle: 500 * time.Millisecond}
@@ -97,7 +97,7 @@
 	return r.slopes, r.rejectedLists, nil
 }
 
-// Machine returns the machine's cores and memory in MB, for the fields of Figures.
+// MachineSize returns the machine's cores and memory in MB, for the fields of Figures.
 func MachineSize() (cores, memoryMB int) {
 	raw, _ := os.ReadFile("/proc/meminfo")
 	kb := 0
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -107,7 +107,7 @@
 
 func (r *run) say(format string, args ...any) { r.Progress(format, args...) }
 
-// enterStage reports the stage that begins to Say, and to OnStage together with the processes that run.
+// enterStage reports the stage that begins to Progress, and to OnStage together with the processes that run.
 func (r *run) enterStage(name string) {
 	r.say("%s", name)
 	if r.OnStage == nil {
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -96,7 +96,7 @@
 	for _, sources := range []string{"../../go.*", "../../logic/*.go", "../*/*.go", "../../cmd/bramblefall*/*.go"} {
 		files, _ := filepath.Glob(sources)
 		for _, f := range files {
-			// go test does not see which sources lab.Build reads. Calling Stat makes its cached results depend on them.
+			// go test does not see which sources lab.BuildLimiter reads. Calling Stat makes its cached results depend on them.
 			_, _ = os.Stat(f)
 		}
 	}
--- a/internal/sharding/sharding.go
+++ b/internal/sharding/sharding.go
@@ -7,7 +7,7 @@
 // former list and those with the new one all add there, so the former counter's total is complete, and the larger of
 // the two totals is used. If the former counter is lost, the total is the last one known from it plus what has been
 // added to the new counter since. A limiter that knows neither does not count under that name, and its firm falls back
-// to an even share of the quota. Names that begin later than Slack after the change are on the new counter only.
+// to an even share of the quota. Names that begin later than MaxListSkew after the change are on the new counter only.
 package sharding
 
 import (
@@ -24,7 +24,7 @@
 )
 
 const (
-	// Slack is the longest time that may pass between two limiters learning of a new list.
+	// MaxListSkew is the longest time that may pass between two limiters learning of a new list.
 	MaxListSkew = 15 * time.Second
 	// ListRetention is how long a former list is kept: the longest life of a name that began while some limiters still
 	// had that list.
@@ -34,7 +34,7 @@
 	// multiply calls.
 	maxCountersPerName = 3
 	// Former lists that are kept. While there are so many, a further change does not keep the list that it replaces:
-	// names that begin before all limiters have the new list (Slack) are then counted nowhere. This lasts until the
+	// names that begin before all limiters have the new list (MaxListSkew) are then counted nowhere. This lasts until the
 	// oldest former list expires.
 	maxFormerLists = 8
 	// Remembered totals in each of recentTotals and olderTotals; bounds memory.
@@ -42,7 +42,7 @@
 	noCounter        = -1 // not a counter number
 )
 
-// Ring holds the current list of counters and the former ones.
+// Sharder holds the current list of counters and the former ones.
 type Sharder struct {
 	numbers       map[string]int // counter numbers by address; a number is never reused
 	nextNumber    int            // number of the next new address
@@ -90,7 +90,7 @@
 	return r
 }
 
-// Start creates a ring for a process that starts now and cannot know whether the list has just changed. Names that may
+// NewUnsynced creates a ring for a process that starts now and cannot know whether the list has just changed. Names that may
 // have been added to under another list are not counted.
 func NewUnsynced(now time.Duration, addrs []string) *Sharder {
 	r := New(addrs)
@@ -192,7 +192,7 @@
 	return all
 }
 
-// Of returns the counters of a name that limiters may have added to since began.
+// Targets returns the counters of a name that limiters may have added to since began.
 func (r *Sharder) Targets(now time.Duration, name uint64, began time.Duration) Targets {
 	if began < r.unknownBefore {
 		return Targets{}
@@ -215,12 +215,12 @@
 	return t
 }
 
-// Counters implements logic.Counters.
+// Holders implements logic.CounterMap.
 func (r *Sharder) Holders(now time.Duration, name uint64, began time.Duration) []int {
 	return r.Targets(now, name, began).Counters
 }
 
-// Join combines the answers to one addition into the total to use; known is false if the total is not known.
+// Merge combines the answers to one addition into the total to use; known is false if the total is not known.
 func (r *Sharder) Merge(now time.Duration, name uint64, amount float64, t Targets, answers []Answer) (total float64, known bool) {
 	var newAnswer *Answer
 	answered := false
--- a/internal/socket/momentary.go
+++ b/internal/socket/momentary.go
@@ -91,7 +91,7 @@
 	errors acceptErrors
 }
 
-// Steady returns a listener whose Accept retries after errors other than its own close.
+// RetryAccept returns a listener whose Accept retries after errors other than its own close.
 func RetryAccept(l net.Listener) net.Listener { return &retryListener{Listener: l} }
 
 // Accept implements net.Listener.
--- a/internal/standin/audit.go
+++ b/internal/standin/audit.go
@@ -42,7 +42,7 @@
 // NewAuditor returns an auditor that does not check drains.
 func NewAuditor() *Auditor { return &Auditor{requests: map[string]*record{}} }
 
-// Find records a violation.
+// Reportf records a violation.
 func (a *Auditor) Reportf(format string, args ...any) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/standin/ceiling.go
+++ b/internal/standin/ceiling.go
@@ -6,7 +6,7 @@
 )
 
 // Ceiling audits the units that all limiters together forward for one firm. It is a token bucket that fills at Rate units a
-// second up to Burst; the level may never fall below minus the ceiling's slack, which the caller compares with Lowest.
+// second up to Burst; the level may never fall below minus the ceiling's slack, which the caller compares with LowestLevel.
 type Ceiling struct {
 	Rate, Burst float64
 
@@ -17,7 +17,7 @@
 	sends   int
 }
 
-// Sent takes the units of a request from the bucket when the request reaches a node.
+// Take takes the units of a request from the bucket when the request reaches a node.
 func (c *Ceiling) Take(units float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -31,7 +31,7 @@
 	c.lowest = min(c.lowest, c.level)
 }
 
-// Lowest returns the lowest level that the bucket has had, at most 0, and the number of requests that were sent.
+// LowestLevel returns the lowest level that the bucket has had, at most 0, and the number of requests that were sent.
 func (c *Ceiling) LowestLevel() (float64, int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -29,7 +29,7 @@
 	firmCount   = 4000
 )
 
-// Play runs the plan's scripts of clients and gRPC callers against a limiter, at most atOnce at a time. Scripts of callers
+// RunClients runs the plan's scripts of clients and gRPC callers against a limiter, at most atOnce at a time. Scripts of callers
 // are skipped if grpcAddr is empty.
 func (w *World) RunClients(p fault.Plan, addr, grpcAddr string, atOnce int) {
 	var wg sync.WaitGroup
@@ -105,7 +105,7 @@
 	return err
 }
 
-// Command returns a random request of one of firmCount firms: a read, or, in 40 % of cases, a post with a body.
+// RandomCommand returns a random request of one of firmCount firms: a read, or, in 40 % of cases, a post with a body.
 func RandomCommand(rng *rand.Rand, id string) [][]byte {
 	name, terms := "Q.ASK", "c=balance-read,t=regular,d=4000,units=1,spread=1,first=0"
 	if rng.Float64() < 0.4 {
--- a/internal/standin/counter.go
+++ b/internal/standin/counter.go
@@ -78,7 +78,7 @@
 	return fmt.Sprintf("ok %.7g", current.total)
 }
 
-// Wipe forgets all names.
+// Clear forgets all names.
 func (c *Counter) Clear() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -28,7 +28,7 @@
 	answerCounts map[int]int
 }
 
-// Trouble is the fault of an answer. It takes effect on the first line that carries a list.
+// AnswerFault is the fault of an answer. It takes effect on the first line that carries a list.
 type AnswerFault uint8
 
 // The faults of discovery's answers.
@@ -71,7 +71,7 @@
 	return d.world.listen(fault.Discovery, func(c *fault.Conn, _ fault.Script) { d.serve(c, limiter) })
 }
 
-// Changed publishes a new version after a node's state has changed. Watches get the whole list for every change.
+// Publish publishes a new version after a node's state has changed. Watches get the whole list for every change.
 func (d *Discovery) Publish() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -83,7 +83,7 @@
 // List returns the current list in discovery's JSON form, as limiters without an agent of their own get it.
 func (d *Discovery) List() map[string]any { return d.ListFor(sharedAgent) }
 
-// Known returns the list that a limiter with its own agent starts with, and tells the auditor that the limiter knows it.
+// ListFor returns the list that a limiter with its own agent starts with, and tells the auditor that the limiter knows it.
 func (d *Discovery) ListFor(limiter int) map[string]any {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/standin/drains.go
+++ b/internal/standin/drains.go
@@ -19,7 +19,7 @@
 	id      string
 }
 
-// Drains enables the checks of drains: limiters with an agent of their own must not send commands to machines that they
+// CheckDrains enables the checks of drains: limiters with an agent of their own must not send commands to machines that they
 // were not told of, nor to machines that they were told longer than grace ago are draining or gone.
 func (a *Auditor) CheckDrains(grace time.Duration) {
 	a.mu.Lock()
@@ -77,7 +77,7 @@
 	}
 }
 
-// Sends returns the number of commands for which drains were checked.
+// CheckedCommands returns the number of commands for which drains were checked.
 func (a *Auditor) CheckedCommands() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/standin/limiter.go
+++ b/internal/standin/limiter.go
@@ -89,7 +89,7 @@
 	return strings.Join(l.log, "\n")
 }
 
-// Crashed returns the log from the first sign of a crash or a data race on, at most 4000 bytes; "" if there is none.
+// CrashLog returns the log from the first sign of a crash or a data race on, at most 4000 bytes; "" if there is none.
 func (l *Limiter) CrashLog() string {
 	log := l.Log()
 	for _, sign := range []string{"DATA RACE", "msg=panic", "panic:", "fatal error:", "unexpected signal"} {
@@ -100,7 +100,7 @@
 	return ""
 }
 
-// Descriptors returns the number of file descriptors that the process has open.
+// OpenFiles returns the number of file descriptors that the process has open.
 func (l *Limiter) OpenFiles() (int, error) {
 	list, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", l.Cmd.Process.Pid))
 	return len(list), err
--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -78,7 +78,7 @@
 	l.changed = make(chan struct{})
 }
 
-// Back returns the number of chunks that were forwarded from the peer.
+// ChunksBack returns the number of chunks that were forwarded from the peer.
 func (l *Link) ChunksBack() int64 { return l.chunksBack.Load() }
 
 // Reset closes all connections with a TCP reset.
@@ -231,7 +231,7 @@
 	return append(phases, Phase{})
 }
 
-// Play runs the phases one after the other and returns after the last.
+// RunPhases runs the phases one after the other and returns after the last.
 func (l *Link) RunPhases(phases []Phase) {
 	for _, phase := range phases {
 		if l.Set(phase.Conditions); phase.Reset {
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -181,13 +181,13 @@
 	return ValueReply(value)
 }
 
-// Value returns the reply of a node that serves a request with the given text.
+// ValueReply returns the reply of a node that serves a request with the given text.
 func ValueReply(text string) []byte {
 	b := resp.AppendBulk([]byte("*3\r\n"), []byte(text))
 	return append(b, "$-1\r\n$-1\r\n"...)
 }
 
-// Tell sets the state and the start time of a node that discovery lists. A zero start time leaves the old one.
+// SetState sets the state and the start time of a node that discovery lists. A zero start time leaves the old one.
 func (w *World) SetState(n *Node, state string, started time.Time) {
 	w.Discovery.mu.Lock()
 	if n.State.Store(state); state != "ready" {
@@ -200,7 +200,7 @@
 	w.Discovery.Publish()
 }
 
-// Renew replaces a node's machine by a new one at the same address, with another id and the given start time.
+// ReplaceMachine replaces a node's machine by a new one at the same address, with another id and the given start time.
 func (w *World) ReplaceMachine(n *Node, at time.Time) {
 	w.Discovery.mu.Lock()
 	w.Discovery.recordLeaving(n)
--- a/internal/wire/config.go
+++ b/internal/wire/config.go
@@ -88,7 +88,7 @@
 	return loadFields[name]
 }
 
-// Load parses a load report such as "inflight=7,queue=2" and returns its values in the order of fields. It returns nil if
+// ParseLoadReport parses a load report such as "inflight=7,queue=2" and returns its values in the order of fields. It returns nil if
 // any field is missing or malformed: if a server sends garbage, a partial report would make it look idle.
 func ParseLoadReport(report string, fields []logic.LoadField) []float64 {
 	values := map[logic.LoadField]float64{}
@@ -109,14 +109,14 @@
 	return load
 }
 
-// Names assigns an index to each name: those of the settings first, then others in the order in which they are seen. So two
+// NameIndex assigns an index to each name: those of the settings first, then others in the order in which they are seen. So two
 // halls that the settings do not list are not taken for one: nodes in different halls do not deduplicate each other's requests.
 type NameIndex struct{ seen []string }
 
-// NewNames returns an index that starts with the names of the settings.
+// NewNameIndex returns an index that starts with the names of the settings.
 func NewNameIndex(known []string) *NameIndex { return &NameIndex{slices.Clone(known)} }
 
-// Number returns the index of a name, and adds the name if it is new.
+// Index returns the index of a name, and adds the name if it is new.
 func (n *NameIndex) Index(name string) int {
 	at := slices.Index(n.seen, name)
 	if at < 0 {
--- a/logic/api.go
+++ b/logic/api.go
@@ -50,25 +50,25 @@
 	CeilingSlack float64 `json:"ceiling_slack"` // units by which that bucket may fall below 0
 }
 
-// Book tells the plans that firms are held to, where they may change in service. It does no I/O and reads no clock.
+// PlanSource tells the plans that firms are held to, where they may change in service. It does no I/O and reads no clock.
 type PlanSource interface {
 	// Plan is the plan in force for a firm whose requests name the tier of this number; false: there is no such tier.
 	Plan(firm uint64, tier int) (Plan, bool)
 }
 
-// Reserves holds what this gateway has leased of firms' reservations. It does no I/O and reads no clock.
+// ReservationLeases holds what this gateway has leased of firms' reservations. It does no I/O and reads no clock.
 type ReservationLeases interface {
 	// Take takes units from what is leased here, or else notes that the firm wants them and returns false.
 	Take(now time.Duration, firm uint64, units float64) bool
 	// Return gives back what was taken for a request that was never sent on.
 	Return(now time.Duration, firm uint64, units float64)
-	// Coming tells whether more may be leased for the firm soon: a request is then held for leaseWait.
+	// LeasePending tells whether more may be leased for the firm soon: a request is then held for leaseWait.
 	LeasePending(now time.Duration, firm uint64) bool
 }
 
-// Counters tells which counters hold a name, where there are several. It does no I/O and reads no clock.
+// CounterMap tells which counters hold a name, where there are several. It does no I/O and reads no clock.
 type CounterMap interface {
-	// Counters is the numbers of the counters that a name is added to at time now, if gateways may have added to it since
+	// Holders is the numbers of the counters that a name is added to at time now, if gateways may have added to it since
 	// began. None means that its total cannot be known.
 	Holders(now time.Duration, name uint64, began time.Duration) []int
 }
--- a/logic/counters.go
+++ b/logic/counters.go
@@ -8,7 +8,7 @@
 )
 
 // The records of the quota counters, where there may be several. What they mean for calls is decided in logic.go; the list of
-// counters tells which of them holds a name (Counters).
+// counters tells which of them holds a name (CounterMap).
 
 // counter is what is known of one quota counter.
 type counter struct {
@@ -22,7 +22,7 @@
 	backoff             time.Duration // mean length of the next pause in calls
 }
 
-// Spread sets where names are spread over several counters; nil: there is one. It is called before the first event.
+// SetCounterMap sets where names are spread over several counters; nil: there is one. It is called before the first event.
 func (g *Gateway) SetCounterMap(c CounterMap) { g.counterMap = c }
 
 // newCounter is the record of a counter that has not been called.
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -172,7 +172,7 @@
 	default:
 		r.upstream.chargeRetry(o.Status, neverRan && g.unseenShare > 0)
 		r.queued = true
-		g.enqueue(r, o.Status != LocalShortage) // Unsent: another request finds out first if the shortage here lasts
+		g.enqueue(r, o.Status != LocalShortage) // then another request finds out first if the shortage lasts
 	}
 	g.releaseHeld(r.customer)
 	g.dispatch()
@@ -860,7 +860,8 @@
 		}
 		// A server that turns all away at once looks idle and would attract every request: it counts as failing.
 		// So does one whose answers nobody can use, though any server has one now and then. Both weigh half.
-		if s.failureRate += failureSmoothing / 2 * (1 - s.failureRate); o.Status != Full && o.Status != InvalidAnswer {
+		if s.failureRate += failureSmoothing / 2 * (1 - s.failureRate); o.Status != Full &&
+			o.Status != InvalidAnswer {
 			s.failureRate += failureSmoothing / 2 * (1 - s.failureRate)
 		}
 		// Each of many gateways meets a server seldom: waiting for more would cost each as many requests.
