--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -97,12 +97,12 @@
 // Stop closes the socket and ends all calls.
 func (s *Service) Stop() { s.server.Stop() }
 
-// query posts a question to the reducer and waits up to replyTimeout for the answer.
-func (s *Service) query(ctx context.Context, question any) (core.Reply, error) {
+// query posts a command to the reducer and waits up to replyTimeout for the answer.
+func (s *Service) query(ctx context.Context, command any) (core.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, replyTimeout)
 	defer cancel()
 	reply := make(chan core.Reply, 1) // buffered: the reducer does not block if the caller has given up
-	s.reducer.Post(core.PlanCommand{Command: question, Reply: func(r core.Reply) { reply <- r }})
+	s.reducer.Post(core.PlanCommand{Command: command, Reply: func(r core.Reply) { reply <- r }})
 	select {
 	case r := <-reply:
 		if r.Err != nil {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -237,7 +237,7 @@
 		r.closing = true
 		r.notify(logic.Closing{})
 	case PlanCommand:
-		r.handleAsk(e)
+		r.handleCommand(e)
 	case CounterList:
 		r.handleCounters(e)
 	case Timer:
--- a/internal/core/counters.go
+++ b/internal/core/counters.go
@@ -45,8 +45,8 @@
 	index int // into the call's parts
 }
 
-// ShardCounters shards names over several counters from the start. It must be called before Start. settled says that the list has
-// been in force for long. A process that starts in service passes false, since it cannot know whether the list has just
+// ShardCounters shards names over several counters from the start. It must be called before Start. settled says that the list
+// has been in force for long. A process that starts in service passes false, since it cannot know whether the list has just
 // changed.
 func (r *Reducer) ShardCounters(now time.Duration, addresses []string, settled bool) {
 	if r.ring = sharding.NewUnsynced(now, addresses); settled {
--- a/internal/core/plans.go
+++ b/internal/core/plans.go
@@ -14,32 +14,32 @@
 	Reply   func(Reply) // called in the loop's goroutine; must not block
 }
 
-// Replace is a question that replaces all versions and reservations from a source.
+// Replace is a command that replaces all versions and reservations from a source.
 type Replace struct {
 	Source       plans.Source
 	Versions     []plans.Version
 	Reservations []plans.Reservation
 }
 
-// Reread is a question that takes the tiers from the platform's configuration after it was read again.
+// Reread is a command that takes the tiers from the platform's configuration after it was read again.
 type Reread struct{ Tiers []logic.Plan }
 
-// Propose is a question that adds one version or, with DryRun, only reports what the version would change.
+// Propose is a command that adds one version or, with DryRun, only reports what the version would change.
 type Propose struct {
 	Version plans.Version
 	DryRun  bool
 }
 
-// Withdraw is a question that withdraws a pending version.
+// Withdraw is a command that withdraws a pending version.
 type Withdraw struct{ Number uint64 }
 
-// Grant is a question that adds a reservation.
+// Grant is a command that adds a reservation.
 type Grant struct{ Reservation plans.Reservation }
 
-// Revoke is a question that ends a reservation.
+// Revoke is a command that ends a reservation.
 type Revoke struct{ ID string }
 
-// Show is a question that changes nothing and returns the plan book.
+// Show is a command that changes nothing and returns the plan book.
 type Show struct{}
 
 // Reply answers a PlanCommand.
@@ -74,7 +74,7 @@
 	Plans   []logic.Plan
 }
 
-// SendReply passes the reply to a question to its sender (effect).
+// SendReply passes the reply to a command to its sender (effect).
 type SendReply struct {
 	To    func(Reply)
 	Reply Reply
@@ -84,7 +84,7 @@
 // has been saved.
 type SavePlans struct {
 	Book    plans.Snapshot
-	OnSaved *SendReply // nil if the change was not requested by a question
+	OnSaved *SendReply // nil if the change was not requested by a command
 }
 
 // reservationTickInterval is the interval at which reservations in use are checked.
@@ -120,8 +120,8 @@
 	return r.effects
 }
 
-// handleAsk answers a question. A change is applied completely or not at all.
-func (r *Reducer) handleAsk(e PlanCommand) {
+// handleCommand carries out and answers a command. A change is applied completely or not at all.
+func (r *Reducer) handleCommand(e PlanCommand) {
 	reply := Reply{Now: r.wallClock()}
 	changed := true
 	switch q := e.Command.(type) {
--- a/internal/counter/set.go
+++ b/internal/counter/set.go
@@ -34,8 +34,8 @@
 	return max(minConnectionLimit, min(2*counters, sockets/4))
 }
 
-// New returns a Set with one counter, number 0, at addr. SetAddresses can replace it by a list of counters. The Set opens at most
-// the given number of connections; post receives the results, and now is the reducer's clock.
+// New returns a Set with one counter, number 0, at addr. SetCounters can replace it by a list of counters. The Set opens at
+// most the given number of connections; post receives the results, and now is the reducer's clock.
 func New(addr string, maxOpen int, post func(core.Event), now func() time.Duration) *Set {
 	s := &Set{post: post, now: now, maxOpen: maxOpen, clients: map[int]*Client{}}
 	s.clients[0] = &Client{set: s, addr: addr}
@@ -85,9 +85,9 @@
 	}
 }
 
-// SetAddresses sets the addresses of the counters that may be called from now on, by number. The client of a counter that is not
-// listed, or has another address now, is stopped. From then on counters are connected only while they are called.
-func (s *Set) SetAddresses(list map[int]string) {
+// SetCounters sets the addresses of the counters that may be called from now on, by number. The client of a counter that is
+// not listed, or has another address now, is stopped. From then on counters are connected only while they are called.
+func (s *Set) SetCounters(list map[int]string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for number, c := range s.clients {
--- a/internal/counter/set_test.go
+++ b/internal/counter/set_test.go
@@ -122,7 +122,7 @@
 	var all []*testSet
 	for range 300 {
 		c := newTestSet(t, minConnectionLimit, old.addr)
-		c.SetAddresses(map[int]string{0: old.addr, 1: next.addr})
+		c.SetCounters(map[int]string{0: old.addr, 1: next.addr})
 		all = append(all, c)
 	}
 	for _, c := range all {
@@ -147,7 +147,7 @@
 		fakes, list[k] = append(fakes, f), f.addr
 	}
 	c := newTestSet(t, maxOpen, list[0])
-	c.SetAddresses(list)
+	c.SetCounters(list)
 	id := uint64(0)
 	reached := map[int]bool{}
 	require.Eventually(t, func() bool {
@@ -164,7 +164,7 @@
 		return len(reached) == counters && allTrue(reached)
 	}, testTimeout, 20*time.Millisecond)
 	require.Eventually(t, func() bool { return c.answered() == int(id) }, testTimeout, time.Millisecond, "every call has a result")
-	c.SetAddresses(map[int]string{0: list[0]})
+	c.SetCounters(map[int]string{0: list[0]})
 	require.Eventually(t, func() bool {
 		open := int64(0)
 		for _, f := range fakes[1:] {
@@ -212,7 +212,7 @@
 					done <- struct{}{}
 					go next() // onResult runs under the client's lock
 				}
-				c.SetAddresses(ring.Addresses())
+				c.SetCounters(ring.Addresses())
 				for range 16 * n {
 					next()
 				}
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -31,8 +31,8 @@
 	endedCPU       []time.Duration // by limiter: CPU time of its processes that have ended
 }
 
-// BuildLimiter compiles the limiter and its evaluator into dir, from the module in the current directory, and returns the path of
-// the limiter's program.
+// BuildLimiter compiles the limiter and its evaluator into dir, from the module in the current directory, and returns the path
+// of the limiter's program.
 func BuildLimiter(ctx context.Context, dir string) (string, error) {
 	path := filepath.Join(dir, "bramblefall")
 	out, err := exec.CommandContext(ctx, "go", "build", "-o", dir+"/", "bramblefall/cmd/bramblefall", "bramblefall/cmd/bramblefall-eval").CombinedOutput()
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -26,8 +26,8 @@
 // CounterClient makes the calls to the counters. Its methods must not block.
 type CounterClient interface {
 	Count(core.Count)
-	// SetAddresses sets the addresses of the counters that may be called, by number.
-	SetAddresses(map[int]string)
+	// SetCounters sets the addresses of the counters that may be called, by number.
+	SetCounters(map[int]string)
 }
 
 // PlanStore saves the plan book for a restart. It must not block.
@@ -200,7 +200,7 @@
 	case core.Count:
 		l.counters.Count(e)
 	case core.SetCounters:
-		l.counters.SetAddresses(e.Counters)
+		l.counters.SetCounters(e.Counters)
 		slog.Info("counters", "listed", e.ListedCount, "list", e.Fingerprint, "reached", len(e.Counters))
 	case core.CloseIdle:
 		l.callers[e.Group].CloseIdle(e.Server)
--- a/internal/model/audit.go
+++ b/internal/model/audit.go
@@ -77,8 +77,8 @@
 }
 
 // Result holds the figures of a run. Figures of tries, units and worth leave out requests whose first try came in the warm-up;
-// attempts, counter calls, changes and violations are counted from the start of the run; CounterCalls alone leaves out the calls of the
-// warm-up.
+// attempts, counter calls, changes and violations are counted from the start of the run; CounterCalls alone leaves out the
+// calls of the warm-up.
 type Result struct {
 	Scenario            string
 	Policy              string
@@ -155,7 +155,8 @@
 	return float64(c.Made-c.Answered+c.AnsweredSlowly) / float64(max(c.Made, 1))
 }
 
-// LostShare is the share of the calls that brought no total while the limiter waited for one, which may be longer than the timeout.
+// LostShare is the share of the calls that brought no total while the limiter waited for one, which may be longer than the
+// timeout.
 func (c CallResult) LostShare() float64 { return float64(c.Made-c.Answered) / float64(max(c.Made, 1)) }
 
 // WorthShare is the served share of the worth that was asked for within quotas.
--- a/internal/model/scenario.go
+++ b/internal/model/scenario.go
@@ -271,8 +271,8 @@
 	}
 }
 
-// ScaledScenario is the base with other numbers of limiters, nodes and firms. Quotas are scaled so that the load on each node stays
-// the same.
+// ScaledScenario is the base with other numbers of limiters, nodes and firms. Quotas are scaled so that the load on each node
+// stays the same.
 func ScaledScenario(limiters, nodes, firms int, oneOffs float64) Scenario {
 	s := BaseScenario()
 	s.Limiters, s.Nodes, s.Firms.Count, s.Firms.OneOffsPerSecond = limiters, nodes, firms, oneOffs
--- a/internal/ratelimit/caller.go
+++ b/internal/ratelimit/caller.go
@@ -108,8 +108,8 @@
 	}
 }
 
-// connect creates an endpoint's connection if there is none. It returns LocalShortage, which blames no endpoint, if all connections are
-// in use.
+// connect creates an endpoint's connection if there is none. It returns LocalShortage, which blames no endpoint, if all
+// connections are in use.
 func (c *Caller) connect(e *endpoint) logic.Status {
 	if e.client != nil {
 		return logic.OK
--- a/internal/ratelimit/front.go
+++ b/internal/ratelimit/front.go
@@ -43,8 +43,8 @@
 	overloadRetryAfter = time.Second            // told to callers where too many requests are open
 )
 
-// SplitConnections returns how many callers' connections the front may hold, and how many connections the front's Caller may hold to
-// endpoints, in a program that may have total descriptors.
+// SplitConnections returns how many callers' connections the front may hold, and how many connections the front's Caller may
+// hold to endpoints, in a program that may have total descriptors.
 func SplitConnections(total int) (callers, endpoints int) {
 	return max(total/8, 128), max(total/16, 64)
 }
--- a/internal/reserve/reserve.go
+++ b/internal/reserve/reserve.go
@@ -152,8 +152,8 @@
 // before the units that other limiters leased in it are known.
 func (m *Manager) SetClockOffset(by time.Duration) { m.clockOffset = by }
 
-// SetReservations installs the reservations. Those that may no longer be drawn on are dropped together with the units leased and
-// not used, and their firms are woken.
+// SetReservations installs the reservations. Those that may no longer be drawn on are dropped together with the units leased
+// and not used, and their firms are woken.
 func (m *Manager) SetReservations(list []plans.Reservation) {
 	removed := map[string]*account{}
 	for id, a := range m.accounts {
--- a/internal/scale/modelled.go
+++ b/internal/scale/modelled.go
@@ -18,8 +18,8 @@
 	"bramblefall/logic"
 )
 
-// MeasureModelled measures in the model the moments that cannot be played on real sockets: regions that are cut off from each other
-// for an hour, and a day of changes. The result holds those that were complete when an error ended it.
+// MeasureModelled measures in the model the moments that cannot be played on real sockets: regions that are cut off from each
+// other for an hour, and a day of changes. The result holds those that were complete when an error ended it.
 func MeasureModelled(ctx context.Context, seed uint64, quick bool, progress func(string)) ([]Moment, error) {
 	if progress == nil {
 		progress = func(string) {}
--- a/internal/scale/quota.go
+++ b/internal/scale/quota.go
@@ -172,8 +172,8 @@
 	return fmt.Sprintf("%gx", speed)
 }
 
-// MeasureQuota measures in the model how far quotas are missed, by plan, depending on the number of limiters and the speed of the
-// counter: the share sent on beyond quotas, and the share refused while half of a quota is unused.
+// MeasureQuota measures in the model how far quotas are missed, by plan, depending on the number of limiters and the speed of
+// the counter: the share sent on beyond quotas, and the share refused while half of a quota is unused.
 func MeasureQuota(ctx context.Context, seed uint64, quick bool, progress func(string)) ([]QuotaError, error) {
 	seeds := 3
 	if quick {
--- a/internal/sharding/sharding.go
+++ b/internal/sharding/sharding.go
@@ -83,14 +83,14 @@
 	Total   float64
 }
 
-// New creates a ring for a list that has been in force for a long time.
+// New creates a Sharder for a list that has been in force for a long time.
 func New(addrs []string) *Sharder {
 	r := &Sharder{numbers: map[string]int{}, recentTotals: map[uint64]knownTotal{}}
 	r.current = r.newList(addrs)
 	return r
 }
 
-// NewUnsynced creates a ring for a process that starts now and cannot know whether the list has just changed. Names that may
+// NewUnsynced creates a Sharder for a process that starts now and cannot know whether the list has just changed. Names that may
 // have been added to under another list are not counted.
 func NewUnsynced(now time.Duration, addrs []string) *Sharder {
 	r := New(addrs)
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -29,8 +29,8 @@
 	firmCount   = 4000
 )
 
-// RunClients runs the plan's scripts of clients and gRPC callers against a limiter, at most atOnce at a time. Scripts of callers
-// are skipped if grpcAddr is empty.
+// RunClients runs the plan's scripts of clients and gRPC callers against a limiter, at most atOnce at a time. Scripts of
+// callers are skipped if grpcAddr is empty.
 func (w *World) RunClients(p fault.Plan, addr, grpcAddr string, atOnce int) {
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, atOnce)
--- a/internal/upstream/late_test.go
+++ b/internal/upstream/late_test.go
@@ -18,8 +18,8 @@
 func (command) AppendCommand(b []byte, _ time.Duration) []byte { return append(b, "PING\r\n"...) }
 func (command) Gone() bool                                     { return false }
 
-// A try that expires before it can be sent must not be reported as LocalShortage, which means a shortage of descriptors, ports or
-// buffers: the module would then hold back requests beyond the number of tries that happen to be in flight.
+// A try that expires before it can be sent must not be reported as LocalShortage, which means a shortage of descriptors, ports
+// or buffers: the module would then hold back requests beyond the number of tries that happen to be in flight.
 func TestExpiredTryIsNotReportedAsShortage(t *testing.T) {
 	var outcomes []core.Outcome
 	pool := New(logic.Settings{}, 1, func(ev core.Event) {
--- a/internal/wire/config.go
+++ b/internal/wire/config.go
@@ -88,8 +88,8 @@
 	return loadFields[name]
 }
 
-// ParseLoadReport parses a load report such as "inflight=7,queue=2" and returns its values in the order of fields. It returns nil if
-// any field is missing or malformed: if a server sends garbage, a partial report would make it look idle.
+// ParseLoadReport parses a load report such as "inflight=7,queue=2" and returns its values in the order of fields. It returns
+// nil if any field is missing or malformed: if a server sends garbage, a partial report would make it look idle.
 func ParseLoadReport(report string, fields []logic.LoadField) []float64 {
 	values := map[logic.LoadField]float64{}
 	for _, pair := range strings.Split(report, ",") {
--- a/logic/api.go
+++ b/logic/api.go
@@ -68,7 +68,7 @@
 
 // CounterMap tells which counters hold a name, where there are several. It does no I/O and reads no clock.
 type CounterMap interface {
-	// Holders is the numbers of the counters that a name is added to at time now, if gateways may have added to it since
+	// Holders returns the numbers of the counters that a name is added to at time now, if gateways may have added to it since
 	// began. None means that its total cannot be known.
 	Holders(now time.Duration, name uint64, began time.Duration) []int
 }
--- a/logic/plans.go
+++ b/logic/plans.go
@@ -12,8 +12,8 @@
 // leaseWait is how long a request is held for more of a reservation to be leased.
 const leaseWait = 150 * ms
 
-// SetPlanSource sets where the plans in force and the leases of reservations come from; nil: the settings' plans stay, and there
-// are no reservations. It is called before the first event.
+// SetPlanSource sets where the plans in force and the leases of reservations come from; nil: the settings' plans stay, and
+// there are no reservations. It is called before the first event.
 func (g *Gateway) SetPlanSource(book PlanSource, reserves ReservationLeases) {
 	g.book, g.reserves = book, reserves
 }
