--- a/cmd/bramblelab/capacity.go
+++ b/cmd/bramblelab/capacity.go
@@ -82,17 +82,17 @@
 			binary := o.binary
 			if binary == "" {
 				o.logf(c, "building the limiter")
-				if binary, err = lab.Build(c.Context(), dir); err != nil {
+				if binary, err = lab.BuildLimiter(c.Context(), dir); err != nil {
 					return err
 				}
 			}
-			sizes := scale.FullResident()
+			sizes := scale.FullResidentSizes()
 			if o.quick {
-				sizes = scale.QuickResident()
+				sizes = scale.QuickResidentSizes()
 			}
 			slopes, rejectedListSizes, err := scale.Resident(c.Context(), binary, sizes, parts, func(format string, args ...any) { o.logf(c, format, args...) })
 			f := scale.Figures{Version: 1, Quick: o.quick, Slopes: slopes, Quota: []scale.QuotaError{}, Moments: []scale.Moment{}, Added: []scale.AddedTime{}}
-			f.Cores, f.MemoryMB = scale.Machine()
+			f.Cores, f.MemoryMB = scale.MachineSize()
 			if err != nil {
 				f.Partial = err.Error()
 			}
@@ -111,7 +111,7 @@
 	return c
 }
 
-// readFigures reads files of figures as scale.Figures.Keep and the measure command write them.
+// readFigures reads files of figures as scale.Figures.Write and the measure command write them.
 func readFigures(files []string) (all []capacity.File, err error) {
 	for _, name := range files {
 		raw, err := os.ReadFile(name)
--- a/internal/core/plans.go
+++ b/internal/core/plans.go
@@ -8,41 +8,41 @@
 	"bramblefall/logic"
 )
 
-// Ask queries or changes the plan book (event). It is answered by a SendReply effect.
-type Ask struct {
-	Question any         // a Replace, Reread, Propose, Withdraw, Grant, Revoke or Show
-	Reply    func(Reply) // called in the loop's goroutine; must not block
+// PlanCommand queries or changes the plan book (event). It is answered by a SendReply effect.
+type PlanCommand struct {
+	Command any         // a Replace, Reread, Propose, Withdraw, Grant, Revoke or Show
+	Reply   func(Reply) // called in the loop's goroutine; must not block
 }
 
-// Replace is a question that replaces all versions and reservations from a source.
+// Replace is a command that replaces all versions and reservations from a source.
 type Replace struct {
 	Source       plans.Source
 	Versions     []plans.Version
 	Reservations []plans.Reservation
 }
 
-// Reread is a question that takes the tiers from the platform's configuration after it was read again.
+// Reread is a command that takes the tiers from the platform's configuration after it was read again.
 type Reread struct{ Tiers []logic.Plan }
 
-// Propose is a question that adds one version or, with DryRun, only reports what the version would change.
+// Propose is a command that adds one version or, with DryRun, only reports what the version would change.
 type Propose struct {
 	Version plans.Version
 	DryRun  bool
 }
 
-// Withdraw is a question that withdraws a pending version.
+// Withdraw is a command that withdraws a pending version.
 type Withdraw struct{ Number uint64 }
 
-// Grant is a question that adds a reservation.
+// Grant is a command that adds a reservation.
 type Grant struct{ Reservation plans.Reservation }
 
-// Revoke is a question that ends a reservation.
+// Revoke is a command that ends a reservation.
 type Revoke struct{ ID string }
 
-// Show is a question that changes nothing and returns the plan book.
+// Show is a command that changes nothing and returns the plan book.
 type Show struct{}
 
-// Reply answers an Ask.
+// Reply answers a PlanCommand.
 type Reply struct {
 	Err     error
 	Effects []plans.Effect // what a proposed version changes or would change
@@ -52,9 +52,9 @@
 	Now     time.Duration // wall-clock time of the reply
 }
 
-// ReservationUse is what this limiter knows of the use of a reservation, in units: Used by this limiter, in Hand here
+// ReservationUse is what this limiter knows of the use of a reservation, in units: Used by this limiter, Unused here
 // (leased and not yet used), and Leased by all limiters.
-type ReservationUse struct{ Used, Hand, Leased float64 }
+type ReservationUse struct{ Used, Unused, Leased float64 }
 
 // Tally counts request contexts by the plan version that governed them. It keeps the newest maxTalliedVersions versions.
 type Tally struct{ Versions []VersionTally }
@@ -74,7 +74,7 @@
 	Plans   []logic.Plan
 }
 
-// SendReply passes the reply to a question to its sender (effect).
+// SendReply passes the reply to a command to its sender (effect).
 type SendReply struct {
 	To    func(Reply)
 	Reply Reply
@@ -84,7 +84,7 @@
 // has been saved.
 type SavePlans struct {
 	Book    plans.Snapshot
-	OnSaved *SendReply // nil if the change was not requested by a question
+	OnSaved *SendReply // nil if the change was not requested by a command
 }
 
 // reservationTickInterval is the interval at which reservations in use are checked.
@@ -104,13 +104,13 @@
 	t.Versions = append(t.Versions, VersionTally{version, 1})
 }
 
-// Begin brings into force the plans and reservations that are due at the start and publishes them to the fronts. It is called
+// Start brings into force the plans and reservations that are due at the start and publishes them to the fronts. It is called
 // before the first event.
-func (r *Reducer) Begin(now time.Duration, effects []Effect) []Effect {
+func (r *Reducer) Start(now time.Duration, effects []Effect) []Effect {
 	r.now, r.effects = max(r.now, now), effects
 	r.book.Advance(r.wallClock())
-	r.book.Turn(r.wallClock())
-	r.reservations.Set(r.book.Reservations())
+	r.book.AdvanceReservations(r.wallClock())
+	r.reservations.SetReservations(r.book.Reservations())
 	r.publishPlans()
 	r.setPlanTimer()
 	if r.ring != nil {
@@ -120,15 +120,15 @@
 	return r.effects
 }
 
-// handleAsk answers a question. A change is applied completely or not at all.
-func (r *Reducer) handleAsk(e Ask) {
+// handleCommand carries out and answers a command. A change is applied completely or not at all.
+func (r *Reducer) handleCommand(e PlanCommand) {
 	reply := Reply{Now: r.wallClock()}
 	changed := true
-	switch q := e.Question.(type) {
+	switch q := e.Command.(type) {
 	case Replace:
 		reply.Err = r.book.Replace(q.Source, q.Versions, q.Reservations, r.wallClock(), r.gateway.InUse(r.book.Tiers()))
 	case Reread:
-		reply.Err = r.book.Reread(q.Tiers, r.wallClock(), r.gateway.InUse(r.book.Tiers()))
+		reply.Err = r.book.UpdatePlatform(q.Tiers, r.wallClock(), r.gateway.InUse(r.book.Tiers()))
 	case Propose:
 		inUse := r.gateway.InUse(r.book.Tiers())
 		reply.Effects = plans.Diff(r.book.Current().Tiers, q.Version.Tiers, inUse)
@@ -175,8 +175,8 @@
 		r.emit(SavePlans{Book: r.book.Snapshot()})
 		r.notify(logic.PlansChanged{})
 	}
-	r.book.Turn(r.wallClock())
-	r.reservations.Set(r.book.Reservations())
+	r.book.AdvanceReservations(r.wallClock())
+	r.reservations.SetReservations(r.book.Reservations())
 	r.setPlanTimer()
 }
 
@@ -187,7 +187,7 @@
 // setPlanTimer sets a timer for the next version or reservation that is due, unless an earlier plan timer is set.
 func (r *Reducer) setPlanTimer() {
 	at, due := r.book.Next()
-	if reservationAt, ok := r.book.NextTurn(); ok && (!due || reservationAt < at) {
+	if reservationAt, ok := r.book.NextReservationChange(); ok && (!due || reservationAt < at) {
 		at, due = reservationAt, true
 	}
 	if !due {
@@ -205,17 +205,17 @@
 // or the reservation is gone. Those may request more calls, so it repeats until nothing is left.
 func (r *Reducer) serveReservations() {
 	for {
-		calls, woken, spent := r.reservations.Calls(), r.reservations.Woken(), r.reservations.Spent()
+		calls, woken, spent := r.reservations.TakeCalls(), r.reservations.TakeWokenFirms(), r.reservations.TakeSpent()
 		if len(calls)+len(woken)+len(spent) == 0 {
 			break
 		}
 		for _, c := range calls {
-			r.startCall(&call{name: c.Name, amount: c.Amount, ttl: c.Lives, startedAt: r.now, deadline: r.now + c.Wait, forReservation: true, reservationToken: c.Token},
-				c.Began, 0)
+			r.startCall(&call{name: c.Name, amount: c.Amount, ttl: c.TTL, startedAt: r.now, deadline: r.now + c.Timeout, forReservation: true, reservationToken: c.Token},
+				c.BeganAt, 0)
 		}
 		for _, id := range spent {
-			r.book.Spend(id, r.wallClock())
-			r.reservations.Set(r.book.Reservations())
+			r.book.MarkSpent(id, r.wallClock())
+			r.reservations.SetReservations(r.book.Reservations())
 		}
 		for _, firm := range woken {
 			r.notify(logic.Leased{Customer: firm})
--- a/internal/plans/reservation.go
+++ b/internal/plans/reservation.go
@@ -82,8 +82,8 @@
 	return nil
 }
 
-// Spend records that a reservation is used up.
-func (b *Book) Spend(id string, now time.Duration) {
+// MarkSpent records that a reservation is used up.
+func (b *Book) MarkSpent(id string, now time.Duration) {
 	if r, ok := b.reservations[id]; ok && !r.State.Over() {
 		b.setState(r, Spent, now)
 	}
@@ -94,8 +94,8 @@
 	b.reservations[r.ID] = r
 }
 
-// Turn updates the states of the reservations to now and reports whether any has begun or ended.
-func (b *Book) Turn(now time.Duration) (changed bool) {
+// AdvanceReservations updates the states of the reservations to now and reports whether any has begun or ended.
+func (b *Book) AdvanceReservations(now time.Duration) (changed bool) {
 	for _, r := range b.reservations {
 		switch {
 		case r.State.Over():
@@ -110,8 +110,8 @@
 	return changed
 }
 
-// NextTurn returns when Turn is due; false if no reservation will change.
-func (b *Book) NextTurn() (at time.Duration, ok bool) {
+// NextReservationChange returns when AdvanceReservations is due; false if no reservation will change.
+func (b *Book) NextReservationChange() (at time.Duration, ok bool) {
 	for _, r := range b.reservations {
 		due := r.Until
 		if r.State == Granted {
--- a/internal/socket/momentary.go
+++ b/internal/socket/momentary.go
@@ -91,8 +91,8 @@
 	errors acceptErrors
 }
 
-// Steady returns a listener whose Accept retries after errors other than its own close.
-func Steady(l net.Listener) net.Listener { return &retryListener{Listener: l} }
+// RetryAccept returns a listener whose Accept retries after errors other than its own close.
+func RetryAccept(l net.Listener) net.Listener { return &retryListener{Listener: l} }
 
 // Accept implements net.Listener.
 func (l *retryListener) Accept() (net.Conn, error) {
