--- a/internal/core/closing_test.go
+++ b/internal/core/closing_test.go
@@ -35,11 +35,11 @@
 	}
 	count(core.UpstreamGroup{ServerList: logic.ServerList{Complete: true, Servers: []logic.Server{{ID: 1, Weight: 1, State: logic.Ready}, {ID: 2, Weight: 1, State: logic.Ready}}}})
 	tries, answers := count(request(1))
-	require.Equal(t, []int{1, 0}, []int{tries, answers})
+	require.Equal(t, []int{1, 0}, []int{tries, answers}, "tries and answers at request 1, before closing")
 	_, answers = count(core.Closing{})
-	require.Equal(t, 1, answers)
+	require.Equal(t, 1, answers, "answers at closing, to request 1")
 	for id := uint64(2); id < 10; id++ {
 		tries, answers = count(request(id))
-		require.Equal(t, []int{0, 1}, []int{tries, answers}, "request %d", id)
+		require.Equal(t, []int{0, 1}, []int{tries, answers}, "tries and answers at request %d, after closing", id)
 	}
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -114,7 +114,7 @@
 // Count adds Amount to a name on a counter, unless the call cannot be made before Deadline (effect).
 type Count struct {
 	Call     uint64
-	Counter  int // number of the counter; 0 is the platform's own unless a list names others
+	Counter  int // a key of SetCounters.Counters; 0 before the first list
 	Name     uint64
 	Amount   float64
 	TTL      time.Duration // TTL of the name on the counter
@@ -202,8 +202,8 @@
 	return r
 }
 
-// Open returns the number of request contexts that wait for their final answer or for the outcome of a try.
-func (r *Reducer) Open() int { return len(r.requests) }
+// OpenCount returns the number of request contexts that wait for their final answer or for the outcome of a try.
+func (r *Reducer) OpenCount() int { return len(r.requests) }
 
 // Reduce processes one event at time now and appends the resulting effects in order.
 func (r *Reducer) Reduce(now time.Duration, ev Event, effects []Effect) []Effect {
@@ -340,7 +340,8 @@
 	if a.Timeout != 0 {
 		timeout = min(timeout, a.Timeout)
 	}
-	// A try for a request that is done or out of time, or one too many, is not started. The simulator does the same.
+	// A try for a request that is done or out of time, or one too many, is not started. The module gets the outcome
+	// NotAttempted.
 	if q.done || timeout <= 0 || r.settings.MaxAttempts > 0 && n >= r.settings.MaxAttempts {
 		r.mootOutcomes = append(r.mootOutcomes, logic.Outcome{ID: a.ID, Attempt: n, Server: a.Server, Status: logic.NotAttempted, RequestOver: q.done})
 		q.tries = append(q.tries, tryState{server: a.Server, sentAt: r.now})
--- a/internal/core/counters.go
+++ b/internal/core/counters.go
@@ -45,9 +45,10 @@
 	index int // into the call's parts
 }
 
-// ShardCounters shards names over several counters from the start. It must be called before Start. settled says that the list
-// has been in force for long. A process that starts in service passes false, since it cannot know whether the list has just
-// changed.
+// ShardCounters shards names over several counters from the start. It must be called before Start. If settled is set, the list
+// is taken to have been in force for a long time, and all names are counted. Otherwise names that began before
+// now + sharding.MaxListSkew are not counted, since other limiters may add to them under another list. A process that starts
+// while others may be running passes false, since it cannot know whether the list has just changed.
 func (r *Reducer) ShardCounters(now time.Duration, addresses []string, settled bool) {
 	if r.ring = sharding.NewUnsynced(now, addresses); settled {
 		r.ring = sharding.New(addresses)
@@ -92,8 +93,9 @@
 		a.Since, a.SkippedMask)
 }
 
-// startCall calls the counters that hold the name, except those whose bit in spared is set.
-func (r *Reducer) startCall(c *call, began time.Duration, spared uint8) {
+// startCall calls the counters of the name, which are those that limiters may have added to since began. It leaves out the
+// k-th of them, counted from 0, if bit k of skippedMask is set.
+func (r *Reducer) startCall(c *call, began time.Duration, skippedMask uint8) {
 	if c.targets = (sharding.Targets{Counters: []int{0}}); r.ring != nil {
 		c.targets = r.ring.Targets(r.now, c.name, began)
 	} else {
@@ -103,7 +105,7 @@
 		r.unreported[c.name] = append(r.unreported[c.name], c)
 	}
 	for k, counter := range c.targets.Counters {
-		if spared&(1<<k) != 0 {
+		if skippedMask&(1<<k) != 0 {
 			continue
 		}
 		r.lastPartID++
--- a/internal/core/memory_test.go
+++ b/internal/core/memory_test.go
@@ -94,9 +94,9 @@
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
 		heapBytes[halfHour] = m.HeapAlloc
-		t.Logf("after %d half-hours: %d bytes, %d sent, %d refused, %d open", halfHour, m.HeapAlloc, sent, refused, r.Open())
-		// In addition to 3% the timing wheel of firms may grow: a slot keeps the memory of its first firm, 8 bytes in each of
-		// 8,192 slots.
+		t.Logf("after %d half-hours: %d bytes, %d sent, %d refused, %d open", halfHour, m.HeapAlloc, sent, refused, r.OpenCount())
+		// In addition to 3% the timing wheel of firms may grow, since an emptied slot keeps room for items. This allows for one
+		// item, a pointer of 8 bytes, in each of 8,192 slots; package schedule's own bound is 8 items a slot.
 		if halfHour == 4 && float64(heapBytes[4]) > 1.03*float64(heapBytes[2])+8<<13 {
 			t.Errorf("heap holds %d bytes after two hours, want at most 3%% and 64 KiB above the %d bytes after one hour", heapBytes[4], heapBytes[2])
 		}
--- a/internal/core/plans.go
+++ b/internal/core/plans.go
@@ -87,10 +87,10 @@
 	OnSaved *SendReply // nil if the change was not requested by a command
 }
 
-// reservationTickInterval is the interval at which reservations in use are checked.
+// reservationTickInterval is the interval of reserve.Manager.Tick while reservations are in use.
 const reservationTickInterval = 50 * time.Millisecond
 
-// maxPlanTimer bounds how far ahead a plan timer is set. A timer for a later time is set again when it fires.
+// maxPlanTimer bounds how far ahead a plan timer is set. When a timer that was bounded fires, a further one is set.
 const maxPlanTimer = time.Hour
 
 func (t *Tally) count(version uint64) {
--- a/internal/discovery/bounds_test.go
+++ b/internal/discovery/bounds_test.go
@@ -192,7 +192,7 @@
 					<-req.Context().Done()
 				}
 			}))
-			eventually(t, "the list after", func() bool { return r.size() == 5 })
+			eventually(t, "the list of 5 servers after the rejected one", func() bool { return r.size() == 5 })
 			require.Equal(t, [2]int{3, 1}, <-between, "servers and posted lists before the last list")
 			require.EqualValues(t, 43, client.version.Load())
 		})
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -110,8 +110,8 @@
 func (c *Client) ApplyCached(l List) { c.apply(l, true) }
 
 // Synced is closed once a complete message from discovery (a list, or an empty line between lists) has been received and
-// applied. A new process that waits for it does not serve by an old list: it is bound from its first moment by what the
-// discovery agent has.
+// applied. A new process that waits for it does not serve by an old list: what the discovery agent has counts as received
+// (follow.go) from the first moment of the process.
 func (c *Client) Synced() <-chan struct{} { return c.synced }
 
 // Reload follows the list at the given address from now on. A watch at the former address, which may send nothing more
--- a/internal/discovery/follow.go
+++ b/internal/discovery/follow.go
@@ -6,37 +6,50 @@
 	"bramblefall/logic"
 )
 
-// Discovery's protocol sends an empty line every 2 s while nothing changes, and a change counts as known to the limiter 6 s
-// after discovery has it, even if it did not arrive. A watch that is silent for longer than one interval is therefore
-// considered stalled, which leaves time for another request.
+// A limiter requests the list from a discovery agent that serves its machine alone. A change counts as received from when the
+// agent began to send it, even if the message is then truncated, and at the latest 6 s after discovery had it, even if nothing
+// arrived. Once a drain counts as received, the limiter has the grace (timing.grace) to apply it; after that nothing new may
+// be sent to the server.
+//
+// While nothing changes, the agent sends an empty line every 2 s. A watch that is silent for longer than one interval is
+// considered stalled, which leaves time for another request within the 6 s.
 const (
 	keepaliveInterval = 2 * time.Second
 	keepaliveTimeout  = keepaliveInterval + keepaliveInterval/4
 
-	fleetRequestsPerSecond = 20.0 // of all limiters together while discovery refuses; about half more with jitter
+	// fleetRequestsPerSecond divided by the size of the fleet is the rate, without jitter, at which each limiter sends requests
+	// while discovery refuses them. With jitter the rate of all is about half higher, since the mean of minRetryFactor and
+	// maxRetryFactor is 0.675. In a fleet of more than 80, each limiter sends one request in maxRetryInterval, without jitter.
+	fleetRequestsPerSecond = 20.0
 	maxRetryInterval       = 4 * time.Second
-	minRetryFactor         = 0.25 // of the retry interval, from the start of one request to the next
-	maxRetryFactor         = 1.1
-	stableAfter            = 2 * time.Second // a watch with messages that lasted longer resets the count of failures
-	rejectedListDelay      = time.Second     // before a rejected list is requested again; with jitter, half of it at least
-	maxHeaderTimeout       = time.Second
-	minStallTimeout        = 50 * time.Millisecond
-	extendedStallTimeout   = 500 * time.Millisecond // within a message, after stallsBeforeExtension watches in a row that stalled there
-	stallsBeforeExtension  = 8
-	defaultGrace           = 500 * time.Millisecond // if the settings have none
-	maxGrace               = 2 * time.Second        // used to time requests: the 6 s apply whatever the grace is
-	graceJitterFactor      = 0.8                    // of the grace, over which the requests of a fleet are spread
-	progressRetryFactor    = 0.25                   // of the retry interval, if a response had begun: discovery is up, and what it has sent is binding
-	unansweredRetryFactor  = 0.3                    // of the grace: the longest delay before an agent that sent nothing is asked again
-
-	reloadDeadline    = 4 * time.Second        // after a reload, by which the list counts as known
-	reloadMargin      = 200 * time.Millisecond // of reloadDeadline, left for the response
-	minReloadInterval = 50 * time.Millisecond  // between two requests until reloadDeadline
+
+	// From the start of one failed request to the start of the next, retryInterval passes times a random factor between these.
+	minRetryFactor = 0.25
+	maxRetryFactor = 1.1
+
+	// After a response that had begun, that time is multiplied by this: discovery is up, and what it has begun to send counts as
+	// received.
+	progressRetryFactor = 0.25
+
+	stableAfter           = 2 * time.Second // a watch that has brought a message and lasts longer sets follower.failures to 0
+	rejectedListDelay     = time.Second     // a rejected list is requested again after half of this at least, all of it with the longest jitter
+	maxHeaderTimeout      = time.Second
+	minStallTimeout       = 50 * time.Millisecond
+	extendedStallTimeout  = 500 * time.Millisecond // within a message, after stallsBeforeExtension watches in a row that stalled there
+	stallsBeforeExtension = 8
+	defaultGrace          = 500 * time.Millisecond // the grace if the settings have none
+	maxGrace              = 2 * time.Second        // a longer grace is cut to this, since the 6 s apply whatever the grace is
+	graceJitterFactor     = 0.8                    // of the grace: the requests of a fleet of 20 or more are spread over this part
+	unansweredRetryFactor = 0.3                    // of the grace: the longest delay before an agent that sent nothing is asked again
+
+	reloadDeadline    = 4 * time.Second        // the current list counts as received this long after a reload
+	reloadMargin      = 200 * time.Millisecond // the part of reloadDeadline that is left for the response
+	minReloadInterval = 50 * time.Millisecond  // the limit that a reload sets to the delay between two requests is not below this
 )
 
 // timing holds the settings by which requests to discovery are timed.
 type timing struct {
-	grace     time.Duration // for a drain, from when discovery announces it
+	grace     time.Duration // the time to apply a drain, from when it counts as received
 	fleetSize int           // limiters that follow the same discovery
 }
 
@@ -58,8 +71,8 @@
 // discovery is down.
 func (t timing) headerTimeout() time.Duration { return min(t.grace/2, maxHeaderTimeout) }
 
-// stallTimeout is how long the rest of a message may take after its last byte. It is a fraction of the grace, because what
-// was received of the message may already count as known.
+// stallTimeout is how long a watch may be silent within a message. It is a fraction of the grace, because the drains in the
+// message may count as received already.
 func (t timing) stallTimeout() time.Duration { return max(t.grace/4, minStallTimeout) }
 
 // stallTimeoutAfter is the stall timeout after the given number of watches in a row that stalled within a message. It is
@@ -88,7 +101,7 @@
 	failures         int           // watches in a row that were not stable
 	stalls           int           // watches in a row that were given up within a message; any complete message sets it to 0
 	lastDuration     time.Duration // from startedAt to the last call of endCurrent
-	reloadDue        time.Duration // time by which the list must be known after a reload; 0: there was no reload
+	reloadDue        time.Duration // reloadMargin before the list counts as received after a reload; 0: there was no reload
 }
 
 // noteReload records a reload. It reports whether to start a watch at once.
@@ -119,9 +132,9 @@
 }
 
 // noteStall records that a watch has received nothing within its timeout, and whether that was within a message. A watch
-// that fell silent between two messages is kept beside the next one, and so is the last that has received nothing yet: this
-// costs nothing, and what the agent sends once discovery is back is known at once. It returns a watch to close (0: none) and
-// whether the next one is due.
+// that fell silent between two messages is kept beside the next one, and so is the last that has received nothing yet: keeping
+// it open needs no requests, and it receives at once what the agent sends when discovery is back. noteStall returns a watch to
+// close (0: none) and whether the next one is due.
 func (f *follower) noteStall(now time.Duration, watch int, midMessage bool) (drop int, due bool) {
 	switch {
 	case watch == 0:
@@ -184,7 +197,8 @@
 // fleet from sending requests in step; the interval, which grows with the fleet, keeps them from sending so many that
 // discovery can answer none of them.
 //
-// After a reload requests come closer together until the list takes effect.
+// After a reload requests come closer together: until reloadDue the delay is at most a quarter to half of the time left, or
+// minReloadInterval if that is longer.
 func (f *follower) nextDelay(random float64) time.Duration {
 	delay := f.baseDelay(random)
 	if left := f.reloadDue - f.startedAt - f.lastDuration; left > 0 {
@@ -195,13 +209,14 @@
 
 // baseDelay is nextDelay without regard to reloads.
 //
-// The delay is short after a stable watch, or one that had begun to receive something: a limiter is bound by the drains that
-// it would have received had it sent a request. An agent that sends nothing is asked again soon in a fleet of any size: it
-// serves this machine alone, and answers at no cost. A rejected list is requested later, because it comes again unchanged and
-// is expensive to read.
+// The delay is short after a stable watch, or one that had begun to receive something: drains that the limiter would have
+// received had it sent a request count as received. An agent that sends nothing is asked again soon in a fleet of any size,
+// since it serves this machine alone. A rejected list is requested later, because it comes again unchanged and is expensive to
+// read.
 //
 // The interval counts from the start of one request to the start of the next. Otherwise a request that hangs before it fails
-// would be followed by a full delay, while a change at a discovery that came back during that request takes effect 6 s later.
+// would be followed by a full delay, while a change counts as received 6 s after a discovery that came back during that
+// request had it.
 func (f *follower) baseDelay(random float64) time.Duration {
 	jitter := random * graceJitterFactor * float64(f.grace) * min(1, float64(f.fleetSize)/fleetRequestsPerSecond)
 	interval := (minRetryFactor + random*(maxRetryFactor-minRetryFactor)) * float64(f.retryInterval())
--- a/internal/discovery/follow_test.go
+++ b/internal/discovery/follow_test.go
@@ -46,8 +46,8 @@
 	duration                  time.Duration // from the request to the failure
 }
 
-// playAnswers runs a follower against the scripted answers, followed by a complete one. It returns the time from when the
-// change was first available, be it in part, until it is known.
+// playAnswers runs a follower against the scripted answers. It returns the time from when the change was first available, be
+// it in part, until the request after them starts, which is taken to receive the complete change at once.
 func playAnswers(t *testing.T, m timing, random float64, scripts ...answerScript) time.Duration {
 	f := follower{timing: m}
 	now, available := time.Duration(0), time.Duration(-1)
@@ -88,8 +88,8 @@
 	return now - available
 }
 
-// A truncated message is binding from the moment it began to arrive. A small fleet knows the complete change within the
-// grace, also if four responses in a row are truncated or one stalls.
+// A truncated message counts as received from when it began to arrive. A limiter of a small fleet requests the complete change
+// within the grace, also if four responses in a row are truncated or one stalls.
 func TestTruncatedChangeIsKnownWithinDrainGrace(t *testing.T) {
 	broken, stalled := answerScript{header: true, partial: true, ends: true}, answerScript{header: true, partial: true}
 	stable := answerScript{header: true, messages: true, partial: true, ends: true, duration: time.Minute}
@@ -104,8 +104,9 @@
 	}
 }
 
-// A change counts as known after 6 s even if it did not arrive. A silent watch is replaced early enough for two requests
-// within that time, in a fleet of any size.
+// A change counts as received 6 s after discovery has it, even if it did not arrive. A silent watch is replaced early enough for
+// two requests within that time, in a fleet of any size: after keepaliveTimeout and the longest jitter, 2.5 s and 0.8 * 500 ms,
+// the bound leaves 0.2 s.
 func TestSilentWatchIsReplacedBeforeItsChangesTakeEffect(t *testing.T) {
 	silent, unanswered := answerScript{header: true, messages: true, duration: time.Minute}, answerScript{}
 	for _, grace := range []time.Duration{250 * ms, 500 * ms} {
@@ -163,9 +164,9 @@
 	require.False(t, f.noteEnd(9*time.Second, fifth, true), "it was already closed")
 }
 
-// An agent sends nothing while discovery is down, and what it has when discovery returns takes effect at once. A new process
-// that has received nothing yet sends the next request within the grace, in a fleet of any size, so that it does not depend
-// on an answer to the requests before.
+// An agent sends nothing while discovery is down, and what it has when discovery returns counts as received at once. A new
+// process that has received nothing yet sends the next request within the grace, in a fleet of any size, so that it does not
+// depend on an answer to the requests before.
 func TestReturningAgentIsAskedWithinDrainGrace(t *testing.T) {
 	for _, grace := range []time.Duration{250 * ms, 500 * ms, 2 * time.Second} {
 		for _, fleet := range []int{1, 3, 80, 300} {
--- a/internal/discovery/return_test.go
+++ b/internal/discovery/return_test.go
@@ -107,11 +107,11 @@
 	return now
 }
 
-// A change counts as known 6 s after discovery has it and is reachable, whatever happened to the requests before. After any
-// two requests that fail, are refused, time out, fall silent or break, early or as late as the timeouts allow, the next one
-// starts early enough to leave most of a second for its response, with the worst random delay. In the worst case discovery
-// returns right after the start of the last failing request, or right after the last byte of a watch that worked. A request
-// that starts once discovery is back receives the list.
+// A change counts as received 6 s after discovery has it and is reachable, whatever happened to the requests before. After any
+// two requests that fail, are refused, time out, fall silent or break, early or as late as the timeouts allow, and with the
+// worst random delay, the next one starts early enough to leave 1.5 s of the 6 s for its response with a grace up to
+// defaultGrace, and 0.8 s with a longer one. In the worst case discovery returns right after the start of the last failing
+// request, or right after the last byte of a watch that worked. A request that starts once discovery is back receives the list.
 func TestNextRequestStartsInTimeAfterTwoFailures(t *testing.T) {
 	worst := map[bool]delay{}
 	for n := range 2 * len(allTimings()) {
@@ -253,7 +253,7 @@
 			}()
 			r := followInLargeFleet(t, l.Addr().String())
 			eventually(t, "the list", func() bool { return r.size() == 1 })
-			t.Log(time.Since(<-returned).Round(time.Millisecond), requests.Load(), "requests")
+			t.Log(time.Since(<-returned).Round(time.Millisecond), requests.Load(), "requests; the time is from discovery's return until the list was received")
 		})
 	}
 }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// A list that stalls at the end of one of its lines is reported as stalled within a message: what it has begun to deliver is
-// binding, and the next request does not wait for an empty line that will not arrive.
+// A list that stalls at the end of one of its lines is reported as stalled within a message: what it has begun to deliver
+// counts as received, and the next request does not wait for an empty line that will not arrive.
 func TestStalledIndentedListIsReportedMidMessage(t *testing.T) {
 	text := indentJSON(t, `{"version":41,"full":true,"servers":[{"id":"s-1","state":"draining"},{"id":"s-2","state":"ready"}]}`)
 	part := text[:strings.LastIndex(text, "},")+3]
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -165,7 +165,7 @@
 		due := heap.Pop(&l.timers).(core.SetTimer)
 		l.effects = l.reducer.Reduce(now, due.Timer, l.effects)
 	}
-	l.openRequests.Store(int64(l.reducer.Open()))
+	l.openRequests.Store(int64(l.reducer.OpenCount()))
 	l.runEffects()
 }
 
