--- a/logic/api.go
+++ b/logic/api.go
@@ -1,24 +1,44 @@
 // Package logic decides what an API gateway (a limiter) does with every request: whether its customer's quota has room, how
 // long it is held, which server it goes to, and what happens when an attempt ends. It does no I/O and reads no clock: it takes
-// events and returns actions. This file is its interface: settings, events and actions. All decisions are in logic.go.
+// events and returns actions.
+//
+// A request passes two stages of admission. The first is its customer's: a token bucket, pacing, and a cap on attempts in
+// flight, all sized by this gateway's share of the customer's quota. The share follows from a forecast of the demand one
+// interval ahead and the sums of all gateways' forecasts on the counter (King, Song and Dias). The second is the servers': a
+// concurrency limit, so that overload queues or is refused here and not in the servers.
+//
+// Words: a firm is a customer, a limiter a gateway; a hall is the servers of a zone; a cap limits a customer's attempts in
+// flight (Plan.Open), and a slot is one attempt in flight under it.
+//
+// The files:
+//
+//	api.go        the interface: settings, events and actions
+//	logic.go      requests: admission, choice of a server, attempts, final answers; limits and ejection of servers
+//	state.go      the gateway's record; the dispatch of events; the queue for servers; counter calls
+//	customers.go  the records of customers: buckets, intervals, the state of a shared bucket, dormant customers
+//	counters.go   the records of the quota counters
+//	servers.go    the records of servers and upstream groups; lost zones, slow start, the retry budget
+//	plans.go      changes of plans, and reservations
+//	clock.go      the clock that the machines share, and its steps
+//	tuning.go     most of the constants
 package logic
 
 import "time"
 
-// Effect says what it does to repeat a request.
+// Effect says whether a request may be repeated.
 type Effect int
 
 // The effects of a repeat.
 const (
 	Safe   Effect = iota // may be repeated at will
-	Keyed                // carries a key, by which hosts of one group drop a repeat for a while (KeyTTL)
+	Keyed                // carries a key, by which the servers of a group drop a repeat for a while (KeyTTL)
 	Unsafe               // must never run twice
 )
 
-// Group says which hosts drop the repeats of a keyed request.
+// Group says which servers drop the repeats of a keyed request.
 type Group int
 
-// The groups of hosts that share keys.
+// The groups of servers that share keys.
 const (
 	GroupAll Group = iota
 	GroupZone
@@ -27,18 +47,18 @@
 
 // Class is a kind of request.
 type Class struct {
-	Name          string        // for the fronts; no decision depends on it
+	Name          string        // for the protocol front ends; no decision depends on it
 	Aim, Deadline time.Duration // an answer has its full worth until Aim, and a share of it until Deadline
-	Worth, Late   float64       // Late is the share of the worth that is left after Aim
+	Worth, Late   float64       // Worth is of one unit served, before Plan.Price; Late is the share of it that is left after Aim
 	Effect        Effect
 	KeyGroup      Group
-	KeyTTL        time.Duration // how long hosts remember a key
+	KeyTTL        time.Duration // how long servers remember a key
 	Streamed      bool
 }
 
 // Plan is what a customer bought. Its quotas count over all gateways. The JSON names are those of the operators' file.
 type Plan struct {
-	Name         string  `json:"name"`          // for the fronts; no decision depends on it
+	Name         string  `json:"name"`          // for the protocol front ends; no decision depends on it
 	Rate         float64 `json:"rate"`          // units a second; 0: no such quota
 	Burst        float64 `json:"burst"`         // units that the token bucket holds
 	Open         int     `json:"open"`          // attempts in flight at once; 0: no such quota
@@ -62,14 +82,14 @@
 	Take(now time.Duration, firm uint64, units float64) bool
 	// Return gives back what was taken for a request that was never sent on.
 	Return(now time.Duration, firm uint64, units float64)
-	// LeasePending tells whether more may be leased for the firm soon: a request is then held for leaseWait.
+	// LeasePending tells whether more may be leased for the firm soon: a request is then held for a short time at first.
 	LeasePending(now time.Duration, firm uint64) bool
 }
 
 // CounterMap tells which counters hold a name, where there are several. It does no I/O and reads no clock.
 type CounterMap interface {
-	// Holders returns the numbers of the counters that a name is added to at time now, if gateways may have added to it since
-	// began. None means that its total cannot be known.
+	// Holders returns the numbers of the counters that hold a name at time now. Gateways may have added to the name from began
+	// on, the start of its interval; 0: not known. An empty result means that the total cannot be known.
 	Holders(now time.Duration, name uint64, began time.Duration) []int
 }
 
@@ -84,14 +104,14 @@
 	// Only real sockets need these; no decision depends on them.
 	ZoneNames, KindNames []string
 	ConnIdle             time.Duration // servers close a connection that has been idle for so long
-	ConnectTimeout       time.Duration // a connection that is not established by then never will be
+	ConnectTimeout       time.Duration // a connection attempt ends after so long
 	MaxOpen              int           // requests pending at once
 
 	AskForList   bool // the list of servers must be asked for
 	AskWithin    time.Duration
 	HasCounter   bool
 	CounterLimit time.Duration // a counter call that is not answered by then has timed out
-	Settles      bool          // a request's units are an estimate, and its answer brings the true ones
+	Settles      bool          // a request's units are an estimate; its answer brings the true ones, which replace it in its bucket
 	Meter        time.Duration // period of the use meter; 0: there is none
 	MostUnits    float64       // units of the largest request
 
@@ -153,7 +173,7 @@
 
 // ServerList brings news about the servers (event).
 type ServerList struct {
-	Group    int  // the upstream group that it is about; the simulator has one
+	Group    int  // the upstream group that it is about
 	Failed   bool // a list that was asked for did not come
 	Complete bool // servers that are not in it are gone
 	Cached   bool // the last list that this gateway had before it started; it may be outdated
@@ -186,7 +206,7 @@
 	Full // turned away by the server or counter
 	Timeout
 	ConnectFailed
-	Reset // the connection broke
+	Reset // the connection broke; from a counter, also: its answer cannot be used
 	Cancelled
 	NotAttempted  // no attempt was made: the request was over, out of time, or had used up its attempts
 	InvalidAnswer // an answer came that cannot be used: the attempt may have run
@@ -325,8 +345,8 @@
 	Amount      float64
 	TTL         time.Duration // how long the counter keeps the name
 	Wait        time.Duration // how long to wait for an answer, if longer than the settings' limit; 0: that limit
-	Since       time.Duration // since when gateways may have added to the name; 0: not known
-	SkippedMask uint8         // bit n: the name's nth counter is not called
+	Since       time.Duration // start of the name's interval: from then on gateways may have added to it; 0: not known
+	SkippedMask uint8         // bit n (from 0): the n-th counter that Holders returns is not called
 }
 
 // Watch starts, or ends, the watch on the list of servers (action).
--- a/logic/clock.go
+++ b/logic/clock.go
@@ -35,8 +35,9 @@
 	}
 }
 
-// gatewayTime is the gateway's time at which the shared clock showed a time. After a step back it may have shown it twice: then
-// the later one counts, since a server that is taken for younger gets less. A time that it has not shown yet counts as now.
+// gatewayTime is the gateway's time at which the shared clock showed a time. After a step back it may have shown it twice:
+// then the later one counts, since a server that seems younger gets less load (slow start). A time that it has not shown yet
+// counts as now.
 func (k *sharedClock) gatewayTime(shown, now time.Duration) time.Duration {
 	end := now
 	for n := len(k.steps) - 1; n >= 0; n-- {
--- a/logic/counters.go
+++ b/logic/counters.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// The records of the quota counters, where there may be several. What they mean for calls is decided in logic.go; the list of
-// counters tells which of them holds a name (CounterMap).
+// The records of the quota counters, where there may be several. When they are called, and what their answers mean, is mostly
+// decided in logic.go; the list of counters tells which of them holds a name (CounterMap).
 
 // counter is what is known of one quota counter.
 type counter struct {
 	number              int
 	callsLeft           float64       // calls that may be made at once: requests earn them, calls use them up
 	callShare           float64       // share of the wanted calls that is made
-	failures            int           // failed calls in a row
-	shareBeforeFailures float64       // callShare before these
-	unreachable         bool          // the last of them could not connect
+	failures            int           // failed calls since the last OK; Reset is not counted
+	shareBeforeFailures float64       // callShare before the first of them
+	unreachable         bool          // the last of them, the failuresBeforeBackoff-th or later, could not connect
 	noCallsUntil        time.Duration // no calls before
 	backoff             time.Duration // mean length of the next pause in calls
 }
--- a/logic/customers.go
+++ b/logic/customers.go
@@ -60,15 +60,15 @@
 
 	nextRelease time.Duration // the next held request leaves no earlier
 
-	recentRate   float64 // S of the pacing: units a second, decaying over an interval
-	recentExcess float64 // E of the pacing: units beyond the share that were let through of late
+	recentRate   float64 // S in spacing: units a second, decaying over an interval
+	recentExcess float64 // E in spacing: units beyond the share that were let through of late
 
 	demanded       float64 // demand in this interval so far: units, or seconds of attempts in flight
 	lastDemand     float64 // demand a second in the interval before
 	intervalsEnded int     // intervals that have ended; the first one shows no change of demand
 	meanChange     float64 // smoothed change of the demand from interval to interval
 	meanRise       float64 // the same of the rises alone
-	forecast       float64 // f: forecast of the demand a second in this interval
+	forecast       float64 // of the demand a second in this interval
 
 	bestWorth      float64       // highest worth of a request that it has sent
 	intervalNumber int64         // of the current interval
@@ -91,7 +91,7 @@
 	return float64(c.plan.Open)
 }
 
-// evenShare is g: the share of a gateway that knows nothing of the others.
+// evenShare is the share of a gateway that knows nothing of the others.
 func (c *customer) evenShare() float64 { return c.quota() / c.shares }
 
 // countName is the counter's name for one of the interval's counts. Gateways agree on it without communication. Those that hold
@@ -156,8 +156,8 @@
 	return s.readAt > 0 && (now-s.readAt).Seconds()*p.Rate <= p.Burst
 }
 
-// rushTime is the time over which the ceiling has room for one request from each gateway; 0 if the recent draws are known.
-// After a pause all gateways may start to draw at once.
+// rushTime is the time in seconds over which the first draws of all gateways after a pause are spread, so that one request
+// from each fits the ceiling; 0 if the recent draws are known.
 func (c *customer) rushTime(now time.Duration, units float64) float64 {
 	if c.plan.CeilingRate <= 0 || c.bucket.isFresh(now, c.plan) {
 		return 0
@@ -272,8 +272,8 @@
 	g.firms.SetEarlier(c, c.rereadAt)
 }
 
-// dormantCustomer is what is kept of a quiet customer, in a tenth of the memory. With its next request the customer goes on as
-// if its whole record had been kept.
+// dormantCustomer is what is kept of a quiet customer, in less memory. With its next request the customer goes on from these
+// values, the fractions rounded to single precision; if plans have changed since, from less (see restoreDormant).
 type dormantCustomer struct {
 	intervalNumber int64
 	filledAt       time.Duration
@@ -304,7 +304,7 @@
 		return false
 	}
 	delete(g.customers, c.id)
-	g.firms.Remove(c) // a change of plans may have put it back
+	g.firms.Remove(c) // onPlansChanged may have scheduled it again
 	if !forgotten {
 		g.dormant[c.id] = dormantCustomer{c.intervalNumber, c.filledAt, float32(c.level), float32(c.ceiling), float32(c.recentExcess), float32(c.recentRate),
 			float32(c.meanChange), float32(c.meanRise), float32(c.bestWorth), int32(c.tier), int32(c.planRevision), uint32(c.Order)}
@@ -312,8 +312,8 @@
 	return true
 }
 
-// restoreDormant gives a new customer what was kept of it from before. A change of plans since then can only take from it: what
-// it would have had between two changes is not known.
+// restoreDormant gives a new customer what was kept of it from before. If plans have changed since, it can only lose by that:
+// after more than one change its bucket starts empty, since the plans between them are not known.
 func (g *Gateway) restoreDormant(c *customer) {
 	r, ok := g.dormant[c.id]
 	if !ok {
@@ -337,7 +337,7 @@
 	c.recentExcess, c.recentRate, c.meanChange, c.meanRise = float64(r.recentExcess), float64(r.recentRate), float64(r.meanChange), float64(r.meanRise)
 }
 
-// rotateDormant forgets the customers that have been dormant for long.
+// rotateDormant forgets, once in customerIdleTimeout, the customers that became dormant before the last such time.
 func (g *Gateway) rotateDormant() {
 	if g.dormant != nil && g.now-g.dormantRotatedAt > customerIdleTimeout {
 		g.dormantRotatedAt, g.dormantBefore, g.dormant = g.now, g.dormant, map[uint64]dormantCustomer{}
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -1,11 +1,3 @@
-// The decisions of a gateway. api.go is its interface (settings, events, actions), state.go has the records,
-// tuning.go the constants.
-//
-// A request passes two stages of admission. The first is its customer's: a token bucket, pacing, and a cap on
-// attempts in flight, all sized by this gateway's share of the customer's quota. The share follows from a
-// forecast of the demand one interval ahead and the sums of all gateways' forecasts on the counter (King,
-// Song and Dias). The second is the servers': a concurrency limit, so that overload queues or is refused here
-// and not in the servers.
 package logic
 
 import (
@@ -81,12 +73,11 @@
 	if !q.CallerChoseTTL {
 		g.longestTTL[q.Class] = max(g.longestTTL[q.Class], r.TTL)
 	}
-	// A later try has less time left than the longest seen of its class: the difference is what its client has
-	// waited already. Clients that give up soon and retry at once look the same, and are rightly treated so: a
-	// retry storm must not starve others.
+	// A TTL below the longest seen of its class by more than ttlTolerance shows a later try: its client is taken
+	// to have begun with class.Deadline, so to have waited Deadline - TTL. Clients that give up soon and retry
+	// at once look the same, and are rightly treated so: a retry storm must not starve others.
 	aim := r.class.Aim
-	// Tries that only took a moment longer to get here are not taken for later ones, nor are unmarked ones where
-	// clients mark their later tries.
+	// Where clients mark their later tries, unmarked ones are not taken for such.
 	g.repeatsMarked = g.repeatsMarked || q.Repeat
 	if !q.CallerChoseTTL && r.TTL < g.longestTTL[q.Class]-ttlTolerance && (q.Repeat || !g.repeatsMarked) {
 		aim -= max(0, r.class.Deadline-r.TTL)
@@ -98,7 +89,7 @@
 	g.nextToken = max(g.nextToken+1, tickToken+1)
 	r.token = g.nextToken
 	g.requests[q.ID], g.tokens[r.token] = r, r
-	g.do(SetTimer{r.token, r.deadline - g.now}) // every accepted request has a timer before its deadline
+	g.do(SetTimer{r.token, r.deadline - g.now}) // answerMargin before its client's deadline
 	// Each counter earns twice its even share of the calls, since names are spread unevenly over the counters.
 	for _, k := range g.counters {
 		k.callsLeft = min(k.callsLeft+counterCallsPerRequest*min(1, 2/float64(g.counterCount))*
@@ -120,7 +111,8 @@
 	g.finish(r, 0)
 }
 
-// finish gives the one final answer: a refusal only where a retry is proven harmless, else a failure.
+// finish gives the one final answer: a refusal if the request is Safe, no attempt may have run, or all
+// servers drop its repeat and no attempt is out (an expired key is not considered); else a failure.
 func (g *Gateway) finish(r *request, after time.Duration) {
 	if r.answered {
 		return
@@ -135,7 +127,8 @@
 	g.drop(r)
 }
 
-// timeUntilRoom estimates when servers have room again: every refusal carries a time to come back.
+// timeUntilRoom estimates when servers have room again: a refusal gives no earlier time to come back, unless
+// MaxRetryAfter bounds it.
 func (g *Gateway) timeUntilRoom(u *upstream) time.Duration {
 	return time.Duration(min(u.latency*float64(len(g.queue)+1)/u.concurrencyLimit(),
 		float64(customerIdleTimeout)))
@@ -172,7 +165,7 @@
 	default:
 		r.upstream.chargeRetry(o.Status, neverRan && g.unseenShare > 0)
 		r.queued = true
-		g.enqueue(r, o.Status != LocalShortage) // then another request finds out first if the shortage lasts
+		g.enqueue(r, o.Status != LocalShortage) // after a shortage: another tests first if it lasts
 	}
 	g.releaseHeld(r.customer)
 	g.dispatch()
@@ -237,8 +230,8 @@
 	c.share = c.evenShare()
 }
 
-// endIntervals looks at the customers that something is due for: it ends their intervals, reports forecasts,
-// reads sums again and releases held requests.
+// endIntervals applies changes of plans, forgets old dormant records, and looks at the customers that
+// something is due for: ends of intervals, reports, reads of sums, held requests, becoming dormant.
 func (g *Gateway) endIntervals() {
 	g.applyPlansInPart()
 	g.tickedAt = g.now
@@ -279,9 +272,9 @@
 	}
 }
 
-// reportForecast adds this gateway's forecast f, min(f, g) and one gateway to the interval's sums, packed
-// into one number. The steps of g are coarser the more gateways there are, and then rounded at random, so
-// that the sums stay true on the mean.
+// reportForecast adds three numbers to the interval's sums, packed into one: one gateway, its forecast within
+// the even share, and its whole forecast, in steps of a part of the even share. Steps are coarser the more
+// gateways there are, and then rounded at random, so that the sums stay true on the mean.
 func (g *Gateway) reportForecast(c *customer) {
 	even := c.evenShare()
 	c.reported, c.rereadAt, c.share = 0, 0, even
@@ -291,12 +284,12 @@
 		return
 	}
 	steps := c.forecastSteps()
-	f := math.Ceil(c.forecast / even * steps)
+	forecast := math.Ceil(c.forecast / even * steps)
 	if steps < stepsPerEvenShare {
-		f = math.Floor(c.forecast/even*steps + g.random())
+		forecast = math.Floor(c.forecast/even*steps + g.random())
 	}
-	f = min(f, maxForecastSteps, math.Floor(1023/c.gateways))
-	if packed := pack(1, min(f, steps), f); g.addToCount(c, forecastSums, packed, nil) {
+	forecast = min(forecast, maxForecastSteps, math.Floor(1023/c.gateways))
+	if packed := pack(1, min(forecast, steps), forecast); g.addToCount(c, forecastSums, packed, nil) {
 		c.reported = packed
 	}
 }
@@ -335,7 +328,7 @@
 
 // observe learns from a counter's answer which share of the calls the counter can handle.
 func (k *counter) observe(g *Gateway, st Status, latency time.Duration) {
-	if st == Reset { // a connection that broke or brought garbage says nothing of the counter's load
+	if st == Reset { // a broken connection or a useless answer tells nothing about the load
 		return
 	}
 	// Fewer calls, and none for a while to a silent or full counter, so that it is not flooded when it is back.
@@ -372,7 +365,7 @@
 	g.catchUp(c)
 	callShare := g.observeCounters(e)
 	if e.Status != OK {
-		// The report may have been added all the same: a later read tells.
+		// The report may have been added all the same: the next read of the sums shows whether it was.
 		if made.added && c.reported > 0 && e.Name == c.countName(forecastSums) {
 			after := max(g.set.CounterLimit, 3*tick)
 			if e.Status == Full { // it was not added, so it is reported again
@@ -407,7 +400,7 @@
 		}
 	case what == quotaUse:
 		most, left := c.intervalQuota(g), c.intervalEnd()-g.now
-		// At an interval's start a few units say little, so the load counts two units used and allowed more.
+		// At an interval's start a few units say little, so 2 units are added to both use and allowance.
 		load := (e.Total + 2) / (most*(1-left.Seconds()/c.interval.Seconds()) + 2)
 		if e.Name == c.countName(quotaUse) && load >= busyLoad {
 			g.loadEstimates[c.id] = loadEstimate{load, g.now + loadEstimateTTL}
@@ -434,7 +427,7 @@
 	}
 }
 
-// forecastSteps is the number of steps of g in which forecasts are reported.
+// forecastSteps is how many steps make up an even share in reported forecasts.
 func (c *customer) forecastSteps() float64 {
 	return max(1, min(stepsPerEvenShare, math.Floor(maxPackedSum/c.gateways)))
 }
@@ -445,29 +438,30 @@
 	if !(total >= 0 && total < 1<<24) || total != math.Trunc(total) {
 		return false
 	}
-	k, within, forecasts := unpack(total)
-	_, ownWithin, f := unpack(c.reported)
-	if k < 1 || k > c.gateways || within < ownWithin || forecasts-within < f-ownWithin {
+	reporting, within, forecasts := unpack(total)
+	_, ownWithin, own := unpack(c.reported)
+	if reporting < 1 || reporting > c.gateways || within < ownWithin || forecasts-within < own-ownWithin {
 		return false // the counter lost its state: sums without this gateway's own report prove nothing
 	}
-	c.share = splitQuota(c.gateways, k, within, forecasts, f, c.forecastSteps()) * even / c.forecastSteps()
-	return k == c.gateways
+	c.share = splitQuota(c.gateways, reporting, within, forecasts, own, c.forecastSteps()) *
+		even / c.forecastSteps()
+	return reporting == c.gateways
 }
 
-// splitQuota is the three steps of the split, counted in steps of g: min(f, g) for each, what is left pro
-// rata for those that forecast more, the rest for all alike. Gateways that reported nothing keep the room of
-// a quiet one.
-func splitQuota(n, k, within, forecasts, f, steps float64) float64 {
-	own := min(f, steps)
-	left := n*steps - within - (n-k)*minReportedShare*steps
+// splitQuota splits a quota, in such steps: to each gateway its forecast, up to the even share; what is left
+// pro rata to those that forecast more; the rest in equal parts to those that reported. For each that did
+// not, minReportedShare of an even share is set aside.
+func splitQuota(gateways, reporting, within, forecasts, own, steps float64) float64 {
+	ownWithin := min(own, steps)
+	left := gateways*steps - within - (gateways-reporting)*minReportedShare*steps
 	short := forecasts - within
 	if left < 0 {
-		return own
+		return ownWithin
 	}
 	if short > left {
-		return own + left*(f-own)/short
+		return ownWithin + left*(own-ownWithin)/short
 	}
-	return f + (left-short)/k
+	return own + (left-short)/reporting
 }
 
 // drawOnDemand draws from the counter for one request, where a share cannot hold one: the request adds its
@@ -503,7 +497,7 @@
 	return false
 }
 
-// onDraw takes the counter's verdict on a draw for a request.
+// onDraw takes the counter's answer to a draw for a request.
 func (g *Gateway) onDraw(r *request, within bool, wait time.Duration) {
 	if within && !r.answered && r.customer.withinCeiling(r) {
 		g.letThrough(r)
@@ -568,9 +562,10 @@
 	return len(to) > 0
 }
 
-// slotLimit is how many attempts may be in flight here without a draw. Few gateways take the fractions of
-// slots in turns by the clock, which add up to the cap at any time without communication. The rest get the
-// whole slots of the share and at least one: many gateways, or few while the customer sends little.
+// slotLimit is how many attempts may be in flight here without a draw. Without a cap: any number. If a cap is
+// split by sums: the whole slots of the share. For one of many gateways, or of few at low demand: the whole
+// slots of the even share. Each is at least 1. Else few gateways take fractions of slots in turns by the
+// shared clock; these add up to the cap at any time, without communication.
 func (c *customer) slotLimit(g *Gateway) int {
 	if c.plan.Open == 0 {
 		return math.MaxInt
@@ -595,13 +590,14 @@
 	return min(r.Units+c.keptForWorth(r, g), c.bucketSize())
 }
 
+// fits tells whether the cap and the bucket have room for a request.
 func (c *customer) fits(r *request, g *Gateway) bool {
 	return c.inFlight < c.slotLimit(g) && (c.plan.Rate <= 0 || c.level >= c.needInBucket(r, g)-1e-9)
 }
 
-// keptForWorth is what stays in the bucket for requests of more worth. A firm that asks for more than its
-// share gets as many units either way: with some kept, they go to the requests of most worth. Trade-off: a
-// burst may end late.
+// keptForWorth is what stays in the bucket for requests of more worth, from a demand of worthReserveLoad of
+// the share on. A firm that asks for more than its share gets as many units either way: with some kept, they
+// go to the requests of most worth. Trade-off: a burst may end late.
 func (c *customer) keptForWorth(r *request, g *Gateway) float64 {
 	if r.class.Worth >= c.bestWorth ||
 		max(c.lastDemand, c.demanded/c.interval.Seconds()) <= worthReserveLoad*c.share {
@@ -617,14 +613,16 @@
 	return c.plan.CeilingRate <= 0 || c.ceiling >= r.Units
 }
 
-// spacing is the time that a held unit adds before the next may leave: 1/B + a(S - B) + bE, relative to 1/B.
-// B is the share, S the recent rate, E the recent excess.
+// spacing is how long, in seconds a unit, the next held request waits after one that leaves. With B the
+// share, S the recent rate, E the recent excess, a pacingProportional and b pacingIntegral it is
+// (1 + a*max(0, S-B)/B + b*E/bucketSize) / B.
 func (c *customer) spacing() float64 {
-	b := max(c.share, 1e-6)
-	return (1 + pacingProportional*max(0, c.recentRate-b)/b +
-		pacingIntegral*c.recentExcess/max(c.bucketSize(), 1e-6)) / b
+	share := max(c.share, 1e-6)
+	return (1 + pacingProportional*max(0, c.recentRate-share)/share +
+		pacingIntegral*c.recentExcess/max(c.bucketSize(), 1e-6)) / share
 }
 
+// admit lets a request through, draws for it, holds it or refuses it.
 func (g *Gateway) admit(r *request) {
 	c := r.customer
 	if c.refill(g.now); r.answered {
@@ -715,14 +713,14 @@
 	g.dispatch()
 }
 
-// releaseHeld refuses held requests that have no chance, wherever they stand: an answer that waits for its
-// turn keeps the client from asking elsewhere. Then it releases the others in order, at the pace; one of more
-// worth does not wait behind one of less worth that needs more in the bucket.
+// releaseHeld refuses the held requests that cannot be served in time, at any position, so that their clients
+// can ask elsewhere. Then it releases the others in order, at the pace. One of more worth does not wait
+// behind one of less worth that needs more in the bucket.
 func (g *Gateway) releaseHeld(c *customer) {
 	c.refill(g.now)
 	for k := len(c.held) - 1; k >= 0; k-- {
 		r, from := c.held[k], max(g.now, c.nextRelease)
-		if c.sharedBucket && !c.drawPending {
+		if c.sharedBucket && !c.drawPending { // one draw for each before it, each as long as until drawnDueAt
 			from = max(from, c.drawnDueAt+time.Duration(k)*(c.drawnDueAt-g.now))
 		}
 		if g.tooLate(r, from) {
@@ -731,7 +729,7 @@
 	}
 	for k, waits := 0, -1.0; k < len(c.held) && g.now >= c.nextRelease; {
 		switch r := c.held[k]; {
-		case r.class.Worth <= waits: // it stays behind one of its worth or more, which needs no more
+		case r.class.Worth <= waits: // one of its worth or more is still held, and needs no more units
 			k++
 		case c.onDemand && g.drawOnDemand(r), c.sharedBucket && g.spendDrawnUnits(r):
 			c.held, k, waits = withoutRequest(c.held, r), 0, -1
@@ -752,9 +750,9 @@
 		r.upstream.latency < roomyLatencyFactor*r.upstream.idleLatency
 }
 
-// coldServerMayTake keeps a cold server to its share (slow start) by a budget of attempts. One saved by each
-// of many gateways is a burst that it cannot take: there none is saved, and a random draw thins what a warm
-// server would get.
+// coldServerMayTake limits the attempts at a cold server (slow start). With few gateways a budget does
+// (coldTokens). With many, what all had saved up would add up to a burst: each request is allowed by its
+// random draw instead, with the probability warm*coldLoadShare/servers.
 func (g *Gateway) coldServerMayTake(r *request, s *server, warm float64, servers int) bool {
 	return g.unseenShare == 0 && s.coldTokens >= 1 ||
 		g.unseenShare > 0 && r.randomDraw*float64(servers) < warm*coldLoadShare
@@ -842,9 +840,10 @@
 		s.trialPending = false
 	default:
 		// Overload shows in time-outs, too, but it also makes the answers slow. While answers are quick, a time-out
-		// counts for little more than cutAboveAimShare: answers lost on the way, servers that drop a part of their
-		// work and rare heavy requests must not close servers with room. Trade-off: an overload so sudden that no
-		// slow answer comes before the time-outs lowers the limit late.
+		// counts for maxTimeoutAimShare at most, little more than cutAboveAimShare: answers lost on the way,
+		// servers that drop a part of their work and rare heavy requests must not lower the limit of servers with
+		// room. Trade-off: an overload so sudden that no slow answer comes before the time-outs lowers the limit
+		// late.
 		if o.Status == Timeout && !s.ejected {
 			share := min(lat/float64(r.class.Aim), 2)
 			if u.latency < slowLatencyFactor*u.idleLatency {
@@ -858,13 +857,14 @@
 		if o.Status != Timeout {
 			s.answeredAt = g.now
 		}
-		// A server that turns all away at once looks idle and would attract every request: it counts as failing.
-		// So does one whose answers nobody can use, though any server has one now and then. Both weigh half.
+		// A server that turns all away at once looks idle and would attract every request: Full counts as a
+		// failure. So does an answer that nobody can use, though any server gives one now and then. Both weigh
+		// half.
 		if s.failureRate += failureSmoothing / 2 * (1 - s.failureRate); o.Status != Full &&
 			o.Status != InvalidAnswer {
 			s.failureRate += failureSmoothing / 2 * (1 - s.failureRate)
 		}
-		// Each of many gateways meets a server seldom: waiting for more would cost each as many requests.
+		// Each of many gateways sends to a server rarely, so one failure ejects it: else each would lose another.
 		if s.trialPending || !s.ejected &&
 			(s.failureRate > ejectFailureRate || o.Status == ConnectFailed || g.unseenShare > 0) {
 			g.eject(s, "failures")
@@ -872,11 +872,11 @@
 	}
 }
 
-// lowerLimitUnderLoad lowers the limit when answers take too much of their aim, before queues move into the
-// servers and they stay congested. Only a new answer lowers it, not one bad answer again and again where few
-// come. What was once in service at a time (Little's law: in flight times idle latency over latency) stays:
-// where all servers are slow at once there is no queue to drain, and fewer attempts in flight would only
-// leave their cores idle.
+// lowerLimitUnderLoad lowers the limit when answers take too much of their aim, before requests queue in the
+// servers. A least time between cuts keeps one bad answer from lowering it again and again where few come.
+// What was once in service at a time (Little's law: in flight times idle latency over latency) stays, less of
+// it with many gateways: where all servers are slow at once there is no queue to drain, and fewer attempts in
+// flight would only leave their cores idle.
 func (g *Gateway) lowerLimitUnderLoad(u *upstream, share float64) {
 	u.aimShare += 0.05 * (1 + 6*g.unseenShare) * (share - u.aimShare)
 	if u.aimShare > cutAboveAimShare &&
@@ -898,7 +898,7 @@
 	return from+g.expectedLatency(r)/2 > r.usefulUntil
 }
 
-// dispatch sends queued requests while servers have room: those of most worth first, then the oldest.
+// dispatch sends queued requests while servers have room, in the order of the queue (see enqueue).
 func (g *Gateway) dispatch() {
 	var late []*request
 	kept, full := g.queue[:0], map[*upstream]bool{}
@@ -1017,8 +1017,8 @@
 	return may && g.now >= s.ejectedUntil && !s.trialPending && s.inFlight == 0
 }
 
-// dropsRepeat keeps the repeat of a keyed request to the hosts that drop it, and to the time in which they
-// do.
+// dropsRepeat tells whether a server may take a request: it is no repeat of a keyed one that may have run, or
+// the server is in the group that drops its repeats, and the key has not expired.
 func (g *Gateway) dropsRepeat(r *request, s *server) bool {
 	if !r.mayHaveRun || r.class.Effect != Keyed {
 		return true
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -194,7 +194,8 @@
 	}
 }
 
-// What is kept for requests of more worth is the units of two requests, however large they are.
+// What is kept for requests of more worth grows with the mean units of requests: it is the units of two of them, at most half
+// the bucket, times the share of the best worth that the request lacks.
 func TestUnitsKeptFollowTheSizeOfRequests(t *testing.T) {
 	// For a request of half the best worth, of a bucket of 10: half of two mean requests, and at most half of half the bucket.
 	for units, want := range map[float64]float64{1: 1, 2: 2, 100: 2.5} {
--- a/logic/many_test.go
+++ b/logic/many_test.go
@@ -153,7 +153,7 @@
 }
 
 // Answers lost at random are no overload: while the others come quickly the concurrency limit must not fall to its minimum, or
-// servers with room refuse nearly everything (daejeon-archive-later, L1aa4c5). Where all answers are slow it must still fall.
+// servers with room refuse nearly everything. Where all answers are slow it must still fall.
 func TestLostAnswersDoNotCutTheLimitToItsMinimum(t *testing.T) {
 	for _, c := range []struct {
 		name        string
--- a/logic/plans.go
+++ b/logic/plans.go
@@ -29,8 +29,8 @@
 	return g.set.Plans[tier], true
 }
 
-// InUse counts the firms known here by the tier that their requests name. The numbers of the tiers are those of the book, by
-// name.
+// InUse returns a function that tells how many of the firms known here name a tier in their requests. tiers is the number of
+// each tier by its name in the book; the counts are those of the time of the call of InUse.
 func (g *Gateway) InUse(tiers map[string]int) func(tier string) int {
 	firms := map[int]int{}
 	for _, c := range g.customers {
@@ -50,8 +50,8 @@
 	}
 }
 
-// onPlansChanged takes a change of plans. Firms with held requests take it up now; the others with their next request, or in
-// the ticks to come, some in each. What firms have not taken up of the last change they take up before the next.
+// onPlansChanged takes a change of plans. It applies the new plans to firms with held requests now, to others at their next
+// request or in the ticks to come, some in each. A firm that the last change has not been applied to gets it before this one.
 func (g *Gateway) onPlansChanged() {
 	for _, c := range g.awaitingPlans {
 		g.applyPlan(c)
@@ -68,10 +68,10 @@
 	g.dispatch()
 }
 
-// plansAppliedPerTick is how many firms take up a change of plans in one tick.
+// plansAppliedPerTick is to how many firms at most a tick applies a change of plans.
 const plansAppliedPerTick = 1000
 
-// applyPlansInPart lets some of the firms that have not taken up the last change of plans do so.
+// applyPlansInPart applies the last change of plans to some of the firms that wait for it.
 func (g *Gateway) applyPlansInPart() {
 	n := min(plansAppliedPerTick, len(g.awaitingPlans))
 	for _, c := range g.awaitingPlans[:n] {
@@ -128,8 +128,8 @@
 	}
 }
 
-// letOnReservation lets a request go on its firm's reservation: it counts as within the quota, and the ceiling holds all
-// the same.
+// letOnReservation takes a request's units from its firm's reservation and lets it through, if it can, and tells whether it
+// did. The ceiling and the cap hold all the same.
 func (g *Gateway) letOnReservation(r *request) bool {
 	c := r.customer
 	if g.reserves == nil || c.inFlight >= c.slotLimit(g) || !c.withinCeiling(r) || !g.reserves.Take(g.now, c.id, r.Units) {
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -535,7 +535,7 @@
 }
 
 // After congestion the mean latency stays high for long. The refill of send tokens must not wait for it to fall, or so few
-// attempts go that it never does (incident ieaf37c).
+// attempts go that it never does.
 func TestSendTokensRefillAfterCongestion(t *testing.T) {
 	set := testSettings()
 	set.Gateways = 78
@@ -550,8 +550,8 @@
 }
 
 // Where all servers are slow at once, each attempt takes as long with few in flight as with many: the concurrency limit must
-// still allow what was in service before, or the servers' cores are idle while nearly everything is refused (nadi-yard, big-1).
-// Where attempts queue in the servers it must still fall.
+// still allow what was in service before, or the servers' cores are idle while nearly everything is refused. Where attempts
+// queue in the servers it must still fall.
 func TestUniformlySlowServersStayBusy(t *testing.T) {
 	mean := func(latency func(out int) time.Duration) float64 {
 		h := newHarness(t, testSettings(), readyServers(6)...)
--- a/logic/servers.go
+++ b/logic/servers.go
@@ -76,10 +76,10 @@
 	limitCutAt time.Duration // the last time the limit was lowered
 }
 
-// hall sums up the servers of a zone that are usable unless the zone is lost, and counts the attempts there that could not connect
-// or timed out since the last good answer.
+// hall sums up the servers of a zone that are usable unless the zone is lost, and counts the attempts there that could not
+// connect or timed out. An OK, or a server with a new start time, sets that number to 0; other outcomes leave it.
 type hall struct {
-	failures    int           // connects that failed and time-outs since the last good answer
+	failures    int           // failed connects and time-outs since it was set to 0
 	lastFailure time.Duration // the last of them
 	usable      int
 	warm        int // of the usable ones
@@ -98,10 +98,10 @@
 }
 
 const (
-	// lostZoneFailures is how many failures in a row show that a whole zone is cut off.
+	// lostZoneFailures is from how many such failures on (see hall) a zone is taken to be cut off.
 	lostZoneFailures = 4
 
-	// lostZoneRetry is the time after the last failure when another attempt finds out whether it still is.
+	// lostZoneRetry is how long after the last failure another attempt is let through, to test whether the zone still is.
 	lostZoneRetry = 2 * time.Second
 )
 
@@ -115,8 +115,8 @@
 	}
 }
 
-// zoneLost tells whether a whole zone seems to be cut off. After a while one more attempt may find out. Without this, one of
-// many gateways would have to fail at each of its servers.
+// zoneLost tells whether a whole zone seems to be cut off; after lostZoneRetry it does not, so that an attempt can test it.
+// Without this rule one of many gateways would have to fail at each server of the zone.
 func (u *upstream) zoneLost(zone int, now time.Duration) bool {
 	return u.hall(zone).lost(now)
 }
@@ -193,7 +193,7 @@
 
 func byID(a, b *server) int { return cmp.Compare(a.ID, b.ID) }
 
-// withServer puts a server into a sorted list or takes it out, if it is not so already.
+// withServer inserts a server into a sorted list, or removes it. Nothing changes if it is there, or absent, already.
 func withServer(list []*server, s *server, order func(a, b *server) int, in bool) []*server {
 	switch k, found := slices.BinarySearchFunc(list, s, order); {
 	case in && !found:
@@ -277,12 +277,12 @@
 	}
 }
 
-// usableServersScanned is how many usable servers of a long list are compared for an attempt: the best of so many is hardly
-// worse than the best of all.
+// usableServersScanned is how many usable servers of a long list are compared for an attempt. The sample limits the cost of a
+// choice; it may miss the best server.
 const usableServersScanned = 16
 
-// serversToScan is the servers that are compared for a request: all, or a part of a long list. A repeat that few servers may
-// take needs all of them, or none where none of its zone is ready.
+// serversToScan is the servers that are compared for a request: all, or a sample of a long list. For the repeat of a keyed
+// request they are all, since few may take it; or none, if only its zone may take it and no server there is ready.
 func (g *Gateway) serversToScan(r *request) []*server {
 	list := r.upstream.list
 	keyed := r.mayHaveRun && r.class.Effect == Keyed
@@ -366,7 +366,7 @@
 	return g.set.StartCapacity + (1-g.set.StartCapacity)*max(0, age.Seconds())/g.set.Cold.Seconds()
 }
 
-// localLimitGrowth is by how many attempts in flight the local limit grows in a second, to see whether there is room again.
+// localLimitGrowth is by how many attempts in flight the local limit grows in a second (see raiseLocalLimit).
 const localLimitGrowth = 3.0
 
 // noteSent takes note of whether an attempt could leave, or not for want of a connection, port or buffer of this process. Without
@@ -381,7 +381,8 @@
 	}
 }
 
-// raiseLocalLimit lets some more attempts find out, after a while, whether this process is still short.
+// raiseLocalLimit raises the local limit slowly, to test whether this process is still short. Well above the concurrency limit
+// it is removed.
 func (u *upstream) raiseLocalLimit(dt float64) {
 	if u.localLimit <= 0 {
 		return
@@ -404,11 +405,13 @@
 	}
 }
 
-// concurrencyLimit is how many attempts may be in flight from here on the mean. Below one, a first attempt of each gateway is
-// too much for all together: then send tokens come with time, and some are saved up for random bursts.
+// concurrencyLimit is how many attempts may be in flight from here on the mean. It may be below 1: many gateways that each had
+// one attempt in flight would be too much then, so each of many gateways also needs a send token for an attempt (see hasRoom).
+// Send tokens come with time, up to 1 + sqrt(limit), so that random bursts may leave.
 func (u *upstream) concurrencyLimit() float64 { return u.limitPerServer * max(u.warmCapacity, 1) }
 
-// hasRoom tells whether one more attempt may leave.
+// hasRoom tells whether one more attempt may leave. With few gateways: while fewer than limit + 0.5 are in flight. With many:
+// while there is a send token and fewer than limit + sqrt(limit) + 1 are in flight.
 func (g *Gateway) hasRoom(u *upstream) bool {
 	b := u.concurrencyLimit()
 	if u.localLimit > 0 && u.inFlight+1 > u.localLimit {
--- a/logic/state.go
+++ b/logic/state.go
@@ -9,7 +9,8 @@
 	"bramblefall/internal/schedule"
 )
 
-// The records that the decisions in logic.go work on, and helpers that decide nothing.
+// The records of requests, of counter calls and of the gateway, the dispatch of events to their functions, the order of the
+// queue for servers, and the making of counter calls.
 
 // request is a client's try from its arrival to its final answer, or to the end of its attempt if that comes later.
 type request struct {
@@ -43,7 +44,7 @@
 	randomDraw float64
 
 	slotName      uint64 // name of the count that its slot is from; 0: it has none
-	onReservation bool   // it goes on its firm's reservation
+	onReservation bool   // its units are taken from its firm's reservation
 }
 
 // call is a counter call whose answer is due.
@@ -71,13 +72,14 @@
 	planRevision   int               // number of changes of plans so far
 	plansChangedAt time.Duration     // the last of them
 	tickedAt       time.Duration     // the last tick
-	awaitingPlans  []*customer       // may not have taken up the last change of plans
+	awaitingPlans  []*customer       // the last change of plans may not be applied to these yet
 	rng            uint64
 	now            time.Duration
 	resumedAt      time.Duration // when this process last went on after a pause of its own
 	clock          sharedClock
 
-	// unseenShare is the share of all gateways' work that is not seen here, as far as it matters: 0 up to ownViewGateways.
+	// unseenShare is 0 with up to ownViewGateways gateways (few), else 1 - ownViewGateways/Gateways (many). It tells few from
+	// many, and scales what one of many gateways does otherwise.
 	unseenShare float64
 
 	started   bool // the first event has come
@@ -95,7 +97,7 @@
 	dormantRotatedAt  time.Duration              // the last time that dormantBefore was forgotten
 
 	servers   map[ServerID]*server
-	*upstream // of group 0, the only one in the simulator
+	*upstream // of group 0
 	upstreams []*upstream
 
 	initialLatency float64    // guess before the first answer
@@ -310,7 +312,8 @@
 	g.firms.SetEarlier(r.customer, g.now)
 }
 
-// enqueue puts a request among those that wait for a server: the highest worth first, a retry before others of its worth.
+// enqueue puts a request among those that wait for a server: the highest worth first, then those of equal worth in the order
+// in which they came here. With beforeEqualWorth it goes before all of its worth.
 func (g *Gateway) enqueue(r *request, again bool) {
 	at := sort.Search(len(g.queue), func(k int) bool {
 		w := g.queue[k].worth()
--- a/logic/trace_test.go
+++ b/logic/trace_test.go
@@ -102,8 +102,7 @@
 	return hash.Sum64()
 }
 
-// With one counter, the actions must be the same, one for one, as recorded before several counters were supported. An intended
-// change of decisions renews the hashes in its own commit.
+// The actions with one counter are fixed by recorded hashes. A commit that changes decisions on purpose records them anew.
 func TestActionsMatchRecordedHashes(t *testing.T) {
 	for _, c := range []struct {
 		gateways int
--- a/logic/tuning.go
+++ b/logic/tuning.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// The constants of the decisions in logic.go. Where a comment names g, it is the even share of a quota: what a gateway may use
-// that knows nothing of the others (see evenShare).
+// Most of the constants of the decisions; those of one file alone may stand there. The even share of a quota is what a gateway
+// may use that knows nothing of the others (see evenShare).
 
 // Time.
 const (
@@ -15,8 +15,9 @@
 	// answerMargin is how long before the client's deadline the final answer goes out.
 	answerMargin = 6 * ms
 
-	// customerIdleTimeout is how long a customer is remembered after its last request. It also bounds the time to come back that
-	// a refusal gets from the servers' load (see timeUntilRoom).
+	// customerIdleTimeout is how long after its last request a customer's whole record is dropped. A dormant one is dropped
+	// between one and two such times after it became dormant. It also bounds the time to come back that a refusal gets from
+	// the servers' load (see timeUntilRoom).
 	customerIdleTimeout = 60 * time.Second
 
 	// logInterval is the least time between two log lines of the same kind.
@@ -37,17 +38,18 @@
 	// maxInterval bounds the forecast interval where there are few gateways.
 	maxInterval = 2 * time.Second
 
-	// minReportedShare is the forecast, as a share of g, below which a gateway does not report it.
+	// minReportedShare is the forecast, as a share of the even share, below which a gateway does not report it.
 	minReportedShare = 0.3
 
-	// stepsPerEvenShare is the number of steps of g in which forecasts are reported, where few enough gateways share the sum.
+	// stepsPerEvenShare is how many steps make up an even share in reported forecasts, where few enough gateways share the
+	// sum.
 	stepsPerEvenShare = 8
 
-	// maxForecastSteps bounds a reported forecast: 8 g at most.
+	// maxForecastSteps bounds a reported forecast, in steps: to 8 even shares where stepsPerEvenShare steps make up one.
 	maxForecastSteps = 64
 
-	// maxPackedSum bounds the number of gateways, and the sum of the steps within g, in one packed number. A customer with more
-	// gateways gets even shares.
+	// maxPackedSum bounds, in one packed number, the number of gateways and the sum of what they forecast within their even
+	// shares, in steps. A customer with more gateways gets even shares.
 	maxPackedSum = 127
 
 	// minSummedCapShare is a gateway's even share of a concurrency cap, in attempts, below which it is too coarse for a split by
@@ -55,10 +57,11 @@
 	minSummedCapShare = 2.0
 )
 
-// Pacing of held requests: the spacing is 1/B + a(S - B) + bE, relative to 1/B (see spacing).
+// Pacing of held requests: the weights a and b of (1 + a*max(0, S-B)/B + b*E/bucketSize) / B, where B is the share (see
+// spacing).
 const (
-	pacingProportional = 0.1 // a: weight of the rate above the share
-	pacingIntegral     = 0.1 // b: weight of the accumulated excess E
+	pacingProportional = 0.1 // a: weight of S, the recent rate, above the share
+	pacingIntegral     = 0.1 // b: weight of E, the recent excess
 )
 
 // Calls to the quota counters.
@@ -83,27 +86,31 @@
 	// for that. So one failure in thirteen calls is tolerated; at one in twelve or more the share falls towards its minimum.
 	callShareGrowth = 1.02
 
-	// failuresBeforeBackoff is how many failures in a row show that a counter is down.
+	// failuresBeforeBackoff is from how many failures on, without an OK between them, calls to a counter pause.
 	failuresBeforeBackoff = 3
 
-	// maxCounterBackoff bounds the mean pause in calls to a counter that fails: it may be back without anybody noticing. Each
-	// pause is drawn between half the mean and one and a half times the mean.
+	// maxCounterBackoff bounds the mean pause in calls to a counter that fails, since a counter that is back does not say so.
+	// Each pause is drawn between half the mean and one and a half times the mean.
 	maxCounterBackoff = time.Second
 
-	// maxFullCounterBackoff is the same bound for a counter that turns calls away. It is not reached: the mean pause is twice
-	// maxCounterBackoff at most, since that bound is applied before the last doubling.
+	// maxFullCounterBackoff is the same bound where the counter turned the call away (Full): the mean is doubled once more
+	// then. It has no effect at this value: the mean is at most twice maxCounterBackoff, since that bound is applied before
+	// the last doubling.
 	maxFullCounterBackoff = 4 * time.Second
 
-	// lateSumTimeout is how long the answer to a call is of use if no request waits for it.
+	// lateSumTimeout is the time-out of a counter call, but for one that a request of one of few gateways waits for: that has
+	// Settings.CounterLimit. It is also the pause in draws from a shared bucket after a failed one, and the time over which
+	// the gateways spread the repeated reports to a counter that turned them away.
 	lateSumTimeout = 250 * ms
 
-	// minRereportShare is the least share of calls made that counts when repeated reports are spread out: the fewer calls are
+	// minRereportShare is the least share of calls made that counts when repeated reports are spread: the fewer calls are
 	// made, the longer the time they are spread over, lateSumTimeout / minRereportShare at most.
 	minRereportShare = 0.3
 )
 
-// Few gateways take the fractions of slots of a cap in turns by the clock (see slotLimit). Beside a rate, a share below one slot
-// is taken so even while the customer sends little: gateways that each allowed one attempt would exceed the cap together.
+// Few gateways take the fractions of slots of a cap in turns by the shared clock (see slotLimit). Where the plan also has a
+// rate, an even share below one slot is taken so even while the customer sends little: gateways that each allowed one attempt
+// would exceed the cap together.
 const (
 	// maxTurnTime bounds the length of a turn.
 	maxTurnTime = 600 * ms
@@ -122,17 +129,18 @@
 	// maxDrawsPerRequest bounds the counter calls that one request may cause.
 	maxDrawsPerRequest = 3
 
-	// busyLoad is the load on a quota (demand over quota) from which on draws are thinned out.
+	// busyLoad is the load on a quota (demand over quota) from which on it is remembered (see loadEstimates). Remembered loads
+	// thin the draws out: those that may ask the counter above load 1, requests that cannot ask it above unaskedQuotaShare.
 	busyLoad = 0.8
 
-	// unaskedQuotaShare is the share of a quota that is passed where the counter cannot be asked.
+	// unaskedQuotaShare is the share of a quota that is passed where the counter cannot be asked and a load is remembered.
 	unaskedQuotaShare = 0.8
 
 	// maxOnDemandShares is how many gateways at most are taken to carry a customer whose quota is drawn on demand: most of its
 	// requests come through so few. Its share is sized by that number.
 	maxOnDemandShares = 6.0
 
-	// loadEstimateTTL is how long a customer is taken for busy after a counter's answer showed it.
+	// loadEstimateTTL is how long a load of busyLoad or more is remembered after the counter's answer that showed it.
 	loadEstimateTTL = 8 * time.Second
 
 	// sharedBucketRequests is the size of a gateway's bucket, in requests of typical units, below which its share is too coarse for
@@ -220,7 +228,7 @@
 
 // Many gateways.
 const (
-	// ownViewGateways is the number of gateways up to which what a gateway sees itself is enough to go by.
+	// ownViewGateways is the number of gateways up to which a gateway goes by its own observations without correction.
 	ownViewGateways = 4.0
 
 	// nearbyServers is how many servers one of many gateways keeps to.
