--- a/logic/api.go
+++ b/logic/api.go
@@ -93,7 +93,10 @@
 	Holders(now time.Duration, name uint64, began time.Duration) []int
 }
 
-// Settings configure a gateway at its start.
+// Settings configure a gateway at its start. This package does not read the settings for real sockets, nor Zones, AskWithin,
+// Meter, Probes, Peers, PeerIntake, ReportFields, ReportsInAnswers, Resolution, FallMultiple and DrainGrace. Nor does it read
+// Server.Weight, Server.Kind, Outcome.UsedPercentPlusOne and Outcome.Load; it ignores ProbeResult and Message, and never
+// returns Probe, CloseIdle, Tell or FetchList.
 type Settings struct {
 	Gateways, Rank int // number of gateways; number of this one, from 0
 	Zone           int // of this gateway
@@ -101,7 +104,7 @@
 	Classes        []Class
 	Plans          []Plan
 
-	// Only real sockets need these; no decision depends on them.
+	// For real sockets only.
 	ZoneNames, KindNames []string
 	ConnIdle             time.Duration // servers close a connection that has been idle for so long
 	ConnectTimeout       time.Duration // a connection attempt ends after so long
@@ -263,14 +266,14 @@
 // Timer says that a timer has expired (event).
 type Timer struct{ Token uint32 }
 
-// ProbeResult answers a probe (event).
+// ProbeResult answers a probe; it is ignored (event).
 type ProbeResult struct {
 	Server ServerID
 	Status Status
 	Load   []float64
 }
 
-// Message is a message from another gateway (event).
+// Message is a message from another gateway; it is ignored (event).
 type Message struct {
 	From int
 	Data []byte
--- a/logic/counters.go
+++ b/logic/counters.go
@@ -44,8 +44,8 @@
 }
 
 // countStart is when a count's interval began, at all gateways.
-func (c *customer) countStart(what int64) time.Duration {
-	if what == bucketDraws {
+func (c *customer) countStart(kind int64) time.Duration {
+	if kind == bucketDraws {
 		return c.filledAt - c.totalAge(c.filledAt)
 	}
 	return time.Duration(c.intervalNumber)*c.interval - c.phase
--- a/logic/customers.go
+++ b/logic/customers.go
@@ -96,11 +96,11 @@
 
 // countName is the counter's name for one of the interval's counts. Gateways agree on it without communication. Those that hold
 // the firm to other figures count in other steps and intervals, so their names differ.
-func (c *customer) countName(what int64) uint64 {
-	if what == bucketDraws {
-		return mix(c.id ^ c.fingerprint ^ mix(uint64(int64((c.filledAt+c.clockAhead)/c.countLength(bucketDraws))<<2|what)))
+func (c *customer) countName(kind int64) uint64 {
+	if kind == bucketDraws {
+		return mix(c.id ^ c.fingerprint ^ mix(uint64(int64((c.filledAt+c.clockAhead)/c.countLength(bucketDraws))<<2|kind)))
 	}
-	return mix(c.id ^ c.fingerprint ^ mix(uint64(c.intervalNumber<<2|what)))
+	return mix(c.id ^ c.fingerprint ^ mix(uint64(c.intervalNumber<<2|kind)))
 }
 
 // pack puts three sums into one number: two up to 127, one up to 1023. They take the 24 bits that a float of single precision
@@ -118,11 +118,11 @@
 func (c *customer) bucketSize() float64 { return c.plan.Burst / c.shares }
 
 // countLength is how long a count is added to before the next begins.
-func (c *customer) countLength(what int64) time.Duration {
-	if what != bucketDraws {
+func (c *customer) countLength(kind int64) time.Duration {
+	if kind != bucketDraws {
 		return c.interval
 	}
-	return min(time.Duration(epochBursts*float64(c.interval)), maxEpochLength)
+	return min(time.Duration(runningTotalIntervals*float64(c.interval)), maxRunningTotalLength)
 }
 
 // totalAge is how long the running total of a customer's shared bucket has been added to.
@@ -131,24 +131,25 @@
 }
 
 const (
-	// epochBursts is the length of a running total (an epoch) in intervals of the customer, each of them the time to fill a
-	// burst, and at least a second.
-	epochBursts = 8.0
+	// runningTotalIntervals is how many of the customer's intervals (the time to fill a burst, and at least a second) a
+	// running total of a shared bucket is added to before the next begins under a new name.
+	runningTotalIntervals = 8.0
 
-	// maxEpochLength bounds it: the counter keeps a name three times as long, and for 60 s at most.
-	maxEpochLength = 20 * time.Second
+	// maxRunningTotalLength bounds that time. A name is kept by the counter for three times as long, and for 60 s at most: so
+	// 20 s.
+	maxRunningTotalLength = 20 * time.Second
 
-	// bucketStateTTL is how long a total says something about the next one.
+	// bucketStateTTL is the age from which on the level of a shared bucket, as last read, is not carried on.
 	bucketStateTTL = 8 * time.Second
 )
 
 // bucketState is the state of a token bucket that all gateways draw on, by the last total that the counter gave.
 type bucketState struct {
-	readAt time.Duration // when that total came; 0: none has come
-	name   uint64        // of its count
-	total  float64       // units drawn by all
-	level  float64       // units in the bucket; below 0: drawn and not filled yet
-	drain  float64       // units a second that all draw, smoothed
+	readAt   time.Duration // when that total came; 0: none has come
+	name     uint64        // of its count
+	total    float64       // units drawn by all
+	level    float64       // units in the bucket; below 0: drawn and not filled yet
+	drawRate float64       // units a second that all draw, smoothed
 }
 
 // isFresh tells whether so little time has passed since the last total that no burst can have been drawn without notice.
@@ -156,37 +157,38 @@
 	return s.readAt > 0 && (now-s.readAt).Seconds()*p.Rate <= p.Burst
 }
 
-// rushTime is the time in seconds over which the first draws of all gateways after a pause are spread, so that one request
-// from each fits the ceiling; 0 if the recent draws are known.
-func (c *customer) rushTime(now time.Duration, units float64) float64 {
+// startSpreadSeconds is the time in seconds over which the first draws of all gateways after a pause are spread, so that one
+// request from each fits the ceiling; 0 if the recent draws are known.
+func (c *customer) startSpreadSeconds(now time.Duration, units float64) float64 {
 	if c.plan.CeilingRate <= 0 || c.bucket.isFresh(now, c.plan) {
 		return 0
 	}
 	return max(0, c.gateways*units-c.plan.CeilingBurst) / c.plan.CeilingRate
 }
 
-// update takes a total that includes this gateway's own draw. A total under a new name, or one that is lower since the counter
-// lost its state, tells little: the draws that were not seen are taken to have gone on as before.
-func (s *bucketState) update(now time.Duration, name uint64, total float64, p Plan, since time.Duration) {
+// update takes a total that includes this gateway's own draw; totalAge is how long the total has been added to. A total under
+// a new name, or one that is lower since the counter lost its state, tells little: the draws that were not seen are taken to
+// have gone on as before.
+func (s *bucketState) update(now time.Duration, name uint64, total float64, p Plan, totalAge time.Duration) {
 	dt := (now - s.readAt).Seconds()
-	most, whole := p.Burst, p.Burst+p.Rate*since.Seconds()-total // whole: the level if a full bucket never overflowed
+	maxLevel, levelIfNeverFull := p.Burst, p.Burst+p.Rate*totalAge.Seconds()-total
 	if !s.isFresh(now, p) {
-		most /= 2 // a burst at the end of the time between may have gone unnoticed
+		maxLevel /= 2 // a burst at the end of the time between may have gone unnoticed
 	}
 	switch {
 	case s.readAt == 0 || dt > bucketStateTTL.Seconds():
-		s.level, s.drain = whole, 0
+		s.level, s.drawRate = levelIfNeverFull, 0
 	case name == s.name && total >= s.total:
 		s.level += p.Rate*dt - (total - s.total)
-		s.drain += min(dt, 1) * ((total-s.total)/max(dt, 1e-3) - s.drain)
+		s.drawRate += min(dt, 1) * ((total-s.total)/max(dt, 1e-3) - s.drawRate)
 	default:
-		s.level = min(s.level+max(0, p.Rate-s.drain)*dt, whole)
+		s.level = min(s.level+max(0, p.Rate-s.drawRate)*dt, levelIfNeverFull)
 	}
-	s.level = max(min(s.level, most), -p.Burst)
+	s.level = max(min(s.level, maxLevel), -p.Burst)
 	s.readAt, s.name, s.total = now, name, total
 }
 
-// quotaLoad is a customer's demand over its quota as last counted, 0 if it was not found busy.
+// quotaLoad is a customer's demand over its quota as last counted; 0 if no load of busyLoad or more is remembered.
 func (g *Gateway) quotaLoad(c *customer) float64 {
 	if w := g.loadEstimates[c.id]; g.now < w.expires {
 		return w.load
@@ -263,13 +265,13 @@
 	if len(c.held) > 0 {
 		at = g.now
 	}
-	g.firms.Set(c, at)
+	g.dueTimes.Set(c, at)
 }
 
 // scheduleReread sets when a firm's sums are read again.
 func (g *Gateway) scheduleReread(c *customer, after time.Duration) {
 	c.rereadAt = g.now + after
-	g.firms.SetEarlier(c, c.rereadAt)
+	g.dueTimes.SetEarlier(c, c.rereadAt)
 }
 
 // dormantCustomer is what is kept of a quiet customer, in less memory. With its next request the customer goes on from these
@@ -304,7 +306,7 @@
 		return false
 	}
 	delete(g.customers, c.id)
-	g.firms.Remove(c) // onPlansChanged may have scheduled it again
+	g.dueTimes.Remove(c) // onPlansChanged may have scheduled it again
 	if !forgotten {
 		g.dormant[c.id] = dormantCustomer{c.intervalNumber, c.filledAt, float32(c.level), float32(c.ceiling), float32(c.recentExcess), float32(c.recentRate),
 			float32(c.meanChange), float32(c.meanRise), float32(c.bestWorth), int32(c.tier), int32(c.planRevision), uint32(c.Order)}
--- a/logic/due_test.go
+++ b/logic/due_test.go
@@ -56,7 +56,7 @@
 	handle := func(ev Event) {
 		if timer, ok := ev.(Timer); ok && timer.Token == tickToken {
 			for _, c := range pair[1].customers {
-				pair[1].firms.Set(c, now)
+				pair[1].dueTimes.Set(c, now)
 			}
 		}
 		acts := pair[0].Handle(now, ev)
@@ -178,13 +178,13 @@
 	if !slices.IsSortedFunc(g.queue, func(a, b *request) int { return cmp.Compare(b.worth(), a.worth()) }) {
 		t.Fatal("the queue for servers is not in the order of worth")
 	}
-	if g.firms.Len() != len(g.customers) {
-		t.Fatalf("%d firms are scheduled, want all %d that are known", g.firms.Len(), len(g.customers))
+	if g.dueTimes.Len() != len(g.customers) {
+		t.Fatalf("%d firms are scheduled, want all %d that are known", g.dueTimes.Len(), len(g.customers))
 	}
-	near := slices.Clone(u.nearestFirst)
-	slices.SortFunc(near, byID)
-	if !slices.Equal(u.list, list) || !slices.Equal(near, list) || !slices.Equal(u.withAttempts, working) || !slices.Equal(u.cold, cold) ||
-		!slices.IsSortedFunc(u.nearestFirst, func(a, b *server) int { return cmp.Compare(g.rendezvousRank(a), g.rendezvousRank(b)) }) {
+	sorted := slices.Clone(u.inPreferredOrder)
+	slices.SortFunc(sorted, byID)
+	if !slices.Equal(u.list, list) || !slices.Equal(sorted, list) || !slices.Equal(u.withAttempts, working) || !slices.Equal(u.cold, cold) ||
+		!slices.IsSortedFunc(u.inPreferredOrder, func(a, b *server) int { return cmp.Compare(g.rendezvousRank(a), g.rendezvousRank(b)) }) {
 		t.Fatal("the lists of servers differ from those of a full scan")
 	}
 }
@@ -210,7 +210,7 @@
 		}
 	}
 	ticks(5 * time.Second)
-	if due, whole, dormant := len(g.firms.TakeDue(now+time.Second)), len(g.customers), len(g.dormant); due != 0 || whole != 0 || dormant != 100_000 {
+	if due, whole, dormant := len(g.dueTimes.TakeDue(now+time.Second)), len(g.customers), len(g.dormant); due != 0 || whole != 0 || dormant != 100_000 {
 		t.Errorf("%d quiet firms due in a second, %d with a whole record, %d dormant; want 0, 0, 100000", due, whole, dormant)
 	}
 	ticks(2*customerIdleTimeout + time.Second)
@@ -227,8 +227,8 @@
 		c := g.customerOf(&request{Request: Request{Customer: 7, Spread: 3}, plan: g.set.Plans[0]})
 		c.pending = 0
 		g.now += after
-		if !g.makeDormant(c) || len(g.customers) != 0 || g.firms.Len() != 0 {
-			t.Errorf("after %v: %d firms known, %d scheduled; want none", after, len(g.customers), g.firms.Len())
+		if !g.makeDormant(c) || len(g.customers) != 0 || g.dueTimes.Len() != 0 {
+			t.Errorf("after %v: %d firms known, %d scheduled; want none", after, len(g.customers), g.dueTimes.Len())
 		}
 	}
 }
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -10,7 +10,7 @@
 
 func (g *Gateway) onTick() {
 	g.do(SetTimer{tickToken, tick})
-	g.endIntervals()
+	g.serveDueCustomers()
 	for _, u := range g.upstreams {
 		g.tickUpstream(u)
 	}
@@ -60,9 +60,9 @@
 	if g.requests[q.ID] != nil {
 		return
 	}
-	plan, known := g.planOf(q.Customer, q.Plan)
-	known = known && q.Class >= 0 && q.Class < len(g.set.Classes)
-	if !known || q.TTL <= answerMargin || !(q.Units >= 0) || q.Units > 1e6 {
+	plan, valid := g.planOf(q.Customer, q.Plan)
+	valid = valid && q.Class >= 0 && q.Class < len(g.set.Classes)
+	if !valid || q.TTL <= answerMargin || !(q.Units >= 0) || q.Units > 1e6 {
 		g.do(Refuse{ID: q.ID}) // nothing can be done in time, and a later try would fare no better
 		return
 	}
@@ -99,7 +99,7 @@
 	r.customer = g.customerOf(r)
 	r.customer.demanded, r.customer.bestWorth = r.customer.demanded+r.demand(g),
 		max(r.customer.bestWorth, r.class.Worth)
-	g.admit(r)
+	g.decide(r)
 }
 
 // onDeadline answers a request that has run out of time, and cancels its attempt.
@@ -118,8 +118,8 @@
 		return
 	}
 	mayRun := r.mayHaveRun || r.server != nil
-	known := r.class.Effect == Keyed && r.class.KeyGroup == GroupAll && r.server == nil
-	if r.class.Effect == Safe || !mayRun || known {
+	repeatIsDropped := r.class.Effect == Keyed && r.class.KeyGroup == GroupAll && r.server == nil
+	if r.class.Effect == Safe || !mayRun || repeatIsDropped {
 		g.do(Refuse{r.ID, min(max(after, g.timeUntilRoom(r.upstream)), g.set.MaxRetryAfter)})
 	} else {
 		g.do(Fail{r.ID})
@@ -197,7 +197,7 @@
 	}
 	g.catchUp(c)
 	g.applyPlan(c)
-	g.firms.SetEarlier(c, c.intervalEnd())
+	g.dueTimes.SetEarlier(c, c.intervalEnd())
 	c.lastSeen, c.pending = g.now, c.pending+1
 	return c
 }
@@ -230,13 +230,13 @@
 	c.share = c.evenShare()
 }
 
-// endIntervals applies changes of plans, forgets old dormant records, and looks at the customers that
+// serveDueCustomers applies changes of plans, forgets old dormant records, and looks at the customers that
 // something is due for: ends of intervals, reports, reads of sums, held requests, becoming dormant.
-func (g *Gateway) endIntervals() {
+func (g *Gateway) serveDueCustomers() {
 	g.applyPlansInPart()
 	g.tickedAt = g.now
 	g.rotateDormant()
-	for _, c := range g.firms.TakeDue(g.now) {
+	for _, c := range g.dueTimes.TakeDue(g.now) {
 		g.applyPlan(c)
 		if g.catchUp(c) {
 			g.reportForecast(c)
@@ -296,7 +296,7 @@
 
 // availableCounters finds the counters of a customer's count that may be called now, each with at least as
 // many calls left as given, and the bits of those that are not called.
-func (g *Gateway) availableCounters(c *customer, what int64, minCalls float64) (to []*counter, spared uint8) {
+func (g *Gateway) availableCounters(c *customer, kind int64, minCalls float64) (to []*counter, spared uint8) {
 	available := func(k *counter) bool { return g.now >= k.noCallsUntil && k.callsLeft >= minCalls }
 	switch {
 	case !g.set.HasCounter || g.counterMap == nil && !available(g.counter):
@@ -304,7 +304,7 @@
 	case g.counterMap == nil:
 		return g.counters, 0
 	}
-	for n, number := range g.counterMap.Holders(g.now, c.countName(what), c.countStart(what)) {
+	for n, number := range g.counterMap.Holders(g.now, c.countName(kind), c.countStart(kind)) {
 		if k := g.counterNumbered(number); available(k) {
 			to = append(to, k)
 		} else {
@@ -315,13 +315,13 @@
 }
 
 // addToCount calls the counter for a customer's interval, unless calls fail or their budget is used up.
-func (g *Gateway) addToCount(c *customer, what int64, amount float64, r *request) bool {
-	to, spared := g.availableCounters(c, what, 1)
+func (g *Gateway) addToCount(c *customer, kind int64, amount float64, r *request) bool {
+	to, spared := g.availableCounters(c, kind, 1)
 	for _, k := range to {
 		k.callsLeft--
 	}
 	if len(to) > 0 {
-		g.callCounter(c, c.countName(what), what, amount, r, spared)
+		g.callCounter(c, c.countName(kind), kind, amount, r, spared)
 	}
 	return len(to) > 0
 }
@@ -357,48 +357,49 @@
 }
 
 func (g *Gateway) onCountResult(e CountResult) {
-	made, ok := g.takeCall(e.Name)
+	pending, ok := g.takeCall(e.Name)
 	if !ok {
 		return
 	}
-	c, r := made.customer, made.request
+	c, r := pending.customer, pending.request
 	g.catchUp(c)
 	callShare := g.observeCounters(e)
 	if e.Status != OK {
 		// The report may have been added all the same: the next read of the sums shows whether it was.
-		if made.added && c.reported > 0 && e.Name == c.countName(forecastSums) {
+		if pending.added && c.reported > 0 && e.Name == c.countName(forecastSums) {
 			after := max(g.set.CounterLimit, 3*tick)
 			if e.Status == Full { // it was not added, so it is reported again
-				c.reported, after = 0, time.Duration(g.random()*float64(lateSumTimeout)/max(callShare, minRereportShare))
+				c.reported, after = 0, time.Duration(
+					g.random()*float64(counterCallTimeout)/max(callShare, minRereportShare))
 			}
 			g.scheduleReread(c, after)
 		}
 		g.logLimited("counter", fmt.Sprintf("a call failed (status %d), using even shares meanwhile", e.Status))
 		if r != nil {
 			r.drawsMade = maxDrawsPerRequest // no further draws: it is decided by what is known here
-			g.admit(r)
+			g.decide(r)
 		}
-		if c.drawPending && made.kind == bucketDraws {
-			c.drawPending, c.noDrawsUntil = false, g.now+lateSumTimeout
+		if c.drawPending && pending.kind == bucketDraws {
+			c.drawPending, c.noDrawsUntil = false, g.now+counterCallTimeout
 			g.releaseHeld(c)
 		}
 		return
 	}
-	switch what := made.kind; {
+	switch kind := pending.kind; {
 	// Sums of another interval come too late: the share stays even.
-	case what == forecastSums && e.Name == c.countName(forecastSums) && c.reported > 0:
+	case kind == forecastSums && e.Name == c.countName(forecastSums) && c.reported > 0:
 		first := c.rereadAt == 0 && c.share == c.evenShare()
 		complete := g.takeShare(c, e.Total)
 		if first && !complete && c.forecast > c.evenShare() {
 			g.scheduleReread(c, max(g.set.CounterLimit, 3*tick)) // the others have reported by then
 		}
 	// What was counted under another plan's figures says nothing of these.
-	case what == quotaUse && made.planRevision != c.planRevision:
+	case kind == quotaUse && pending.planRevision != c.planRevision:
 		if r != nil {
 			r.drawsMade = maxDrawsPerRequest
-			g.admit(r)
+			g.decide(r)
 		}
-	case what == quotaUse:
+	case kind == quotaUse:
 		most, left := c.intervalQuota(g), c.intervalEnd()-g.now
 		// At an interval's start a few units say little, so 2 units are added to both use and allowance.
 		load := (e.Total + 2) / (most*(1-left.Seconds()/c.interval.Seconds()) + 2)
@@ -411,17 +412,17 @@
 			}
 			g.onDraw(r, g.now >= c.exhaustedUntil, left)
 		}
-	case what == bucketDraws:
+	case kind == bucketDraws:
 		c.drawPending = false
-		if made.planRevision == c.planRevision && c.sharedBucket { // units drawn under another plan are of no use
-			apart := g.random() * c.rushTime(g.now, g.meanRequestUnits) // all gateways may start at once
+		if pending.planRevision == c.planRevision && c.sharedBucket { // units under another plan are of no use
+			spreadDelay := g.random() * c.startSpreadSeconds(g.now, g.meanRequestUnits) // all may start at once
 			c.bucket.update(g.now, e.Name, e.Total, c.plan, c.totalAge(g.now))
-			c.drawnUnits += made.units
-			wait := apart + max(0, -c.bucket.level)/c.plan.Rate
+			c.drawnUnits += pending.units
+			wait := spreadDelay + max(0, -c.bucket.level)/c.plan.Rate
 			c.drawnDueAt = g.now + time.Duration(wait*float64(time.Second))
 		}
 		g.releaseHeld(c)
-	case what == slotsTaken && r != nil:
+	case kind == slotsTaken && r != nil:
 		r.slotName = e.Name
 		g.onDraw(r, e.Total <= float64(c.plan.Open)+1e-6, time.Duration(g.latency))
 	}
@@ -472,15 +473,15 @@
 	if !g.set.HasCounter || !c.withinCeiling(r) {
 		return false
 	}
-	amount, what := r.Units, quotaUse
+	amount, kind := r.Units, quotaUse
 	if c.plan.Rate <= 0 {
-		amount, what = 1, slotsTaken
+		amount, kind = 1, slotsTaken
 	}
-	if what == quotaUse && g.now < c.exhaustedUntil { // nothing is left of the interval's quota
+	if kind == quotaUse && g.now < c.exhaustedUntil { // nothing is left of the interval's quota
 		g.holdForDraw(r, c.exhaustedUntil-g.now)
 		return true
 	}
-	load, ask := g.quotaLoad(c), r.drawsMade < maxDrawsPerRequest && g.mayCallCounter(c, what)
+	load, ask := g.quotaLoad(c), r.drawsMade < maxDrawsPerRequest && g.mayCallCounter(c, kind)
 	chance := 1 / max(load, 1)
 	if !ask && load > 0 {
 		chance = unaskedQuotaShare / max(load, unaskedQuotaShare)
@@ -492,7 +493,7 @@
 	if ask {
 		r.drawsMade++
 		amount, c.uncounted = amount+c.uncounted, 0
-		return g.addToCount(c, what, amount, r)
+		return g.addToCount(c, kind, amount, r)
 	}
 	return false
 }
@@ -557,8 +558,8 @@
 }
 
 // mayCallCounter keeps the last calls of the budget for the plans of the highest price.
-func (g *Gateway) mayCallCounter(c *customer, what int64) bool {
-	to, _ := g.availableCounters(c, what, 1+callsKeptForMaxPrice*(1-c.plan.Price/g.maxPrice))
+func (g *Gateway) mayCallCounter(c *customer, kind int64) bool {
+	to, _ := g.availableCounters(c, kind, 1+callsKeptForMaxPrice*(1-c.plan.Price/g.maxPrice))
 	return len(to) > 0
 }
 
@@ -622,8 +623,8 @@
 		pacingIntegral*c.recentExcess/max(c.bucketSize(), 1e-6)) / share
 }
 
-// admit lets a request through, draws for it, holds it or refuses it.
-func (g *Gateway) admit(r *request) {
+// decide lets a request through, draws for it, holds it or refuses it.
+func (g *Gateway) decide(r *request) {
 	c := r.customer
 	if c.refill(g.now); r.answered {
 		return
@@ -635,13 +636,13 @@
 		g.finish(r, 0)
 		return
 	}
-	waits := func(h *request) bool { return h.class.Worth >= r.class.Worth }
+	goesFirst := func(h *request) bool { return h.class.Worth >= r.class.Worth }
 	if c.sharedBucket {
 		g.hold(r)
 		g.releaseHeld(c)
 		return
 	}
-	if !slices.ContainsFunc(c.held, waits) && (c.onDemand && g.drawOnDemand(r) || g.letWithinQuota(r)) {
+	if !slices.ContainsFunc(c.held, goesFirst) && (c.onDemand && g.drawOnDemand(r) || g.letWithinQuota(r)) {
 		return
 	}
 	if g.overQuotaPays(r) && c.withinCeiling(r) {
@@ -727,19 +728,19 @@
 			g.finish(r, max(c.interval, c.drawnDueAt-g.now))
 		}
 	}
-	for k, waits := 0, -1.0; k < len(c.held) && g.now >= c.nextRelease; {
+	for k, blockedWorth := 0, -1.0; k < len(c.held) && g.now >= c.nextRelease; {
 		switch r := c.held[k]; {
-		case r.class.Worth <= waits: // one of its worth or more is still held, and needs no more units
+		case r.class.Worth <= blockedWorth: // one of its worth or more is still held, and needs no more units
 			k++
 		case c.onDemand && g.drawOnDemand(r), c.sharedBucket && g.spendDrawnUnits(r):
-			c.held, k, waits = withoutRequest(c.held, r), 0, -1
+			c.held, k, blockedWorth = withoutRequest(c.held, r), 0, -1
 		case !(c.sharedBucket && g.drawAhead(c)) && g.letWithinQuota(r):
-			c.held, k, waits = withoutRequest(c.held, r), 0, -1
+			c.held, k, blockedWorth = withoutRequest(c.held, r), 0, -1
 			if c.plan.Rate > 0 && !r.onReservation {
 				c.nextRelease = g.now + time.Duration(r.Units*c.spacing()*float64(time.Second))
 			}
 		default:
-			waits, k = r.class.Worth, k+1
+			blockedWorth, k = r.class.Worth, k+1
 		}
 	}
 }
@@ -954,18 +955,18 @@
 // gateways look at a few drawn at random first: otherwise all would find the same server best.
 func (g *Gateway) chooseServer(r *request) (best *server) {
 	if u := r.upstream; g.unseenShare > 0 && len(u.list) > drawnServers {
-		near := make([]*server, 0, nearbyServers)
-		for _, s := range u.nearestFirst[:min(len(u.nearestFirst), maxServersScanned)] {
+		preferred := make([]*server, 0, preferredServers)
+		for _, s := range u.inPreferredOrder[:min(len(u.inPreferredOrder), maxServersScanned)] {
 			if s.State == Ready && !u.zoneLost(s.Zone, g.now) && (!s.ejected || g.trialDue(r, s)) {
-				if near = append(near, s); len(near) == nearbyServers {
+				if preferred = append(preferred, s); len(preferred) == preferredServers {
 					break
 				}
 			}
 		}
 		few := make([]*server, 0, drawnServers)
-		for k := 0; k < 2*drawnServers && len(near) > 0 && len(few) < drawnServers; k++ {
+		for k := 0; k < 2*drawnServers && len(preferred) > 0 && len(few) < drawnServers; k++ {
 			// A cold server is drawn as often as its share of a warm one's capacity says, by each gateway alike.
-			if s := near[int(g.random()*float64(len(near)))]; g.random() < g.warmShare(s) {
+			if s := preferred[int(g.random()*float64(len(preferred)))]; g.random() < g.warmShare(s) {
 				few = append(few, s)
 			}
 		}
@@ -985,7 +986,7 @@
 	mostEjected := 2*r.upstream.usableServers < float64(len(r.upstream.list))
 	for _, s := range list {
 		w := g.warmShare(s)
-		if s.State != Ready || !g.dropsRepeat(r, s) || !room ||
+		if s.State != Ready || !g.repeatIsSafeAt(r, s) || !room ||
 			float64(s.inFlight) >= math.Ceil(r.upstream.limitPerServer) ||
 			w < 1 && !drawn && !g.coldServerMayTake(r, s, w, len(list)) {
 			continue
@@ -1017,9 +1018,9 @@
 	return may && g.now >= s.ejectedUntil && !s.trialPending && s.inFlight == 0
 }
 
-// dropsRepeat tells whether a server may take a request: it is no repeat of a keyed one that may have run, or
-// the server is in the group that drops its repeats, and the key has not expired.
-func (g *Gateway) dropsRepeat(r *request, s *server) bool {
+// repeatIsSafeAt tells whether a server may take a request: it is no repeat of a keyed one that may have run,
+// or the server is in the group that drops its repeats, and the key has not expired.
+func (g *Gateway) repeatIsSafeAt(r *request, s *server) bool {
 	if !r.mayHaveRun || r.class.Effect != Keyed {
 		return true
 	}
--- a/logic/many_test.go
+++ b/logic/many_test.go
@@ -267,8 +267,8 @@
 			}
 			h.sent = h.sent[:0]
 		}
-		if len(own) > nearbyServers {
-			t.Fatalf("gateway %d used %d of 60 servers, want at most %d", rank, len(own), nearbyServers)
+		if len(own) > preferredServers {
+			t.Fatalf("gateway %d used %d of 60 servers, want at most %d", rank, len(own), preferredServers)
 		}
 	}
 	for s := range ServerID(60) {
@@ -282,11 +282,11 @@
 // handshakes.
 func TestOwnServersStayWhenOthersGo(t *testing.T) {
 	h := newManyGatewaysHarness(t, false)
-	before := slices.Clone(h.g.nearestFirst[:nearbyServers])
-	gone := h.g.nearestFirst[nearbyServers+3].Server
+	before := slices.Clone(h.g.inPreferredOrder[:preferredServers])
+	gone := h.g.inPreferredOrder[preferredServers+3].Server
 	gone.State = Gone
 	h.list(ServerList{Servers: []Server{gone}})
-	if !slices.Equal(before, h.g.nearestFirst[:nearbyServers]) || len(h.g.nearestFirst) != 29 {
+	if !slices.Equal(before, h.g.inPreferredOrder[:preferredServers]) || len(h.g.inPreferredOrder) != 29 {
 		t.Error("the order of the servers that stay has changed, or the one that is gone is still listed")
 	}
 }
--- a/logic/plans.go
+++ b/logic/plans.go
@@ -9,7 +9,7 @@
 // How a change of plans reaches the records of firms, and how reservations are used. The book decides which plans are in
 // force, the reserves what is leased here.
 
-// leaseWait is how long a request is held for more of a reservation to be leased.
+// leaseWait is what an estimated wait is cut to where more of a reservation may be leased before.
 const leaseWait = 150 * ms
 
 // SetPlanSource sets where the plans in force and the leases of reservations come from; nil: the settings' plans stay, and
@@ -58,13 +58,13 @@
 	}
 	g.planRevision++
 	g.plansChangedAt = g.now
-	for _, c := range g.firms.TakeDue(g.now) {
+	for _, c := range g.dueTimes.TakeDue(g.now) {
 		if len(c.held) > 0 {
 			g.applyPlan(c)
 		}
-		g.firms.SetEarlier(c, g.now)
+		g.dueTimes.SetEarlier(c, g.now)
 	}
-	g.awaitingPlans = g.firms.All()
+	g.awaitingPlans = g.dueTimes.All()
 	g.dispatch()
 }
 
@@ -107,7 +107,7 @@
 	c.drawnUnits, c.bucket = 0, bucketState{}
 	c.nextRelease = min(c.nextRelease, g.now) // the pace was that of the old share
 	if g.customers[c.id] == c {
-		g.firms.SetEarlier(c, c.intervalEnd())
+		g.dueTimes.SetEarlier(c, c.intervalEnd())
 	}
 	g.reconsider(c)
 }
--- a/logic/servers.go
+++ b/logic/servers.go
@@ -43,10 +43,10 @@
 	// meanUnits is the smoothed units of an attempt: larger ones take longer and load a server more.
 	meanUnits float64
 
-	list         []*server // by ID
-	nearestFirst []*server // in this gateway's own order (see rendezvousRank)
-	withAttempts []*server // those with attempts in flight
-	cold         []*server // those in slow start
+	list             []*server // by ID
+	inPreferredOrder []*server // in this gateway's own order (see rendezvousRank)
+	withAttempts     []*server // those with attempts in flight
+	cold             []*server // those in slow start
 
 	limitPerServer float64 // attempts in flight at each server
 	retryTokens    float64 // retry budget
@@ -98,7 +98,7 @@
 }
 
 const (
-	// lostZoneFailures is from how many such failures on (see hall) a zone is taken to be cut off.
+	// lostZoneFailures is the number of such failures (see hall) from which on a zone is taken to be cut off.
 	lostZoneFailures = 4
 
 	// lostZoneRetry is how long after the last failure another attempt is let through, to test whether the zone still is.
@@ -236,10 +236,10 @@
 
 // updateLists brings an upstream group's lists of servers up to date. A few changes are no reason to sort all.
 func (g *Gateway) updateLists(u *upstream, l ServerList) {
-	byDistance := func(a, b *server) int {
+	byRendezvousRank := func(a, b *server) int {
 		return cmp.Or(cmp.Compare(g.rendezvousRank(a), g.rendezvousRank(b)), byID(a, b))
 	}
-	changed := func(s *server) {
+	update := func(s *server) {
 		if g.recount(s); !s.listed {
 			if s.State = Gone; s.inFlight == 0 {
 				delete(g.servers, s.ID)
@@ -251,28 +251,28 @@
 		u.list = make([]*server, 0, len(l.Servers))
 		for _, s := range old {
 			if !s.listed {
-				changed(s)
+				update(s)
 			}
 		}
 		for _, s := range g.servers {
 			if s.upstream == u && s.listed {
 				u.list = append(u.list, s)
 			} else if s.upstream == u {
-				changed(s)
+				update(s)
 			}
 		}
 		slices.SortFunc(u.list, byID)
 		for _, s := range u.list {
-			changed(s)
+			update(s)
 		}
-		u.nearestFirst = slices.Clone(u.list)
-		slices.SortFunc(u.nearestFirst, byDistance)
+		u.inPreferredOrder = slices.Clone(u.list)
+		slices.SortFunc(u.inPreferredOrder, byRendezvousRank)
 		return
 	}
 	for _, e := range l.Servers {
 		if s := g.servers[e.ID]; s != nil && s.upstream == u {
-			u.list, u.nearestFirst = withServer(u.list, s, byID, s.listed), withServer(u.nearestFirst, s, byDistance, s.listed)
-			changed(s)
+			u.list, u.inPreferredOrder = withServer(u.list, s, byID, s.listed), withServer(u.inPreferredOrder, s, byRendezvousRank, s.listed)
+			update(s)
 		}
 	}
 }
--- a/logic/state.go
+++ b/logic/state.go
@@ -58,7 +58,7 @@
 	planRevision int // change of plans that its figures are from
 }
 
-// loadEstimate is what a counter's answer told about a busy customer.
+// loadEstimate is a load of busyLoad or more that a counter's answer showed.
 type loadEstimate struct {
 	load    float64 // demand over quota
 	expires time.Duration
@@ -90,7 +90,7 @@
 	nextToken uint32
 
 	customers         map[uint64]*customer
-	firms             schedule.Queue[*customer]  // each customer by the time when something is due for it
+	dueTimes          schedule.Queue[*customer]  // each customer by the time when something is due for it
 	customersNumbered uint64                     // number of customers so far
 	dormant           map[uint64]dormantCustomer // customers that became dormant of late
 	dormantBefore     map[uint64]dormantCustomer // those of the time before
@@ -224,7 +224,8 @@
 	return g.latency / float64(time.Second)
 }
 
-// pauseThreshold is the time without a tick that shows that this process was paused.
+// pauseThreshold is the time without a tick, 30 ticks long, that shows that this process was paused. Time-outs and latencies
+// of attempts that were out then are not learnt from (see outDuringPause).
 const pauseThreshold = 300 * time.Millisecond
 
 // highestPrice is the highest price of a plan.
@@ -277,14 +278,14 @@
 }
 
 // callCounter makes a counter call and notes that its answer is due.
-func (g *Gateway) callCounter(c *customer, name uint64, what int64, amount float64, r *request, spared uint8) {
-	g.calls[name] = append(g.calls[name], call{customer: c, request: r, kind: what, added: amount > 0, units: amount, planRevision: c.planRevision})
-	wait := lateSumTimeout
+func (g *Gateway) callCounter(c *customer, name uint64, kind int64, amount float64, r *request, spared uint8) {
+	g.calls[name] = append(g.calls[name], call{customer: c, request: r, kind: kind, added: amount > 0, units: amount, planRevision: c.planRevision})
+	wait := counterCallTimeout
 	if r != nil && g.unseenShare == 0 {
 		wait = 0 // the settings' limit: a request is waiting for the answer
 	}
-	count := Count{Name: name, Amount: amount, TTL: 3 * c.countLength(what), Wait: wait, Since: c.countStart(what), SkippedMask: spared}
-	if name != c.countName(what) { // it is of an interval that is over, whose start is not known any more
+	count := Count{Name: name, Amount: amount, TTL: 3 * c.countLength(kind), Wait: wait, Since: c.countStart(kind), SkippedMask: spared}
+	if name != c.countName(kind) { // it is of an interval that is over, whose start is not known any more
 		count.Since = 0
 	}
 	g.do(count)
@@ -309,15 +310,15 @@
 // hold keeps a request; its firm is looked at in each tick.
 func (g *Gateway) hold(r *request) {
 	r.customer.held = append(r.customer.held, r)
-	g.firms.SetEarlier(r.customer, g.now)
+	g.dueTimes.SetEarlier(r.customer, g.now)
 }
 
 // enqueue puts a request among those that wait for a server: the highest worth first, then those of equal worth in the order
 // in which they came here. With beforeEqualWorth it goes before all of its worth.
-func (g *Gateway) enqueue(r *request, again bool) {
+func (g *Gateway) enqueue(r *request, beforeEqualWorth bool) {
 	at := sort.Search(len(g.queue), func(k int) bool {
 		w := g.queue[k].worth()
-		return w < r.worth() || again && w == r.worth()
+		return w < r.worth() || beforeEqualWorth && w == r.worth()
 	})
 	g.queue = slices.Insert(g.queue, at, r)
 }
--- a/logic/tuning.go
+++ b/logic/tuning.go
@@ -98,13 +98,13 @@
 	// the last doubling.
 	maxFullCounterBackoff = 4 * time.Second
 
-	// lateSumTimeout is the time-out of a counter call, but for one that a request of one of few gateways waits for: that has
+	// counterCallTimeout is the time-out of a counter call, but for one that a request of one of few gateways waits for: that has
 	// Settings.CounterLimit. It is also the pause in draws from a shared bucket after a failed one, and the time over which
 	// the gateways spread the repeated reports to a counter that turned them away.
-	lateSumTimeout = 250 * ms
+	counterCallTimeout = 250 * ms
 
 	// minRereportShare is the least share of calls made that counts when repeated reports are spread: the fewer calls are
-	// made, the longer the time they are spread over, lateSumTimeout / minRereportShare at most.
+	// made, the longer the time they are spread over, counterCallTimeout / minRereportShare at most.
 	minRereportShare = 0.3
 )
 
@@ -143,11 +143,12 @@
 	// loadEstimateTTL is how long a load of busyLoad or more is remembered after the counter's answer that showed it.
 	loadEstimateTTL = 8 * time.Second
 
-	// sharedBucketRequests is the size of a gateway's bucket, in requests of typical units, below which its share is too coarse for
-	// sums: the customer's units are drawn from a token bucket shared by all gateways.
+	// sharedBucketRequests is the size of a gateway's bucket, in requests of typical units, below which its share is too
+	// coarse for sums: the customer's units are drawn from a token bucket shared by all gateways.
 	sharedBucketRequests = 4.0
 
-	// maxDrawUnits is how many units are drawn from the shared bucket at once, unless one request needs more.
+	// maxDrawUnits is how many units may be drawn from the shared bucket and unused at once, unless one request needs more.
+	// While the last total is not fresh (see isFresh) it is 1.
 	maxDrawUnits = 3.0
 )
 
@@ -231,8 +232,9 @@
 	// ownViewGateways is the number of gateways up to which a gateway goes by its own observations without correction.
 	ownViewGateways = 4.0
 
-	// nearbyServers is how many servers one of many gateways keeps to.
-	nearbyServers = 10
+	// preferredServers is how many servers, the first fit ones in its own order (see rendezvousRank), one of many gateways
+	// draws from.
+	preferredServers = 10
 
 	// drawnServers is how many of these are drawn at random for an attempt.
 	drawnServers = 3
