--- a/logic/counters_test.go
+++ b/logic/counters_test.go
@@ -71,7 +71,7 @@
 	}
 	h.handle(CountersChanged{Numbers: []int{1, 5}, SpreadOver: 2})
 	if slices.ContainsFunc(h.g.counters, func(k *counter) bool { return k.number == 2 }) || h.g.counterNumbered(1) != one {
-		t.Error("a counter that left the list is still known, or one that stayed was forgotten")
+		t.Error("counter 2, which left the list, is still known, or counter 1, which stayed, has another record; want neither")
 	}
 }
 
--- a/logic/due_test.go
+++ b/logic/due_test.go
@@ -185,7 +185,7 @@
 	slices.SortFunc(sorted, byID)
 	if !slices.Equal(u.list, list) || !slices.Equal(sorted, list) || !slices.Equal(u.withAttempts, working) || !slices.Equal(u.cold, cold) ||
 		!slices.IsSortedFunc(u.inPreferredOrder, func(a, b *server) int { return cmp.Compare(g.rendezvousRank(a), g.rendezvousRank(b)) }) {
-		t.Fatal("the lists of servers differ from those of a full scan")
+		t.Fatal("one of the upstream group's four lists of servers differs from a full scan, or the preferred order is not by rank")
 	}
 }
 
--- a/logic/many_test.go
+++ b/logic/many_test.go
@@ -140,7 +140,7 @@
 	p := h.arrive(Request{Customer: 1, Units: 0.01})
 	h.answerCalls(OK, 0.01)
 	if !p.inFlight {
-		t.Fatal("not sent")
+		t.Fatal("the request is not in flight, want it sent at once")
 	}
 	h.g.aimShare = 2
 	before := h.g.limitPerServer
@@ -287,7 +287,7 @@
 	gone.State = Gone
 	h.list(ServerList{Servers: []Server{gone}})
 	if !slices.Equal(before, h.g.inPreferredOrder[:preferredServers]) || len(h.g.inPreferredOrder) != 29 {
-		t.Error("the order of the servers that stay has changed, or the one that is gone is still listed")
+		t.Error("the order of the preferred servers, which stay, has changed, or not 29 servers are left; want neither")
 	}
 }
 
--- a/logic/plans_test.go
+++ b/logic/plans_test.go
@@ -182,26 +182,26 @@
 	h.ask()
 	name := func(x *planHarness) uint64 { return x.g.customers[7].countName(forecastSums) }
 	if name(a) != name(h) {
-		t.Fatal("the same figures give different names")
+		t.Fatal("two gateways with the same figures name a count differently, want one name")
 	}
 	p.Rate = 10
 	a.change(p)
 	a.ask()
 	if name(a) == name(h) {
-		t.Fatal("different figures give the same name")
+		t.Fatal("two gateways with different figures name a count alike, want two names")
 	}
 	h.change(p)
 	h.pass(tick)
 	a.pass(tick)
 	if name(a) != name(h) {
-		t.Fatal("the same figures again give different names")
+		t.Fatal("two gateways that have the same figures again name a count differently, want one name")
 	}
 	p.Price = 3
 	a.change(p)
 	a.pass(tick)
 	h.pass(tick)
 	if name(a) != name(h) {
-		t.Fatal("a change of the price changed the name of a count")
+		t.Fatal("a change of the price changed the name of a count, want the same name")
 	}
 }
 
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -638,7 +638,7 @@
 	h := newHarness(t, set, readyServers(2)...)
 	p := h.arrive(Request{Customer: 1, Units: 1, Class: 1})
 	if !p.inFlight {
-		t.Fatal("not sent")
+		t.Fatal("the request is not in flight, want it sent at once")
 	}
 	h.list(ServerList{Complete: true})
 	h.run(50*ms, nil)
