--- a/logic/customers.go
+++ b/logic/customers.go
@@ -60,15 +60,15 @@
 
 	nextRelease time.Duration // the next held request leaves no earlier
 
-	recentRate   float64 // S of the pacing: units a second, decaying over an interval
-	recentExcess float64 // E of the pacing: units beyond the share that were let through of late
+	recentRate   float64 // S in spacing: units a second, decaying over an interval
+	recentExcess float64 // E in spacing: units beyond the share that were let through of late
 
 	demanded       float64 // demand in this interval so far: units, or seconds of attempts in flight
 	lastDemand     float64 // demand a second in the interval before
 	intervalsEnded int     // intervals that have ended; the first one shows no change of demand
 	meanChange     float64 // smoothed change of the demand from interval to interval
 	meanRise       float64 // the same of the rises alone
-	forecast       float64 // f: forecast of the demand a second in this interval
+	forecast       float64 // of the demand a second in this interval
 
 	bestWorth      float64       // highest worth of a request that it has sent
 	intervalNumber int64         // of the current interval
@@ -91,16 +91,16 @@
 	return float64(c.plan.Open)
 }
 
-// evenShare is g: the share of a gateway that knows nothing of the others.
+// evenShare is the share of a gateway that knows nothing of the others.
 func (c *customer) evenShare() float64 { return c.quota() / c.shares }
 
 // countName is the counter's name for one of the interval's counts. Gateways agree on it without communication. Those that hold
 // the firm to other figures count in other steps and intervals, so their names differ.
-func (c *customer) countName(what int64) uint64 {
-	if what == bucketDraws {
-		return mix(c.id ^ c.fingerprint ^ mix(uint64(int64((c.filledAt+c.clockAhead)/c.countLength(bucketDraws))<<2|what)))
+func (c *customer) countName(kind int64) uint64 {
+	if kind == bucketDraws {
+		return mix(c.id ^ c.fingerprint ^ mix(uint64(int64((c.filledAt+c.clockAhead)/c.countLength(bucketDraws))<<2|kind)))
 	}
-	return mix(c.id ^ c.fingerprint ^ mix(uint64(c.intervalNumber<<2|what)))
+	return mix(c.id ^ c.fingerprint ^ mix(uint64(c.intervalNumber<<2|kind)))
 }
 
 // pack puts three sums into one number: two up to 127, one up to 1023. They take the 24 bits that a float of single precision
@@ -118,11 +118,11 @@
 func (c *customer) bucketSize() float64 { return c.plan.Burst / c.shares }
 
 // countLength is how long a count is added to before the next begins.
-func (c *customer) countLength(what int64) time.Duration {
-	if what != bucketDraws {
+func (c *customer) countLength(kind int64) time.Duration {
+	if kind != bucketDraws {
 		return c.interval
 	}
-	return min(time.Duration(epochBursts*float64(c.interval)), maxEpochLength)
+	return min(time.Duration(runningTotalIntervals*float64(c.interval)), maxRunningTotalLength)
 }
 
 // totalAge is how long the running total of a customer's shared bucket has been added to.
@@ -131,24 +131,25 @@
 }
 
 const (
-	// epochBursts is the length of a running total (an epoch) in intervals of the customer, each of them the time to fill a
-	// burst, and at least a second.
-	epochBursts = 8.0
+	// runningTotalIntervals is how many of the customer's intervals (the time to fill a burst, and at least a second) a
+	// running total of a shared bucket is added to before the next begins under a new name.
+	runningTotalIntervals = 8.0
 
-	// maxEpochLength bounds it: the counter keeps a name three times as long, and for 60 s at most.
-	maxEpochLength = 20 * time.Second
+	// maxRunningTotalLength bounds that time. A name is kept by the counter for three times as long, and for 60 s at most: so
+	// 20 s.
+	maxRunningTotalLength = 20 * time.Second
 
-	// bucketStateTTL is how long a total says something about the next one.
+	// bucketStateTTL is the age from which on the level of a shared bucket, as last read, is not carried on.
 	bucketStateTTL = 8 * time.Second
 )
 
 // bucketState is the state of a token bucket that all gateways draw on, by the last total that the counter gave.
 type bucketState struct {
-	readAt time.Duration // when that total came; 0: none has come
-	name   uint64        // of its count
-	total  float64       // units drawn by all
-	level  float64       // units in the bucket; below 0: drawn and not filled yet
-	drain  float64       // units a second that all draw, smoothed
+	readAt   time.Duration // when that total came; 0: none has come
+	name     uint64        // of its count
+	total    float64       // units drawn by all
+	level    float64       // units in the bucket; below 0: drawn and not filled yet
+	drawRate float64       // units a second that all draw, smoothed
 }
 
 // isFresh tells whether so little time has passed since the last total that no burst can have been drawn without notice.
@@ -156,37 +157,38 @@
 	return s.readAt > 0 && (now-s.readAt).Seconds()*p.Rate <= p.Burst
 }
 
-// rushTime is the time over which the ceiling has room for one request from each gateway; 0 if the recent draws are known.
-// After a pause all gateways may start to draw at once.
-func (c *customer) rushTime(now time.Duration, units float64) float64 {
+// startSpreadSeconds is the time in seconds over which the first draws of all gateways after a pause are spread, so that one
+// request from each fits the ceiling; 0 if the recent draws are known.
+func (c *customer) startSpreadSeconds(now time.Duration, units float64) float64 {
 	if c.plan.CeilingRate <= 0 || c.bucket.isFresh(now, c.plan) {
 		return 0
 	}
 	return max(0, c.gateways*units-c.plan.CeilingBurst) / c.plan.CeilingRate
 }
 
-// update takes a total that includes this gateway's own draw. A total under a new name, or one that is lower since the counter
-// lost its state, tells little: the draws that were not seen are taken to have gone on as before.
-func (s *bucketState) update(now time.Duration, name uint64, total float64, p Plan, since time.Duration) {
+// update takes a total that includes this gateway's own draw; totalAge is how long the total has been added to. A total under
+// a new name, or one that is lower since the counter lost its state, tells little: the draws that were not seen are taken to
+// have gone on as before.
+func (s *bucketState) update(now time.Duration, name uint64, total float64, p Plan, totalAge time.Duration) {
 	dt := (now - s.readAt).Seconds()
-	most, whole := p.Burst, p.Burst+p.Rate*since.Seconds()-total // whole: the level if a full bucket never overflowed
+	maxLevel, levelIfNeverFull := p.Burst, p.Burst+p.Rate*totalAge.Seconds()-total
 	if !s.isFresh(now, p) {
-		most /= 2 // a burst at the end of the time between may have gone unnoticed
+		maxLevel /= 2 // a burst at the end of the time between may have gone unnoticed
 	}
 	switch {
 	case s.readAt == 0 || dt > bucketStateTTL.Seconds():
-		s.level, s.drain = whole, 0
+		s.level, s.drawRate = levelIfNeverFull, 0
 	case name == s.name && total >= s.total:
 		s.level += p.Rate*dt - (total - s.total)
-		s.drain += min(dt, 1) * ((total-s.total)/max(dt, 1e-3) - s.drain)
+		s.drawRate += min(dt, 1) * ((total-s.total)/max(dt, 1e-3) - s.drawRate)
 	default:
-		s.level = min(s.level+max(0, p.Rate-s.drain)*dt, whole)
+		s.level = min(s.level+max(0, p.Rate-s.drawRate)*dt, levelIfNeverFull)
 	}
-	s.level = max(min(s.level, most), -p.Burst)
+	s.level = max(min(s.level, maxLevel), -p.Burst)
 	s.readAt, s.name, s.total = now, name, total
 }
 
-// quotaLoad is a customer's demand over its quota as last counted, 0 if it was not found busy.
+// quotaLoad is a customer's demand over its quota as last counted; 0 if no load of busyLoad or more is remembered.
 func (g *Gateway) quotaLoad(c *customer) float64 {
 	if w := g.loadEstimates[c.id]; g.now < w.expires {
 		return w.load
@@ -263,17 +265,17 @@
 	if len(c.held) > 0 {
 		at = g.now
 	}
-	g.firms.Set(c, at)
+	g.dueTimes.Set(c, at)
 }
 
 // scheduleReread sets when a firm's sums are read again.
 func (g *Gateway) scheduleReread(c *customer, after time.Duration) {
 	c.rereadAt = g.now + after
-	g.firms.SetEarlier(c, c.rereadAt)
+	g.dueTimes.SetEarlier(c, c.rereadAt)
 }
 
-// dormantCustomer is what is kept of a quiet customer, in a tenth of the memory. With its next request the customer goes on as
-// if its whole record had been kept.
+// dormantCustomer is what is kept of a quiet customer, in less memory. With its next request the customer goes on from these
+// values, the fractions rounded to single precision; if plans have changed since, from less (see restoreDormant).
 type dormantCustomer struct {
 	intervalNumber int64
 	filledAt       time.Duration
@@ -304,7 +306,7 @@
 		return false
 	}
 	delete(g.customers, c.id)
-	g.firms.Remove(c) // a change of plans may have put it back
+	g.dueTimes.Remove(c) // onPlansChanged may have scheduled it again
 	if !forgotten {
 		g.dormant[c.id] = dormantCustomer{c.intervalNumber, c.filledAt, float32(c.level), float32(c.ceiling), float32(c.recentExcess), float32(c.recentRate),
 			float32(c.meanChange), float32(c.meanRise), float32(c.bestWorth), int32(c.tier), int32(c.planRevision), uint32(c.Order)}
@@ -312,8 +314,8 @@
 	return true
 }
 
-// restoreDormant gives a new customer what was kept of it from before. A change of plans since then can only take from it: what
-// it would have had between two changes is not known.
+// restoreDormant gives a new customer what was kept of it from before. If plans have changed since, it can only lose by that:
+// after more than one change its bucket starts empty, since the plans between them are not known.
 func (g *Gateway) restoreDormant(c *customer) {
 	r, ok := g.dormant[c.id]
 	if !ok {
@@ -337,7 +339,7 @@
 	c.recentExcess, c.recentRate, c.meanChange, c.meanRise = float64(r.recentExcess), float64(r.recentRate), float64(r.meanChange), float64(r.meanRise)
 }
 
-// rotateDormant forgets the customers that have been dormant for long.
+// rotateDormant forgets, once in customerIdleTimeout, the customers that became dormant before the last such time.
 func (g *Gateway) rotateDormant() {
 	if g.dormant != nil && g.now-g.dormantRotatedAt > customerIdleTimeout {
 		g.dormantRotatedAt, g.dormantBefore, g.dormant = g.now, g.dormant, map[uint64]dormantCustomer{}
--- a/logic/many_test.go
+++ b/logic/many_test.go
@@ -140,7 +140,7 @@
 	p := h.arrive(Request{Customer: 1, Units: 0.01})
 	h.answerCalls(OK, 0.01)
 	if !p.inFlight {
-		t.Fatal("not sent")
+		t.Fatal("the request is not in flight, want it sent at once")
 	}
 	h.g.aimShare = 2
 	before := h.g.limitPerServer
@@ -153,7 +153,7 @@
 }
 
 // Answers lost at random are no overload: while the others come quickly the concurrency limit must not fall to its minimum, or
-// servers with room refuse nearly everything (daejeon-archive-later, L1aa4c5). Where all answers are slow it must still fall.
+// servers with room refuse nearly everything. Where all answers are slow it must still fall.
 func TestLostAnswersDoNotCutTheLimitToItsMinimum(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -267,8 +267,8 @@
 			}
 			h.sent = h.sent[:0]
 		}
-		if len(own) > nearbyServers {
-			t.Fatalf("gateway %d used %d of 60 servers, want at most %d", rank, len(own), nearbyServers)
+		if len(own) > preferredServers {
+			t.Fatalf("gateway %d used %d of 60 servers, want at most %d", rank, len(own), preferredServers)
 		}
 	}
 	for s := range ServerID(60) {
@@ -282,12 +282,12 @@
 // handshakes.
 func TestOwnServersStayWhenOthersGo(t *testing.T) {
 	h := newManyGatewaysHarness(t, false)
-	before := slices.Clone(h.g.nearestFirst[:nearbyServers])
-	gone := h.g.nearestFirst[nearbyServers+3].Server
+	before := slices.Clone(h.g.inPreferredOrder[:preferredServers])
+	gone := h.g.inPreferredOrder[preferredServers+3].Server
 	gone.State = Gone
 	h.list(ServerList{Servers: []Server{gone}})
-	if !slices.Equal(before, h.g.nearestFirst[:nearbyServers]) || len(h.g.nearestFirst) != 29 {
-		t.Error("the order of the servers that stay has changed, or the one that is gone is still listed")
+	if !slices.Equal(before, h.g.inPreferredOrder[:preferredServers]) || len(h.g.inPreferredOrder) != 29 {
+		t.Error("the order of the preferred servers, which stay, has changed, or not 29 servers are left; want neither")
 	}
 }
 
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -313,8 +313,8 @@
 		t.Errorf("left behind: %d requests, %d tokens, %d queued, %d in flight; want none", len(g.requests), len(g.tokens), len(g.queue), out)
 	}
 	h.run(customerIdleTimeout+2*time.Second, nil)
-	if g := h.g; len(g.customers) != 0 || g.firms.Len() != 0 {
-		t.Errorf("%d customers known and %d scheduled after the idle time-out, want none", len(g.customers), g.firms.Len())
+	if g := h.g; len(g.customers) != 0 || g.dueTimes.Len() != 0 {
+		t.Errorf("%d customers known and %d scheduled after the idle time-out, want none", len(g.customers), g.dueTimes.Len())
 	}
 }
 
@@ -535,7 +535,7 @@
 }
 
 // After congestion the mean latency stays high for long. The refill of send tokens must not wait for it to fall, or so few
-// attempts go that it never does (incident ieaf37c).
+// attempts go that it never does.
 func TestSendTokensRefillAfterCongestion(t *testing.T) {
 	set := testSettings()
 	set.Gateways = 78
@@ -550,8 +550,8 @@
 }
 
 // Where all servers are slow at once, each attempt takes as long with few in flight as with many: the concurrency limit must
-// still allow what was in service before, or the servers' cores are idle while nearly everything is refused (nadi-yard, big-1).
-// Where attempts queue in the servers it must still fall.
+// still allow what was in service before, or the servers' cores are idle while nearly everything is refused. Where attempts
+// queue in the servers it must still fall.
 func TestUniformlySlowServersStayBusy(t *testing.T) {
 	mean := func(latency func(out int) time.Duration) float64 {
 		h := newHarness(t, testSettings(), readyServers(6)...)
@@ -638,7 +638,7 @@
 	h := newHarness(t, set, readyServers(2)...)
 	p := h.arrive(Request{Customer: 1, Units: 1, Class: 1})
 	if !p.inFlight {
-		t.Fatal("not sent")
+		t.Fatal("the request is not in flight, want it sent at once")
 	}
 	h.list(ServerList{Complete: true})
 	h.run(50*ms, nil)
