--- a/cmd/bramblefall/plans_test.go
+++ b/cmd/bramblefall/plans_test.go
@@ -4,11 +4,13 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"maps"
 	"net"
 	"os"
 	"os/exec"
 	"path/filepath"
 	"regexp"
+	"slices"
 	"strings"
 	"syscall"
 	"testing"
@@ -162,7 +164,13 @@
 	}
 	runCLI(t, 0, "check", "../../deploy/bramblefall.star")
 	runCLI(t, 1, "check", filepath.Join(dir, "none.star"))
-	out, _ := runCLI(t, 0, "version")
+	out, _ := runCLI(t, 0, "check", "../../deploy/bramblefall.star", "--output", "json")
+	var checked map[string]any
+	require.NoError(t, json.Unmarshal([]byte(out), &checked))
+	limits, ok := checked["limits"].(map[string]any)
+	require.True(t, ok, "limits is not an object: %s", out)
+	require.Equal(t, []string{"FleetRate", "Late", "MostUnits", "ReservedShare"}, slices.Sorted(maps.Keys(limits)), "the keys of limits that others read")
+	out, _ = runCLI(t, 0, "version")
 	require.Contains(t, out, "bramblefall")
 }
 
--- a/internal/plans/book.go
+++ b/internal/plans/book.go
@@ -42,12 +42,12 @@
 	Own  *logic.Plan `json:"own,omitempty"`
 }
 
-// Limits bound the versions and reservations that the book accepts.
+// Limits bound the versions and reservations that the book accepts. The JSON tags keep the names that the check command prints.
 type Limits struct {
-	MaxPastEffective time.Duration // how far in the past an effective instant may lie
-	MaxRequestUnits  float64       // units of the largest request; no burst may be smaller
-	FleetRate        float64       // units per second that the fleet can serve; 0: not known
-	ReservedShare    float64       // share of FleetRate that all reservations together may promise
+	MaxPastEffective time.Duration `json:"Late"`          // how far in the past an effective instant may lie
+	MaxRequestUnits  float64       `json:"MostUnits"`     // units of the largest request; no burst may be smaller
+	FleetRate        float64       `json:"FleetRate"`     // units per second that the fleet can serve; 0: not known
+	ReservedShare    float64       `json:"ReservedShare"` // share of FleetRate that all reservations together may promise
 }
 
 // DefaultLimits apply where the operators' file sets none.
