--- a/cmd/bramblefall/serve.go
+++ b/cmd/bramblefall/serve.go
@@ -38,7 +38,7 @@
 
 func serve(cfg config, file operator.File, o serveOptions, received signals) error {
 	if cfg.Limits.Cores > 0 {
-		// On one core, a second scheduler thread only wakes and parks. It was measured to cost a sixth more CPU under light load.
+		// On one core, a second scheduler thread only wakes and parks, which costs a sixth more CPU under light load.
 		runtime.GOMAXPROCS(int(math.Ceil(cfg.Limits.Cores)))
 	}
 	debug.SetGCPercent(gcPercent)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -114,7 +114,7 @@
 // Count adds Amount to a name on a counter, unless the call cannot be made before Deadline (effect).
 type Count struct {
 	Call     uint64
-	Counter  int // a key of SetCounters.Counters; 0 before the first list
+	Counter  int // a key of SetCounters.Counters; 0 is the platform's own counter before a list names others
 	Name     uint64
 	Amount   float64
 	TTL      time.Duration // TTL of the name on the counter
--- a/internal/discovery/follow.go
+++ b/internal/discovery/follow.go
@@ -7,9 +7,9 @@
 )
 
 // A limiter requests the list from a discovery agent that serves its machine alone. A change counts as received from when the
-// agent began to send it, even if the message is then truncated, and at the latest 6 s after discovery had it, even if nothing
-// arrived. Once a drain counts as received, the limiter has the grace (timing.grace) to apply it; after that nothing new may
-// be sent to the server.
+// agent began to send it, even if the message is then truncated, and at the latest 6 s after discovery had it and was reachable,
+// even if nothing arrived. Once a drain counts as received, the limiter has the grace (timing.grace) to apply it; after that
+// nothing new may be sent to the server.
 //
 // While nothing changes, the agent sends an empty line every 2 s. A watch that is silent for longer than one interval is
 // considered stalled, which leaves time for another request within the 6 s.
@@ -32,7 +32,7 @@
 	progressRetryFactor = 0.25
 
 	stableAfter           = 2 * time.Second // a watch that has brought a message and lasts longer sets follower.failures to 0
-	rejectedListDelay     = time.Second     // a rejected list is requested again after half of this at least, all of it with the longest jitter
+	rejectedListDelay     = time.Second     // a rejected list is requested again after half of this at least, all of it with the longest jitter, and not before the retry interval is over
 	maxHeaderTimeout      = time.Second
 	minStallTimeout       = 50 * time.Millisecond
 	extendedStallTimeout  = 500 * time.Millisecond // within a message, after stallsBeforeExtension watches in a row that stalled there
@@ -210,13 +210,13 @@
 // baseDelay is nextDelay without regard to reloads.
 //
 // The delay is short after a stable watch, or one that had begun to receive something: drains that the limiter would have
-// received had it sent a request count as received. An agent that sends nothing is asked again soon in a fleet of any size,
-// since it serves this machine alone. A rejected list is requested later, because it comes again unchanged and is expensive to
-// read.
+// received had it sent a request count as received. An agent that sends nothing is asked again soon in a fleet of any size, since
+// it serves this machine alone, and an answer costs discovery nothing. A rejected list is requested later, because it comes again
+// unchanged and is expensive to read.
 //
 // The interval counts from the start of one request to the start of the next. Otherwise a request that hangs before it fails
-// would be followed by a full delay, while a change counts as received 6 s after a discovery that came back during that
-// request had it.
+// would be followed by a full delay, while a change counts as received 6 s after discovery came back, which may have been during
+// that request.
 func (f *follower) baseDelay(random float64) time.Duration {
 	jitter := random * graceJitterFactor * float64(f.grace) * min(1, float64(f.fleetSize)/fleetRequestsPerSecond)
 	interval := (minRetryFactor + random*(maxRetryFactor-minRetryFactor)) * float64(f.retryInterval())
--- a/logic/api.go
+++ b/logic/api.go
@@ -82,7 +82,8 @@
 	Take(now time.Duration, firm uint64, units float64) bool
 	// Return gives back what was taken for a request that was never sent on.
 	Return(now time.Duration, firm uint64, units float64)
-	// LeasePending tells whether more may be leased for the firm soon: a request is then held for a short time at first.
+	// LeasePending tells whether more may be leased for the firm soon: a request is then held for
+	// leaseWait at first.
 	LeasePending(now time.Duration, firm uint64) bool
 }
 
--- a/logic/clock.go
+++ b/logic/clock.go
@@ -58,7 +58,7 @@
 	g.clock.addStep(g.now, e.Ahead)
 	for _, c := range g.customers {
 		c.renumber(by, g.now)
-		g.dueTimes.SetEarlier(c, c.intervalEnd())
+		g.dueCustomers.SetEarlier(c, c.intervalEnd())
 	}
 }
 
--- a/logic/counters_test.go
+++ b/logic/counters_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// What one counter does says nothing about another. One that is spared is not called, and what is known of counters that left the
+// What one counter does says nothing about another. One that is skipped is not called, and what is known of counters that left the
 // list is forgotten.
 func TestCountersAreTrackedSeparately(t *testing.T) {
 	h := newManyCountersHarness(t, 1, 2)
--- a/logic/customers.go
+++ b/logic/customers.go
@@ -166,23 +166,23 @@
 	return max(0, c.gateways*units-c.plan.CeilingBurst) / c.plan.CeilingRate
 }
 
-// update takes a total that includes this gateway's own draw; totalAge is how long the total has been added to. A total under
-// a new name, or one that is lower since the counter lost its state, tells little: the draws that were not seen are taken to
-// have gone on as before.
+// update takes a total that includes this gateway's own draw; totalAge is how long the total has been added to. A total under a
+// new name, or one that is lower since the counter lost its state, tells little: the draws that were not seen are taken to have
+// gone on as before. levelWithoutOverflow is the level if the bucket, full at first, never overflowed.
 func (s *bucketState) update(now time.Duration, name uint64, total float64, p Plan, totalAge time.Duration) {
 	dt := (now - s.readAt).Seconds()
-	maxLevel, levelIfNeverFull := p.Burst, p.Burst+p.Rate*totalAge.Seconds()-total
+	maxLevel, levelWithoutOverflow := p.Burst, p.Burst+p.Rate*totalAge.Seconds()-total
 	if !s.isFresh(now, p) {
 		maxLevel /= 2 // a burst at the end of the time between may have gone unnoticed
 	}
 	switch {
 	case s.readAt == 0 || dt > bucketStateTTL.Seconds():
-		s.level, s.drawRate = levelIfNeverFull, 0
+		s.level, s.drawRate = levelWithoutOverflow, 0
 	case name == s.name && total >= s.total:
 		s.level += p.Rate*dt - (total - s.total)
 		s.drawRate += min(dt, 1) * ((total-s.total)/max(dt, 1e-3) - s.drawRate)
 	default:
-		s.level = min(s.level+max(0, p.Rate-s.drawRate)*dt, levelIfNeverFull)
+		s.level = min(s.level+max(0, p.Rate-s.drawRate)*dt, levelWithoutOverflow)
 	}
 	s.level = max(min(s.level, maxLevel), -p.Burst)
 	s.readAt, s.name, s.total = now, name, total
@@ -265,17 +265,17 @@
 	if len(c.held) > 0 {
 		at = g.now
 	}
-	g.dueTimes.Set(c, at)
+	g.dueCustomers.Set(c, at)
 }
 
 // scheduleReread sets when a firm's sums are read again.
 func (g *Gateway) scheduleReread(c *customer, after time.Duration) {
 	c.rereadAt = g.now + after
-	g.dueTimes.SetEarlier(c, c.rereadAt)
+	g.dueCustomers.SetEarlier(c, c.rereadAt)
 }
 
-// dormantCustomer is what is kept of a quiet customer, in less memory. With its next request the customer goes on from these
-// values, the fractions rounded to single precision; if plans have changed since, from less (see restoreDormant).
+// dormantCustomer is what is kept of a quiet customer, in an eighth of the memory. With its next request the customer goes on
+// from these values, the fractions rounded to single precision; if plans have changed since, from less (see restoreDormant).
 type dormantCustomer struct {
 	intervalNumber int64
 	filledAt       time.Duration
@@ -306,7 +306,7 @@
 		return false
 	}
 	delete(g.customers, c.id)
-	g.dueTimes.Remove(c) // onPlansChanged may have scheduled it again
+	g.dueCustomers.Remove(c) // onPlansChanged may have scheduled it again
 	if !forgotten {
 		g.dormant[c.id] = dormantCustomer{c.intervalNumber, c.filledAt, float32(c.level), float32(c.ceiling), float32(c.recentExcess), float32(c.recentRate),
 			float32(c.meanChange), float32(c.meanRise), float32(c.bestWorth), int32(c.tier), int32(c.planRevision), uint32(c.Order)}
--- a/logic/due_test.go
+++ b/logic/due_test.go
@@ -56,7 +56,7 @@
 	handle := func(ev Event) {
 		if timer, ok := ev.(Timer); ok && timer.Token == tickToken {
 			for _, c := range pair[1].customers {
-				pair[1].dueTimes.Set(c, now)
+				pair[1].dueCustomers.Set(c, now)
 			}
 		}
 		acts := pair[0].Handle(now, ev)
@@ -178,8 +178,8 @@
 	if !slices.IsSortedFunc(g.queue, func(a, b *request) int { return cmp.Compare(b.worth(), a.worth()) }) {
 		t.Fatal("the queue for servers is not in the order of worth")
 	}
-	if g.dueTimes.Len() != len(g.customers) {
-		t.Fatalf("%d firms are scheduled, want all %d that are known", g.dueTimes.Len(), len(g.customers))
+	if g.dueCustomers.Len() != len(g.customers) {
+		t.Fatalf("%d firms are scheduled, want all %d that are known", g.dueCustomers.Len(), len(g.customers))
 	}
 	sorted := slices.Clone(u.inPreferredOrder)
 	slices.SortFunc(sorted, byID)
@@ -210,7 +210,7 @@
 		}
 	}
 	ticks(5 * time.Second)
-	if due, whole, dormant := len(g.dueTimes.TakeDue(now+time.Second)), len(g.customers), len(g.dormant); due != 0 || whole != 0 || dormant != 100_000 {
+	if due, whole, dormant := len(g.dueCustomers.TakeDue(now+time.Second)), len(g.customers), len(g.dormant); due != 0 || whole != 0 || dormant != 100_000 {
 		t.Errorf("%d quiet firms due in a second, %d with a whole record, %d dormant; want 0, 0, 100000", due, whole, dormant)
 	}
 	ticks(2*customerIdleTimeout + time.Second)
@@ -227,8 +227,8 @@
 		c := g.customerOf(&request{Request: Request{Customer: 7, Spread: 3}, plan: g.set.Plans[0]})
 		c.pending = 0
 		g.now += after
-		if !g.makeDormant(c) || len(g.customers) != 0 || g.dueTimes.Len() != 0 {
-			t.Errorf("after %v: %d firms known, %d scheduled; want none", after, len(g.customers), g.dueTimes.Len())
+		if !g.makeDormant(c) || len(g.customers) != 0 || g.dueCustomers.Len() != 0 {
+			t.Errorf("after %v: %d firms known, %d scheduled; want none", after, len(g.customers), g.dueCustomers.Len())
 		}
 	}
 }
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -43,8 +43,7 @@
 		customers: map[uint64]*customer{}, servers: map[ServerID]*server{}, calls: map[uint64][]call{},
 		meanRequestUnits: 1, dormant: map[uint64]dormantCustomer{}, loadEstimates: map[uint64]loadEstimate{},
 		loggedAt: map[string]time.Duration{}, initialLatency: guess, callBurst: counterCallBurst,
-		typicalUnits: math.Pow(max(s.MostUnits, 1), 0.25),
-		maxPrice:     highestPrice(s.Plans), counterCount: 1,
+		typicalUnits: math.Pow(max(s.MostUnits, 1), 0.25), maxPrice: highestPrice(s.Plans), counterCount: 1,
 		turnTime:   max(tick, min(maxTurnTime, time.Duration(turnAimShare*float64(aim)))),
 		longestTTL: make([]time.Duration, len(s.Classes))}
 	if g.upstream = g.upstreamNumbered(0); unseen > 0 {
@@ -73,9 +72,10 @@
 	if !q.CallerChoseTTL {
 		g.longestTTL[q.Class] = max(g.longestTTL[q.Class], r.TTL)
 	}
-	// A TTL below the longest seen of its class by more than ttlTolerance shows a later try: its client is taken
-	// to have begun with class.Deadline, so to have waited Deadline - TTL. Clients that give up soon and retry
-	// at once look the same, and are rightly treated so: a retry storm must not starve others.
+	// A TTL below the longest seen of its class by more than ttlTolerance shows a later try (ttlTolerance: a try
+	// that only took a moment longer to get here is no later one): its client is taken to have begun with
+	// class.Deadline, so to have waited Deadline - TTL. Clients that give up soon and retry at once look the
+	// same, and are rightly treated so: a retry storm must not starve others.
 	aim := r.class.Aim
 	// Where clients mark their later tries, unmarked ones are not taken for such.
 	g.repeatsMarked = g.repeatsMarked || q.Repeat
@@ -89,7 +89,7 @@
 	g.nextToken = max(g.nextToken+1, tickToken+1)
 	r.token = g.nextToken
 	g.requests[q.ID], g.tokens[r.token] = r, r
-	g.do(SetTimer{r.token, r.deadline - g.now}) // answerMargin before its client's deadline
+	g.do(SetTimer{r.token, r.deadline - g.now}) // every accepted one: answerMargin before its client's deadline
 	// Each counter earns twice its even share of the calls, since names are spread unevenly over the counters.
 	for _, k := range g.counters {
 		k.callsLeft = min(k.callsLeft+counterCallsPerRequest*min(1, 2/float64(g.counterCount))*
@@ -111,8 +111,9 @@
 	g.finish(r, 0)
 }
 
-// finish gives the one final answer: a refusal if the request is Safe, no attempt may have run, or all
-// servers drop its repeat and no attempt is out (an expired key is not considered); else a failure.
+// finish gives the one final answer. A refusal invites a retry, so it is given only where a retry is proven
+// harmless (the request is Safe, no attempt may have run, or all servers drop its repeat and no attempt is
+// out; the exception: an expired key is not considered), else a failure.
 func (g *Gateway) finish(r *request, after time.Duration) {
 	if r.answered {
 		return
@@ -127,8 +128,8 @@
 	g.drop(r)
 }
 
-// timeUntilRoom estimates when servers have room again: a refusal gives no earlier time to come back, unless
-// MaxRetryAfter bounds it.
+// timeUntilRoom estimates when servers have room again: a refusal by finish gives no earlier time to come
+// back, unless MaxRetryAfter bounds it.
 func (g *Gateway) timeUntilRoom(u *upstream) time.Duration {
 	return time.Duration(min(u.latency*float64(len(g.queue)+1)/u.concurrencyLimit(),
 		float64(customerIdleTimeout)))
@@ -197,7 +198,7 @@
 	}
 	g.catchUp(c)
 	g.applyPlan(c)
-	g.dueTimes.SetEarlier(c, c.intervalEnd())
+	g.dueCustomers.SetEarlier(c, c.intervalEnd())
 	c.lastSeen, c.pending = g.now, c.pending+1
 	return c
 }
@@ -236,7 +237,7 @@
 	g.applyPlansInPart()
 	g.tickedAt = g.now
 	g.rotateDormant()
-	for _, c := range g.dueTimes.TakeDue(g.now) {
+	for _, c := range g.dueCustomers.TakeDue(g.now) {
 		g.applyPlan(c)
 		if g.catchUp(c) {
 			g.reportForecast(c)
@@ -296,7 +297,8 @@
 
 // availableCounters finds the counters of a customer's count that may be called now, each with at least as
 // many calls left as given, and the bits of those that are not called.
-func (g *Gateway) availableCounters(c *customer, kind int64, minCalls float64) (to []*counter, spared uint8) {
+func (g *Gateway) availableCounters(
+	c *customer, kind int64, minCalls float64) (to []*counter, skippedMask uint8) {
 	available := func(k *counter) bool { return g.now >= k.noCallsUntil && k.callsLeft >= minCalls }
 	switch {
 	case !g.set.HasCounter || g.counterMap == nil && !available(g.counter):
@@ -308,20 +310,20 @@
 		if k := g.counterNumbered(number); available(k) {
 			to = append(to, k)
 		} else {
-			spared |= 1 << n
+			skippedMask |= 1 << n
 		}
 	}
-	return to, spared
+	return to, skippedMask
 }
 
 // addToCount calls the counter for a customer's interval, unless calls fail or their budget is used up.
 func (g *Gateway) addToCount(c *customer, kind int64, amount float64, r *request) bool {
-	to, spared := g.availableCounters(c, kind, 1)
+	to, skippedMask := g.availableCounters(c, kind, 1)
 	for _, k := range to {
 		k.callsLeft--
 	}
 	if len(to) > 0 {
-		g.callCounter(c, c.countName(kind), kind, amount, r, spared)
+		g.callCounter(c, c.countName(kind), kind, amount, r, skippedMask)
 	}
 	return len(to) > 0
 }
@@ -357,16 +359,16 @@
 }
 
 func (g *Gateway) onCountResult(e CountResult) {
-	pending, ok := g.takeCall(e.Name)
+	made, ok := g.takeCall(e.Name)
 	if !ok {
 		return
 	}
-	c, r := pending.customer, pending.request
+	c, r := made.customer, made.request
 	g.catchUp(c)
 	callShare := g.observeCounters(e)
 	if e.Status != OK {
 		// The report may have been added all the same: the next read of the sums shows whether it was.
-		if pending.added && c.reported > 0 && e.Name == c.countName(forecastSums) {
+		if made.added && c.reported > 0 && e.Name == c.countName(forecastSums) {
 			after := max(g.set.CounterLimit, 3*tick)
 			if e.Status == Full { // it was not added, so it is reported again
 				c.reported, after = 0, time.Duration(
@@ -379,13 +381,13 @@
 			r.drawsMade = maxDrawsPerRequest // no further draws: it is decided by what is known here
 			g.decide(r)
 		}
-		if c.drawPending && pending.kind == bucketDraws {
+		if c.drawPending && made.kind == bucketDraws {
 			c.drawPending, c.noDrawsUntil = false, g.now+counterCallTimeout
 			g.releaseHeld(c)
 		}
 		return
 	}
-	switch kind := pending.kind; {
+	switch kind := made.kind; {
 	// Sums of another interval come too late: the share stays even.
 	case kind == forecastSums && e.Name == c.countName(forecastSums) && c.reported > 0:
 		first := c.rereadAt == 0 && c.share == c.evenShare()
@@ -394,7 +396,7 @@
 			g.scheduleReread(c, max(g.set.CounterLimit, 3*tick)) // the others have reported by then
 		}
 	// What was counted under another plan's figures says nothing of these.
-	case kind == quotaUse && pending.planRevision != c.planRevision:
+	case kind == quotaUse && made.planRevision != c.planRevision:
 		if r != nil {
 			r.drawsMade = maxDrawsPerRequest
 			g.decide(r)
@@ -414,10 +416,10 @@
 		}
 	case kind == bucketDraws:
 		c.drawPending = false
-		if pending.planRevision == c.planRevision && c.sharedBucket { // units under another plan are of no use
+		if made.planRevision == c.planRevision && c.sharedBucket { // units under another plan are of no use
 			spreadDelay := g.random() * c.startSpreadSeconds(g.now, g.meanRequestUnits) // all may start at once
 			c.bucket.update(g.now, e.Name, e.Total, c.plan, c.totalAge(g.now))
-			c.drawnUnits += pending.units
+			c.drawnUnits += made.units
 			wait := spreadDelay + max(0, -c.bucket.level)/c.plan.Rate
 			c.drawnDueAt = g.now + time.Duration(wait*float64(time.Second))
 		}
@@ -449,9 +451,10 @@
 	return reporting == c.gateways
 }
 
-// splitQuota splits a quota, in such steps: to each gateway its forecast, up to the even share; what is left
-// pro rata to those that forecast more; the rest in equal parts to those that reported. For each that did
-// not, minReportedShare of an even share is set aside.
+// splitQuota splits a quota, counted in steps (see forecastSteps): to each gateway its forecast, up to the
+// even share; what is left pro rata to those that forecast more; the rest in equal parts to those that
+// reported. For each that did not, minReportedShare of an even share is set aside: a quiet gateway, which
+// reports nothing, may use so much.
 func splitQuota(gateways, reporting, within, forecasts, own, steps float64) float64 {
 	ownWithin := min(own, steps)
 	left := gateways*steps - within - (gateways-reporting)*minReportedShare*steps
@@ -538,8 +541,7 @@
 	return true
 }
 
-// drawAhead draws units for the held requests, if it may. It tells whether a draw is pending, or drawn units
-// will become due.
+// drawAhead draws units for held requests, if it may, and tells if a draw is pending or drawn units come due.
 func (g *Gateway) drawAhead(c *customer) bool {
 	var units float64
 	for _, r := range c.held {
@@ -564,9 +566,10 @@
 }
 
 // slotLimit is how many attempts may be in flight here without a draw. Without a cap: any number. If a cap is
-// split by sums: the whole slots of the share. For one of many gateways, or of few at low demand: the whole
-// slots of the even share. Each is at least 1. Else few gateways take fractions of slots in turns by the
-// shared clock; these add up to the cap at any time, without communication.
+// split by sums (in a plan without a rate): the whole slots of the share. For one of many gateways, or of few
+// at low demand, unless the plan has a rate and the even share is below one slot: the whole slots of the even
+// share. Each is at least 1. Else few gateways take fractions of slots in turns by the shared clock; these
+// add up to the cap at any time, without communication.
 func (c *customer) slotLimit(g *Gateway) int {
 	if c.plan.Open == 0 {
 		return math.MaxInt
@@ -608,8 +611,7 @@
 		(1 - r.class.Worth/c.bestWorth)
 }
 
-// withinCeiling is this gateway's own guarantee that the ceiling holds: its share of the ceiling's rate and
-// bucket.
+// withinCeiling is this gateway's own guarantee of the ceiling: its share of the ceiling's rate and bucket.
 func (c *customer) withinCeiling(r *request) bool {
 	return c.plan.CeilingRate <= 0 || c.ceiling >= r.Units
 }
@@ -696,8 +698,7 @@
 	return true
 }
 
-// letThrough sends a request on from its customer's admission: to the queue for a server, or back to its
-// caller.
+// letThrough sends a request on from its admission: to the queue for a server, or back to its caller.
 func (g *Gateway) letThrough(r *request) {
 	r.queued, r.countedInFlight = !r.AdmitOnly, true
 	r.customer.inFlight++
@@ -775,8 +776,7 @@
 		g.ejectIfHung(s)
 	}
 	dt := tick.Seconds()
-	u.sendTokens = min(
-		u.sendTokens+u.concurrencyLimit()*dt*float64(time.Second)/min(u.latency, 3*u.idleLatency),
+	u.sendTokens = min(u.sendTokens+u.concurrencyLimit()*dt*float64(time.Second)/min(u.latency, 3*u.idleLatency),
 		1+math.Sqrt(u.concurrencyLimit()))
 	u.raiseLocalLimit(dt)
 	u.sendRate += dt * (u.sent/dt/float64(max(warm, 1)) - u.sendRate)
@@ -840,10 +840,10 @@
 	case Cancelled, NotAttempted, LocalShortage, ExpiredUnsent:
 		s.trialPending = false
 	default:
-		// Overload shows in time-outs, too, but it also makes the answers slow. While answers are quick, a time-out
-		// counts for maxTimeoutAimShare at most, little more than cutAboveAimShare: answers lost on the way,
-		// servers that drop a part of their work and rare heavy requests must not lower the limit of servers with
-		// room. Trade-off: an overload so sudden that no slow answer comes before the time-outs lowers the limit
+		// Overload shows in time-outs, too, but it also slows the answers. While these are quick, a time-out counts
+		// for maxTimeoutAimShare at most, little more than cutAboveAimShare: answers lost on the way, servers that
+		// drop a part of their work and rare heavy requests must not lower the limit to its minimum where servers
+		// have room. Trade-off: an overload so sudden that no slow answer precedes the time-outs lowers the limit
 		// late.
 		if o.Status == Timeout && !s.ejected {
 			share := min(lat/float64(r.class.Aim), 2)
@@ -858,9 +858,8 @@
 		if o.Status != Timeout {
 			s.answeredAt = g.now
 		}
-		// A server that turns all away at once looks idle and would attract every request: Full counts as a
-		// failure. So does an answer that nobody can use, though any server gives one now and then. Both weigh
-		// half.
+		// A server that turns all away at once looks idle and would attract all: Full counts as a failure. So does
+		// an answer that nobody can use, though any server gives one now and then. Both weigh half.
 		if s.failureRate += failureSmoothing / 2 * (1 - s.failureRate); o.Status != Full &&
 			o.Status != InvalidAnswer {
 			s.failureRate += failureSmoothing / 2 * (1 - s.failureRate)
@@ -874,10 +873,10 @@
 }
 
 // lowerLimitUnderLoad lowers the limit when answers take too much of their aim, before requests queue in the
-// servers. A least time between cuts keeps one bad answer from lowering it again and again where few come.
-// What was once in service at a time (Little's law: in flight times idle latency over latency) stays, less of
-// it with many gateways: where all servers are slow at once there is no queue to drain, and fewer attempts in
-// flight would only leave their cores idle.
+// servers, which then stay congested. A least time between cuts keeps one bad answer from lowering it again
+// and again where few come. What was once in service at a time (Little's law: in flight times idle latency
+// over latency) stays, less of it with many gateways: where all servers are slow at once there is no queue to
+// drain, and fewer attempts in flight would only leave their cores idle.
 func (g *Gateway) lowerLimitUnderLoad(u *upstream, share float64) {
 	u.aimShare += 0.05 * (1 + 6*g.unseenShare) * (share - u.aimShare)
 	if u.aimShare > cutAboveAimShare &&
@@ -986,7 +985,7 @@
 	mostEjected := 2*r.upstream.usableServers < float64(len(r.upstream.list))
 	for _, s := range list {
 		w := g.warmShare(s)
-		if s.State != Ready || !g.repeatIsSafeAt(r, s) || !room ||
+		if s.State != Ready || !g.mayTakeRepeat(r, s) || !room ||
 			float64(s.inFlight) >= math.Ceil(r.upstream.limitPerServer) ||
 			w < 1 && !drawn && !g.coldServerMayTake(r, s, w, len(list)) {
 			continue
@@ -1018,9 +1017,10 @@
 	return may && g.now >= s.ejectedUntil && !s.trialPending && s.inFlight == 0
 }
 
-// repeatIsSafeAt tells whether a server may take a request: it is no repeat of a keyed one that may have run,
-// or the server is in the group that drops its repeats, and the key has not expired.
-func (g *Gateway) repeatIsSafeAt(r *request, s *server) bool {
+// mayTakeRepeat tells whether a server may take a request: it is no repeat of a keyed one that may have run,
+// or the server is in the group that drops its repeats, and the key has not expired. Whether an Unsafe
+// request may be repeated at all is decided elsewhere.
+func (g *Gateway) mayTakeRepeat(r *request, s *server) bool {
 	if !r.mayHaveRun || r.class.Effect != Keyed {
 		return true
 	}
--- a/logic/plans.go
+++ b/logic/plans.go
@@ -9,7 +9,8 @@
 // How a change of plans reaches the records of firms, and how reservations are used. The book decides which plans are in
 // force, the reserves what is leased here.
 
-// leaseWait is what an estimated wait is cut to where more of a reservation may be leased before.
+// leaseWait is what the estimated wait for the bucket is cut to if more of a reservation may be leased before that wait is over
+// (see ReservationLeases.LeasePending).
 const leaseWait = 150 * ms
 
 // SetPlanSource sets where the plans in force and the leases of reservations come from; nil: the settings' plans stay, and
@@ -58,13 +59,13 @@
 	}
 	g.planRevision++
 	g.plansChangedAt = g.now
-	for _, c := range g.dueTimes.TakeDue(g.now) {
+	for _, c := range g.dueCustomers.TakeDue(g.now) {
 		if len(c.held) > 0 {
 			g.applyPlan(c)
 		}
-		g.dueTimes.SetEarlier(c, g.now)
+		g.dueCustomers.SetEarlier(c, g.now)
 	}
-	g.awaitingPlans = g.dueTimes.All()
+	g.awaitingPlans = g.dueCustomers.All()
 	g.dispatch()
 }
 
@@ -107,7 +108,7 @@
 	c.drawnUnits, c.bucket = 0, bucketState{}
 	c.nextRelease = min(c.nextRelease, g.now) // the pace was that of the old share
 	if g.customers[c.id] == c {
-		g.dueTimes.SetEarlier(c, c.intervalEnd())
+		g.dueCustomers.SetEarlier(c, c.intervalEnd())
 	}
 	g.reconsider(c)
 }
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -313,8 +313,8 @@
 		t.Errorf("left behind: %d requests, %d tokens, %d queued, %d in flight; want none", len(g.requests), len(g.tokens), len(g.queue), out)
 	}
 	h.run(customerIdleTimeout+2*time.Second, nil)
-	if g := h.g; len(g.customers) != 0 || g.dueTimes.Len() != 0 {
-		t.Errorf("%d customers known and %d scheduled after the idle time-out, want none", len(g.customers), g.dueTimes.Len())
+	if g := h.g; len(g.customers) != 0 || g.dueCustomers.Len() != 0 {
+		t.Errorf("%d customers known and %d scheduled after the idle time-out, want none", len(g.customers), g.dueCustomers.Len())
 	}
 }
 
--- a/logic/servers.go
+++ b/logic/servers.go
@@ -278,7 +278,7 @@
 }
 
 // usableServersScanned is how many usable servers of a long list are compared for an attempt. The sample limits the cost of a
-// choice; it may miss the best server.
+// choice; the best of so many is hardly worse than the best of all.
 const usableServersScanned = 16
 
 // serversToScan is the servers that are compared for a request: all, or a sample of a long list. For the repeat of a keyed
@@ -411,7 +411,8 @@
 func (u *upstream) concurrencyLimit() float64 { return u.limitPerServer * max(u.warmCapacity, 1) }
 
 // hasRoom tells whether one more attempt may leave. With few gateways: while fewer than limit + 0.5 are in flight. With many:
-// while there is a send token and fewer than limit + sqrt(limit) + 1 are in flight.
+// while there is a send token and fewer than limit + sqrt(limit) + 1 are in flight. In either case not beyond the local limit,
+// where one is set.
 func (g *Gateway) hasRoom(u *upstream) bool {
 	b := u.concurrencyLimit()
 	if u.localLimit > 0 && u.inFlight+1 > u.localLimit {
--- a/logic/state.go
+++ b/logic/state.go
@@ -90,7 +90,7 @@
 	nextToken uint32
 
 	customers         map[uint64]*customer
-	dueTimes          schedule.Queue[*customer]  // each customer by the time when something is due for it
+	dueCustomers      schedule.Queue[*customer]  // each customer by the time when something is due for it
 	customersNumbered uint64                     // number of customers so far
 	dormant           map[uint64]dormantCustomer // customers that became dormant of late
 	dormantBefore     map[uint64]dormantCustomer // those of the time before
@@ -278,13 +278,13 @@
 }
 
 // callCounter makes a counter call and notes that its answer is due.
-func (g *Gateway) callCounter(c *customer, name uint64, kind int64, amount float64, r *request, spared uint8) {
+func (g *Gateway) callCounter(c *customer, name uint64, kind int64, amount float64, r *request, skippedMask uint8) {
 	g.calls[name] = append(g.calls[name], call{customer: c, request: r, kind: kind, added: amount > 0, units: amount, planRevision: c.planRevision})
 	wait := counterCallTimeout
 	if r != nil && g.unseenShare == 0 {
 		wait = 0 // the settings' limit: a request is waiting for the answer
 	}
-	count := Count{Name: name, Amount: amount, TTL: 3 * c.countLength(kind), Wait: wait, Since: c.countStart(kind), SkippedMask: spared}
+	count := Count{Name: name, Amount: amount, TTL: 3 * c.countLength(kind), Wait: wait, Since: c.countStart(kind), SkippedMask: skippedMask}
 	if name != c.countName(kind) { // it is of an interval that is over, whose start is not known any more
 		count.Since = 0
 	}
@@ -310,7 +310,7 @@
 // hold keeps a request; its firm is looked at in each tick.
 func (g *Gateway) hold(r *request) {
 	r.customer.held = append(r.customer.held, r)
-	g.dueTimes.SetEarlier(r.customer, g.now)
+	g.dueCustomers.SetEarlier(r.customer, g.now)
 }
 
 // enqueue puts a request among those that wait for a server: the highest worth first, then those of equal worth in the order
--- a/logic/trace_test.go
+++ b/logic/trace_test.go
@@ -102,7 +102,8 @@
 	return hash.Sum64()
 }
 
-// The actions with one counter are fixed by recorded hashes. A commit that changes decisions on purpose records them anew.
+// With one counter, the actions must be the same, one for one, as recorded. An intended change of decisions renews the hashes
+// in its own commit.
 func TestActionsMatchRecordedHashes(t *testing.T) {
 	for _, c := range []struct {
 		gateways int
--- a/logic/tuning.go
+++ b/logic/tuning.go
@@ -98,9 +98,10 @@
 	// the last doubling.
 	maxFullCounterBackoff = 4 * time.Second
 
-	// counterCallTimeout is the time-out of a counter call, but for one that a request of one of few gateways waits for: that has
-	// Settings.CounterLimit. It is also the pause in draws from a shared bucket after a failed one, and the time over which
-	// the gateways spread the repeated reports to a counter that turned them away.
+	// counterCallTimeout is the time-out of a counter call, or Settings.CounterLimit if that is longer: so long is an answer of
+	// use that no request waits for. Where a request of one of few gateways waits, the time-out is Settings.CounterLimit.
+	// counterCallTimeout is also the pause in draws from a shared bucket after a failed one, and the time over which the gateways
+	// spread the repeated reports to a counter that turned them away.
 	counterCallTimeout = 250 * ms
 
 	// minRereportShare is the least share of calls made that counts when repeated reports are spread: the fewer calls are
