--- a/Makefile
+++ b/Makefile
@@ -37,3 +37,10 @@
 generate:
 	cd internal/admin/adminpb && protoc --go_out=. --go_opt=paths=source_relative \
 		--go-grpc_out=. --go-grpc_opt=paths=source_relative admin.proto
+
+# The language server that renames identifiers: gopls rename -w FILE.go:LINE:COLUMN NEWNAME. TOOLS is where it goes.
+GOPLS = golang.org/x/tools/gopls@v0.22.0
+TOOLS ?= $(CURDIR)/bin
+.PHONY: tools
+tools:
+	GOBIN=$(TOOLS) go install $(GOPLS)
